--- a/ingress/coordinator.go
+++ b/ingress/coordinator.go
@@ -142,7 +142,7 @@
 
 func (c *Coordinator) newPending(r Request) (*pending, *customer) {
 	p := &pending{
-		Request: r, c: c, began: c.clock.Now(), decided: make(chan struct{}), left: map[int]bool{}, past: map[int]schedule.Past{},
+		Request: r, c: c, began: c.clock.Now(), decided: make(chan struct{}), left: map[int]bool{}, past: map[int]schedule.TaskHistory{},
 		parts: map[int]*part{}, search: newSearch(),
 	}
 	for i := range r.Job.Steps[0].Count {
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -284,28 +284,28 @@
 // and the one whose run failed, go to the other zone with their past, and the job is
 // complete.
 func TestBegunJobMoves(t *testing.T) {
-	moved := map[int]schedule.Past{}
+	moved := map[int]schedule.TaskHistory{}
 	f := &owners{loads: twoZones()}
 	f.offer = func(group string, o schedule.Offer, a owner.Answer) error {
 		if group == "b/0" {
 			if !o.Begun {
 				t.Errorf("tasks %v are offered as if nothing of their job had begun", o.Tasks)
 			}
-			maps.Copy(moved, o.Past)
+			maps.Copy(moved, o.History)
 			end(a, schedule.Result{Outcome: schedule.Completed, Done: o.Tasks, Begun: true})
 			return nil
 		}
 		f.loads[0] = OwnerLoad{Group: "a/0", Zone: "a", Closed: true}
-		past := map[int]schedule.Past{2: {Number: 1, Failed: 1}}
+		past := map[int]schedule.TaskHistory{2: {LastRun: 1, FailedRuns: 1}}
 		a.Returned(schedule.Result{Returned: []int{1}, Begun: true}, schedule.Load{})
-		end(a, schedule.Result{Outcome: schedule.Completed, Done: []int{0}, Returned: []int{2}, Past: past, Begun: true})
+		end(a, schedule.Result{Outcome: schedule.Completed, Done: []int{0}, Returned: []int{2}, History: past, Begun: true})
 		return nil
 	}
 	a := NewCoordinator("a", f).Run(request(3), nil)
 	if a.Verdict != Completed || !a.Begun {
 		t.Errorf("%+v", a)
 	}
-	if len(moved) != 1 || moved[2] != (schedule.Past{Number: 1, Failed: 1}) {
+	if len(moved) != 1 || moved[2] != (schedule.TaskHistory{LastRun: 1, FailedRuns: 1}) {
 		t.Errorf("they take %v along", moved)
 	}
 }
--- a/ingress/modellink_test.go
+++ b/ingress/modellink_test.go
@@ -89,7 +89,7 @@
 	}
 	l.toOwner(func() {
 		if l.o.pool != nil {
-			l.o.pool.Renew(l.key(), sent)
+			l.o.pool.RenewCoordinator(l.key(), sent)
 		}
 	})
 }
--- a/ingress/network_test.go
+++ b/ingress/network_test.go
@@ -217,7 +217,7 @@
 		l = c.w.connect(c, o)
 	}
 	l.offers[offer.Key] = answer
-	offer.Alive = c.heardFrom[o].Add(-c.Now().Sub(offer.Alive))
+	offer.AliveAt = c.heardFrom[o].Add(-c.Now().Sub(offer.AliveAt))
 	c.w.note(offer.Key.ID, "%s offers to %s on %s, part %d", c.name, o.name, l.key(), offer.Key.Part)
 	send := func() { l.toOwner(func() { o.offered(l, offer) }) }
 	switch {
--- a/ingress/pending.go
+++ b/ingress/pending.go
@@ -24,10 +24,10 @@
 	onVerdict func(Answered)
 
 	mu     sync.Mutex
-	left   map[int]bool          // tasks that are not done
-	past   map[int]schedule.Past // of those that ran in vain, and go on elsewhere
-	idle   []int                 // tasks that no owner has
-	parts  map[int]*part         // offers that have not ended, by number, which no other offer of the coordinator has
+	left   map[int]bool                 // tasks that are not done
+	past   map[int]schedule.TaskHistory // of those that ran in vain, and go on elsewhere
+	idle   []int                        // tasks that no owner has
+	parts  map[int]*part                // offers that have not ended, by number, which no other offer of the coordinator has
 	search search
 	begun  bool
 	offers int // that were made
@@ -162,8 +162,8 @@
 		Key:     schedule.JobKey{ID: p.Job.ID, Part: number},
 		Service: p.Route.Service, Route: p.Route.Name, Spec: p.Job.Spec, Demand: step.Demand, Estimate: step.Estimate,
 		Priority: p.Route.Priority, MaxAttempts: p.Route.MaxAttempts, Tasks: p.idle,
-		Stretch: p.Route.Stretch, Slack: p.Route.Slack, Age: now.Sub(p.began), Patience: p.until.Sub(now), Alive: checked, MayQueue: choice.Queue, Whole: choice.Whole, Begun: p.begun,
-		Past: lo.PickByKeys(p.past, p.idle), Rack: step.Rack, MostOnOne: step.MostOnOne,
+		Stretch: p.Route.Stretch, Slack: p.Route.Slack, Age: now.Sub(p.began), Timeout: p.until.Sub(now), AliveAt: checked, MayQueue: choice.Queue, AllOrNothing: choice.Whole, Begun: p.begun,
+		History: lo.PickByKeys(p.past, p.idle), Rack: step.Rack, MaxPerUpstream: step.MostOnOne,
 	}
 	part := &part{number: number, group: choice.Group, tasks: lo.Keyify(p.idle), queue: choice.Queue}
 	p.idle = nil
@@ -244,7 +244,7 @@
 // returned takes tasks back that are not at work at an owner, and will not be.
 func (p *pending) returned(part *part, r schedule.Result) {
 	p.mu.Lock()
-	maps.Copy(p.past, r.Past)
+	maps.Copy(p.past, r.History)
 	p.takeBack(part, r.Returned)
 	p.begun = p.begun || r.Begun || len(part.tasks) > 0 // the others run there
 	p.mu.Unlock()
@@ -256,7 +256,7 @@
 	p.mu.Lock()
 	delete(p.parts, part.number)
 	p.begun = p.begun || r.Begun
-	maps.Copy(p.past, r.Past)
+	maps.Copy(p.past, r.History)
 	for _, t := range r.Done {
 		delete(p.left, t)
 		delete(part.tasks, t)
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -69,7 +69,7 @@
 // Offer implements ingress.Owners.
 func (n *instance) Offer(name string, o schedule.Offer, answer owner.Answer) error {
 	o.Key.Coordinator = n.name
-	o.Alive = time.Time{} // no coordinator is lost here
+	o.AliveAt = time.Time{} // no coordinator is lost here
 	to := n.w.find(name)
 	if to == n.beside {
 		to.take(o, answer)
--- a/lab/world.go
+++ b/lab/world.go
@@ -241,7 +241,7 @@
 	for _, d := range e.Decisions {
 		switch {
 		case g.w.struck(d.Upstream):
-		case d.Kind == schedule.DecidedDoubt:
+		case d.Kind == schedule.DecidedEject:
 			g.w.doubts++
 		case d.Kind == schedule.DecidedSilent:
 			g.w.silences++
@@ -249,16 +249,16 @@
 	}
 	for _, s := range e.Starts {
 		g.w.upstreams[s.Upstream.ID].CallStart(s.Order, startTimeout, func(r fleet.Refusal, err error) {
-			g.apply(g.pool.Started(g.w.Now(), s.Upstream.Life(), s.Order.Run, r, err))
+			g.apply(g.pool.HandleStartResponse(g.w.Now(), s.Upstream.Life(), s.Order.Run, r, err))
 		})
 	}
 	for _, s := range e.Stops {
 		g.w.upstreams[s.Upstream.ID].CallStop(s.Run, g.pool.Token(), callTimeout, func(err error) {
-			g.apply(g.pool.Stopped(g.w.Now(), s.Upstream.Life(), s.Run, err))
+			g.apply(g.pool.HandleStopResponse(g.w.Now(), s.Upstream.Life(), s.Run, err))
 		})
 	}
-	for _, id := range e.Looks {
-		if _, o, known := g.pool.LookOrder(g.w.Now(), id); known {
+	for _, id := range e.Polls {
+		if _, o, known := g.pool.PollOrder(g.w.Now(), id); known {
 			g.hold(id, o, func(bool) {})
 		}
 	}
@@ -296,7 +296,7 @@
 		timeout = lookTimeout
 	}
 	g.w.upstreams[id].CallHold(o, timeout, func(report fleet.Report, err error) {
-		g.apply(g.pool.Held(g.w.Now(), fleet.Life{ID: id}, sent, report, err))
+		g.apply(g.pool.HandleHoldResponse(g.w.Now(), fleet.Life{ID: id}, sent, report, err))
 		then(err == nil)
 	})
 }
--- a/node/convert.go
+++ b/node/convert.go
@@ -78,21 +78,21 @@
 }
 
 // pastTo words what tasks that go elsewhere take along, by task.
-func pastTo(past map[int]schedule.Past) []*inner.TaskPast {
+func pastTo(past map[int]schedule.TaskHistory) []*inner.TaskPast {
 	var list []*inner.TaskPast
 	for _, task := range slices.Sorted(maps.Keys(past)) {
-		list = append(list, &inner.TaskPast{Task: uint32(task), Number: past[task].Number, Failed: uint32(past[task].Failed), Crashed: uint32(past[task].Crashed)})
+		list = append(list, &inner.TaskPast{Task: uint32(task), Number: past[task].LastRun, Failed: uint32(past[task].FailedRuns), Crashed: uint32(past[task].Crashes)})
 	}
 	return list
 }
 
-func pastFrom(list []*inner.TaskPast) map[int]schedule.Past {
+func pastFrom(list []*inner.TaskPast) map[int]schedule.TaskHistory {
 	if len(list) == 0 {
 		return nil
 	}
-	past := make(map[int]schedule.Past, len(list))
+	past := make(map[int]schedule.TaskHistory, len(list))
 	for _, t := range list {
-		past[int(t.GetTask())] = schedule.Past{Number: t.GetNumber(), Failed: int(t.GetFailed()), Crashed: int(t.GetCrashed())}
+		past[int(t.GetTask())] = schedule.TaskHistory{LastRun: t.GetNumber(), FailedRuns: int(t.GetFailed()), Crashes: int(t.GetCrashed())}
 	}
 	return past
 }
@@ -100,14 +100,14 @@
 func returnedFrame(g *owner.Group, r schedule.Result, l schedule.Load) *inner.Frame {
 	return &inner.Frame{Body: &inner.Frame_OfferReturned{OfferReturned: &inner.OfferReturned{
 		Group: g.Name, Job: r.Key.ID, Part: uint32(r.Key.Part), Tasks: fromInts(r.Returned), Load: claimFor(g, l),
-		Begun: r.Begun, Past: pastTo(r.Past),
+		Begun: r.Begun, Past: pastTo(r.History),
 	}}}
 }
 
 func endedFrame(g *owner.Group, r schedule.Result, l schedule.Load) *inner.Frame {
 	return &inner.Frame{Body: &inner.Frame_OfferEnded{OfferEnded: &inner.OfferEnded{
 		Outcome: string(r.Outcome), Done: fromInts(r.Done), Returned: fromInts(r.Returned), Begun: r.Begun, Load: claimFor(g, l),
-		Past: pastTo(r.Past),
+		Past: pastTo(r.History),
 	}}}
 }
 
@@ -119,8 +119,8 @@
 		MilliCpu: o.Demand.MilliCPU, MemoryMb: o.Demand.MemoryMB, Gpus: o.Demand.GPUs,
 		EstimateMs: uint32(o.Estimate.Milliseconds()), Priority: uint32(o.Priority), MaxAttempts: uint32(o.MaxAttempts),
 		Tasks: fromInts(o.Tasks), Stretch: o.Stretch, SlackMs: uint32(o.Slack.Milliseconds()),
-		AgeMs: uint32(o.Age.Milliseconds()), PatienceMs: uint32(max(o.Patience, 0).Milliseconds()), MayQueue: o.MayQueue, Begun: o.Begun, Whole: o.Whole,
-		Past: pastTo(o.Past), AliveMs: aliveMs, Rack: o.Rack, MostOnOne: uint32(o.MostOnOne),
+		AgeMs: uint32(o.Age.Milliseconds()), PatienceMs: uint32(max(o.Timeout, 0).Milliseconds()), MayQueue: o.MayQueue, Begun: o.Begun, Whole: o.AllOrNothing,
+		Past: pastTo(o.History), AliveMs: aliveMs, Rack: o.Rack, MostOnOne: uint32(o.MaxPerUpstream),
 	}
 }
 
@@ -133,7 +133,7 @@
 		Estimate: time.Duration(m.GetEstimateMs()) * time.Millisecond, Priority: int(m.GetPriority()),
 		MaxAttempts: int(m.GetMaxAttempts()), Tasks: toInts(m.GetTasks()), Stretch: m.GetStretch(),
 		Slack: time.Duration(m.GetSlackMs()) * time.Millisecond, Age: time.Duration(m.GetAgeMs()) * time.Millisecond,
-		Patience: time.Duration(m.GetPatienceMs()) * time.Millisecond, MayQueue: m.GetMayQueue(), Begun: m.GetBegun(), Whole: m.GetWhole(),
-		Past: pastFrom(m.GetPast()), Rack: m.GetRack(), MostOnOne: int(m.GetMostOnOne()),
+		Timeout: time.Duration(m.GetPatienceMs()) * time.Millisecond, MayQueue: m.GetMayQueue(), Begun: m.GetBegun(), AllOrNothing: m.GetWhole(),
+		History: pastFrom(m.GetPast()), Rack: m.GetRack(), MaxPerUpstream: int(m.GetMostOnOne()),
 	}
 }
--- a/node/log.go
+++ b/node/log.go
@@ -14,18 +14,18 @@
 
 // eventOf is the log event of each kind of decision.
 var eventOf = map[schedule.DecisionKind]event.Event{
-	schedule.DecidedStart:   event.TaskStarted,
-	schedule.DecidedRetry:   event.TaskRetried,
-	schedule.DecidedStop:    event.TaskStopped,
-	schedule.DecidedReturn:  event.TasksReturned,
-	schedule.DecidedResult:  event.OfferResult,
-	schedule.DecidedDoubt:   event.UpstreamDoubted,
-	schedule.DecidedTrust:   event.UpstreamTrusted,
-	schedule.DecidedSilent:  event.UpstreamSilent,
-	schedule.DecidedHeard:   event.UpstreamHeard,
-	schedule.DecidedGone:    event.UpstreamGone,
-	schedule.DecidedFenced:  event.UpstreamFenced,
-	schedule.DecidedSuspect: event.TaskSuspected,
+	schedule.DecidedStart:      event.TaskStarted,
+	schedule.DecidedRetry:      event.TaskRetried,
+	schedule.DecidedStop:       event.TaskStopped,
+	schedule.DecidedReturn:     event.TasksReturned,
+	schedule.DecidedResult:     event.OfferResult,
+	schedule.DecidedEject:      event.UpstreamDoubted,
+	schedule.DecidedReadmit:    event.UpstreamTrusted,
+	schedule.DecidedSilent:     event.UpstreamSilent,
+	schedule.DecidedResponding: event.UpstreamHeard,
+	schedule.DecidedGone:       event.UpstreamGone,
+	schedule.DecidedFenced:     event.UpstreamFenced,
+	schedule.DecidedSuspect:    event.TaskSuspected,
 }
 
 const (
@@ -127,7 +127,7 @@
 		attrs = append(attrs, slog.Int("run", int(h.Run)))
 	}
 	if h.Upstream != "" {
-		attrs = append(attrs, slog.String("upstream", h.Upstream), slog.Int64("room", h.Room))
+		attrs = append(attrs, slog.String("upstream", h.Upstream), slog.Int64("room", h.FreeMilliCPU))
 	}
 	if h.Reason != "" {
 		attrs = append(attrs, slog.String("reason", h.Reason))
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -257,7 +257,7 @@
 // take begins to own a group. The lock is held.
 func (n *Node) take(group string) {
 	n.highest = membership.NextToken(clock.TimeOfDay().UnixMilli(), n.highest, string(n.self))
-	cfg := schedule.ConfigFor(n.in.Timing.MaxTaskLease)
+	cfg := schedule.ConfigForMaxLease(n.in.Timing.MaxTaskLease)
 	cfg.RemoteFactor = n.in.Timing.RemoteFactor
 	cfg.LinkRate = n.in.LinkRate // counted in full by each group of an owner of several
 	n.groups[group] = &held{Group: owner.NewGroup(group, cfg, n.highest, n.calls, n), since: clock.Now()}
--- a/node/router.go
+++ b/node/router.go
@@ -173,7 +173,7 @@
 	r.sent[k] = sent
 	v.load.Free -= len(o.Tasks)
 	r.used[peer.Instance()] = clock.Now()
-	aliveMs := aliveAt(r.clocks[peer], o.Alive)
+	aliveMs := aliveAt(r.clocks[peer], o.AliveAt)
 	r.mu.Unlock()
 	frame := &inner.Frame{Body: &inner.Frame_Offer{Offer: offerTo(group, o, aliveMs)}}
 	link, err := r.n.mesh.Ask(peer, frame, func(f *inner.Frame, err error) { r.offerEnded(k, f, err) })
@@ -217,7 +217,7 @@
 		r.updateLoad(ended.GetLoad())
 		answer.Ended(schedule.Result{
 			Key: k.key, Outcome: schedule.Outcome(ended.GetOutcome()), Begun: ended.GetBegun(),
-			Done: toInts(ended.GetDone()), Returned: toInts(ended.GetReturned()), Past: pastFrom(ended.GetPast()),
+			Done: toInts(ended.GetDone()), Returned: toInts(ended.GetReturned()), History: pastFrom(ended.GetPast()),
 		}, loadFrom(ended.GetLoad()))
 	}
 }
@@ -239,7 +239,7 @@
 	answer := r.sent[k]
 	r.mu.Unlock()
 	if answer != nil {
-		answer.Returned(schedule.Result{Key: k.key, Returned: toInts(m.GetTasks()), Past: pastFrom(m.GetPast()), Begun: m.GetBegun()}, loadFrom(m.GetLoad()))
+		answer.Returned(schedule.Result{Key: k.key, Returned: toInts(m.GetTasks()), History: pastFrom(m.GetPast()), Begun: m.GetBegun()}, loadFrom(m.GetLoad()))
 	}
 }
 
@@ -288,7 +288,7 @@
 	}
 	o := offerFrom(m)
 	o.Key.Coordinator = coordinatorOf(link, from)
-	o.Alive = r.n.atClock(m.GetAliveMs())
+	o.AliveAt = r.n.atClock(m.GetAliveMs())
 	err := g.Offer(o, owner.Answer{
 		Returned: func(res schedule.Result, l schedule.Load) {
 			_ = link.Send(returnedFrame(g, res, l)) // a closed connection has ended the offer
--- a/owner/group.go
+++ b/owner/group.go
@@ -107,7 +107,7 @@
 		return
 	}
 	now := clock.Now()
-	g.pool.SetAnswerTime(g.rtt.timeout(now))
+	g.pool.SetAnswerTimeout(g.rtt.timeout(now))
 	effects := input(g.pool, now)
 	tell := g.collect(&effects)
 	g.mu.Unlock()
@@ -146,7 +146,7 @@
 	for _, s := range effects.Stops {
 		go g.stop(s)
 	}
-	for _, id := range effects.Looks {
+	for _, id := range effects.Polls {
 		go g.look(id)
 	}
 	for _, d := range effects.Decisions {
@@ -174,8 +174,8 @@
 		g.seen.Called("start", err, clock.Since(began))
 		return started{refusal, err}
 	}
-	take := func(a started) { g.started(s, a, clock.Since(began)-s.Carried) }
-	answer, inTime := await(overdue+s.Carried, call, func(late started) {
+	take := func(a started) { g.started(s, a, clock.Since(began)-s.LinkDelay) }
+	answer, inTime := await(overdue+s.LinkDelay, call, func(late started) {
 		if !failure.Is(late.err, failure.Lost) { // which has been told
 			take(late)
 		}
@@ -193,7 +193,7 @@
 func (g *Group) started(s schedule.Start, a started, took time.Duration) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		g.rtt.learn(now, took, a.err == nil)
-		return p.Started(now, s.Upstream.Life(), s.Order.Run, a.refusal, a.err)
+		return p.HandleStartResponse(now, s.Upstream.Life(), s.Order.Run, a.refusal, a.err)
 	})
 }
 
@@ -203,13 +203,13 @@
 	err := g.calls.Stop(s.Upstream, s.Run, g.Token, limit)
 	g.seen.Called("stop", err, clock.Since(began))
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
-		return p.Stopped(now, s.Upstream.Life(), s.Run, err)
+		return p.HandleStopResponse(now, s.Upstream.Life(), s.Run, err)
 	})
 }
 
 func (g *Group) look(id string) {
 	g.mu.Lock()
-	u, order, known := g.pool.LookOrder(clock.Now(), id)
+	u, order, known := g.pool.PollOrder(clock.Now(), id)
 	known = known && !g.closed
 	g.mu.Unlock()
 	if known {
@@ -249,7 +249,7 @@
 // held gives the pool the answer to a hold that was sent at a time.
 func (g *Group) held(u fleet.Upstream, sent time.Time, a held) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
-		return p.Held(now, u.Life(), sent, a.report, a.err)
+		return p.HandleHoldResponse(now, u.Life(), sent, a.report, a.err)
 	})
 }
 
@@ -317,7 +317,7 @@
 func (g *Group) FencedAt() (at time.Time, joined bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.pool.FencedAt(), g.pool.EverJoined()
+	return g.pool.FencedAt(), g.pool.EverAccepted()
 }
 
 // Load returns the load of the group.
--- a/owner/link_test.go
+++ b/owner/link_test.go
@@ -217,7 +217,7 @@
 		err := n.Offer(schedule.Offer{
 			Key: schedule.JobKey{Coordinator: "c", ID: fmt.Sprintf("%d-%d-%d", perSecond, long, i)}, Service: "desk", Route: "r",
 			Spec: string(make([]byte, specBytes)), Demand: fleet.Demand{MilliCPU: 32_000}, Estimate: taskTime, MaxAttempts: 4,
-			Tasks: lo.Range(1 + n.widths.IntN(2*meanWidth-1)), Stretch: 1.6, Slack: 60 * time.Millisecond, Patience: 2 * time.Second, MayQueue: true,
+			Tasks: lo.Range(1 + n.widths.IntN(2*meanWidth-1)), Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: 2 * time.Second, MayQueue: true,
 		}, Answer{
 			Returned: func(schedule.Result, schedule.Load) {},
 			Ended: func(r schedule.Result, _ schedule.Load) {
--- a/owner/offer.go
+++ b/owner/offer.go
@@ -46,12 +46,12 @@
 func (g *Group) Renew(coordinator string, alive time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Renew(coordinator, alive)
+	g.pool.RenewCoordinator(coordinator, alive)
 }
 
 // WorksFor reports whether the group has jobs of a coordinator under a lease.
 func (g *Group) WorksFor(coordinator string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.pool.WorksFor(coordinator)
+	return g.pool.HasLeasedJobs(coordinator)
 }
--- a/schedule/coordinator.go
+++ b/schedule/coordinator.go
@@ -27,7 +27,7 @@
 // attend makes a job count for its coordinator. One without a time lives and dies with
 // the pool, and needs no lease.
 func (p *Pool) attend(j *job) {
-	if j.Alive.IsZero() {
+	if j.AliveAt.IsZero() {
 		return
 	}
 	c := p.coordinators[j.Key.Coordinator]
@@ -50,24 +50,24 @@
 	}
 }
 
-// Renew takes that a coordinator was alive at a time, with the customers of all jobs that
+// RenewCoordinator takes that a coordinator was alive at a time, with the customers of all jobs that
 // it has not withdrawn.
-func (p *Pool) Renew(coordinator string, alive time.Time) {
+func (p *Pool) RenewCoordinator(coordinator string, alive time.Time) {
 	if c := p.coordinators[coordinator]; c != nil && alive.After(c.renewed) {
 		c.renewed = alive
 	}
 }
 
-// WorksFor reports whether the pool has jobs of a coordinator under a lease.
-func (p *Pool) WorksFor(coordinator string) bool { return p.coordinators[coordinator] != nil }
+// HasLeasedJobs reports whether the pool has jobs of a coordinator under a lease.
+func (p *Pool) HasLeasedJobs(coordinator string) bool { return p.coordinators[coordinator] != nil }
 
 // aliveAt is when the customer of a job under a lease was certainly there, last. An offer
 // that was long on its way may come behind a renewal that was sent after its job had
 // ended: it counts only once its coordinator was alive after it came.
 func (p *Pool) aliveAt(j *job) time.Time {
-	late := j.offered.Sub(j.Alive) > p.cfg.AliveToStart
-	if late && j.from.renewed.Before(j.offered) || j.from.renewed.Before(j.Alive) {
-		return j.Alive
+	late := j.offered.Sub(j.AliveAt) > p.cfg.AliveToStart
+	if late && j.from.renewed.Before(j.offered) || j.from.renewed.Before(j.AliveAt) {
+		return j.AliveAt
 	}
 	return j.from.renewed
 }
--- a/schedule/forecast.go
+++ b/schedule/forecast.go
@@ -201,7 +201,7 @@
 // rejected.
 func (j *job) dueBy() time.Time {
 	latest := j.sent().Add(time.Duration(inTimeShare * float64(j.allowed())))
-	if waits := j.offered.Add(j.Patience); waits.Before(latest) {
+	if waits := j.offered.Add(j.Timeout); waits.Before(latest) {
 		return waits
 	}
 	return latest
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -36,7 +36,7 @@
 	h.pause = min(max(2*h.pause, firstDoubt), longestDoubt)
 	h.doubted = true
 	h.until = p.now.Add(h.pause)
-	p.decide(Decision{Kind: DecidedDoubt, Upstream: u.ID, Reason: reason, Task: h.failures, Age: h.pause})
+	p.decide(Decision{Kind: DecidedEject, Upstream: u.ID, Reason: reason, Task: h.failures, Age: h.pause})
 }
 
 // blame takes a failed run: its upstream is doubted at once. Few jobs fail by
@@ -73,7 +73,7 @@
 // trust takes a success.
 func (p *Pool) trust(u *upstream) {
 	if u.health.doubted {
-		p.decide(Decision{Kind: DecidedTrust, Upstream: u.ID})
+		p.decide(Decision{Kind: DecidedReadmit, Upstream: u.ID})
 	}
 	u.health = health{}
 }
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -8,8 +8,8 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// Started takes the answer to a start that was ordered of a life.
-func (p *Pool) Started(now time.Time, of fleet.Life, id fleet.Run, refusal fleet.Refusal, err error) Effects {
+// HandleStartResponse takes the answer to a start that was ordered of a life.
+func (p *Pool) HandleStartResponse(now time.Time, of fleet.Life, id fleet.Run, refusal fleet.Refusal, err error) Effects {
 	return p.do(now, func() {
 		u := p.upstreams[of.ID]
 		if u == nil || u.runs[id] == nil {
@@ -75,8 +75,8 @@
 	}
 }
 
-// Stopped takes the answer to a stop that was ordered of a life.
-func (p *Pool) Stopped(now time.Time, of fleet.Life, id fleet.Run, err error) Effects {
+// HandleStopResponse takes the answer to a stop that was ordered of a life.
+func (p *Pool) HandleStopResponse(now time.Time, of fleet.Life, id fleet.Run, err error) Effects {
 	return p.do(now, func() {
 		u := p.current(of, 0)
 		if u == nil || u.runs[id] == nil {
@@ -88,7 +88,7 @@
 			u.misses = 0
 			r.state = stopped
 			r.stopAcked, r.looked = now, now
-			p.out.Looks = append(p.out.Looks, u.ID)
+			p.out.Polls = append(p.out.Polls, u.ID)
 		case failure.Is(err, failure.Gone):
 			p.gone(u, "another life answers")
 		case failure.Is(err, failure.Conflict):
@@ -128,8 +128,8 @@
 	return u.seenEnds
 }
 
-// LookOrder returns an order that asks for a report at once.
-func (p *Pool) LookOrder(now time.Time, upstreamID string) (fleet.Upstream, fleet.HoldOrder, bool) {
+// PollOrder returns an order that asks for a report at once.
+func (p *Pool) PollOrder(now time.Time, upstreamID string) (fleet.Upstream, fleet.HoldOrder, bool) {
 	u := p.upstreams[upstreamID]
 	if u == nil {
 		return fleet.Upstream{}, fleet.HoldOrder{}, false
@@ -138,8 +138,8 @@
 	return u.Upstream, fleet.HoldOrder{Token: p.token, SeenEnds: p.seenEnds(u)}, true
 }
 
-// Held takes the answer to a hold or a look that was sent to a life at a time.
-func (p *Pool) Held(now time.Time, to fleet.Life, sent time.Time, report fleet.Report, err error) Effects {
+// HandleHoldResponse takes the answer to a hold or a look that was sent to a life at a time.
+func (p *Pool) HandleHoldResponse(now time.Time, to fleet.Life, sent time.Time, report fleet.Report, err error) Effects {
 	return p.do(now, func() {
 		u := p.current(to, report.Born)
 		switch {
@@ -177,7 +177,7 @@
 
 func (p *Pool) reported(u *upstream, sent time.Time, report fleet.Report) {
 	if u.silent {
-		p.decide(Decision{Kind: DecidedHeard, Upstream: u.ID, Age: p.now.Sub(u.clockAt)})
+		p.decide(Decision{Kind: DecidedResponding, Upstream: u.ID, Age: p.now.Sub(u.clockAt)})
 		p.crashes.takeBack(u.suspects)
 		u.suspects = nil
 	}
--- a/schedule/link.go
+++ b/schedule/link.go
@@ -77,9 +77,9 @@
 // LinkDelay is how long until what was handed to the owner's link has been carried.
 func (p *Pool) LinkDelay(now time.Time) time.Duration { return p.link.queued(now) }
 
-// SetAnswerTime tells how long an answer may take before it counts as overdue, by
+// SetAnswerTimeout tells how long an answer may take before it counts as overdue, by
 // those that came lately. Orders are not repeated before that.
-func (p *Pool) SetAnswerTime(d time.Duration) { p.answerTime = d }
+func (p *Pool) SetAnswerTimeout(d time.Duration) { p.answerTime = d }
 
 // repeatPause is the pause before an order without an answer is sent again.
 func (p *Pool) repeatPause() time.Duration {
--- a/schedule/link_test.go
+++ b/schedule/link_test.go
@@ -20,7 +20,7 @@
 	}
 	added, _ := p.SetUpstreams(now, list)
 	for _, id := range added {
-		p.Held(now, fleet.Life{ID: id}, now, fleet.Report{}, nil)
+		p.HandleHoldResponse(now, fleet.Life{ID: id}, now, fleet.Report{}, nil)
 	}
 	return p
 }
@@ -31,7 +31,7 @@
 	return Offer{
 		Key: JobKey{"c", fmt.Sprintf("%016x", n), 1}, Service: "s", Route: "r", Spec: string(make([]byte, 1200)),
 		Demand: fleet.Demand{MilliCPU: 32_000}, Estimate: 60 * time.Millisecond, MaxAttempts: 4, Tasks: []int{0, 1, 2, 3, 4, 5, 6, 7},
-		Stretch: 1.6, Slack: 60 * time.Millisecond, Patience: time.Second, MayQueue: true,
+		Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: time.Second, MayQueue: true,
 	}
 }
 
@@ -45,7 +45,7 @@
 	if len(first.Starts) != 8 {
 		t.Fatalf("%d tasks of the first job were started", len(first.Starts))
 	}
-	if last := first.Starts[7].Carried; last < 60*time.Millisecond || last > 70*time.Millisecond {
+	if last := first.Starts[7].LinkDelay; last < 60*time.Millisecond || last > 70*time.Millisecond {
 		t.Errorf("the last of its orders is carried after %v, it has 67 ms of the link before it", last)
 	}
 	if free := p.Load(now).Free; free > 1 {
--- a/schedule/lives_test.go
+++ b/schedule/lives_test.go
@@ -19,7 +19,7 @@
 	ends := fleet.Report{Born: 5, Ended: []fleet.EndedRun{{Sequence: 3, End: fleet.EndStopped}}}
 	seen := func() [2]uint64 {
 		_, hold, _ := p.HoldOrder(now, "u")
-		_, look, _ := p.LookOrder(now, "u")
+		_, look, _ := p.PollOrder(now, "u")
 		return [2]uint64{hold.SeenEnds, look.SeenEnds}
 	}
 	for _, step := range []struct {
@@ -27,11 +27,11 @@
 		do   func()
 		want uint64
 	}{
-		{"it has told three ends", func() { p.Held(now, life, now, ends, nil) }, 3},
-		{"a call is not answered", func() { p.Held(now, life, now, fleet.Report{}, failure.Lost.New("x")) }, 0},
-		{"it answers again", func() { p.Held(now, life, now, ends, nil) }, 3},
+		{"it has told three ends", func() { p.HandleHoldResponse(now, life, now, ends, nil) }, 3},
+		{"a call is not answered", func() { p.HandleHoldResponse(now, life, now, fleet.Report{}, failure.Lost.New("x")) }, 0},
+		{"it answers again", func() { p.HandleHoldResponse(now, life, now, ends, nil) }, 3},
 		{"this process stands still", func() { now = now.Add(DefaultConfig.Lease + time.Millisecond) }, 0},
-		{"another life answers", func() { p.Held(now, life, now, fleet.Report{Born: 9}, nil) }, 0},
+		{"another life answers", func() { p.HandleHoldResponse(now, life, now, fleet.Report{Born: 9}, nil) }, 0},
 	} {
 		step.do()
 		if got := seen(); got != [2]uint64{step.want, step.want} {
--- a/schedule/model_test.go
+++ b/schedule/model_test.go
@@ -61,8 +61,8 @@
 	for _, s := range e.Stops {
 		w.stop(s)
 	}
-	for _, id := range e.Looks {
-		if u, o, known := w.pool.LookOrder(w.Now(), id); known {
+	for _, id := range e.Polls {
+		if u, o, known := w.pool.PollOrder(w.Now(), id); known {
 			w.hold(u, o, func(bool) {})
 		}
 	}
@@ -79,7 +79,7 @@
 	}
 	for _, index := range r.Returned {
 		ref := fleet.TaskRef{Job: r.Key.ID, Index: index}
-		if _, ran := r.Past[index]; ran {
+		if _, ran := r.History[index]; ran {
 			w.atRest(ref)
 			continue
 		}
@@ -239,7 +239,7 @@
 	o := Offer{
 		Key: key, Service: "s", Route: "r", Spec: "x",
 		Demand: fleet.Demand{MilliCPU: 3000}, Estimate: 150 * time.Millisecond, MaxAttempts: 4,
-		Stretch: 1.6, Slack: 60 * time.Millisecond, Patience: 5 * time.Second, MayQueue: w.Rand.IntN(2) == 0,
+		Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: 5 * time.Second, MayQueue: w.Rand.IntN(2) == 0,
 	}
 	for i := range 1 + w.Rand.IntN(8) {
 		o.Tasks = append(o.Tasks, i)
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -78,7 +78,7 @@
 // expiry is when the job is given up if tasks of it still wait for room.
 func (j *job) expiry() time.Time {
 	useful := j.sent().Add(lateFactor * j.allowed())
-	if waits := j.offered.Add(j.Patience); waits.Before(useful) {
+	if waits := j.offered.Add(j.Timeout); waits.Before(useful) {
 		return waits
 	}
 	return useful
@@ -146,7 +146,7 @@
 		return false
 	case free >= tasks:
 		return true
-	case j.Whole, *weighed >= backfillDepth:
+	case j.AllOrNothing, *weighed >= backfillDepth:
 		return false
 	}
 	*weighed++
@@ -279,14 +279,14 @@
 	r.expected = r.longer(j.expect)
 	p.add(r)
 	p.out.Starts = append(p.out.Starts, Start{
-		Upstream: u.Upstream,
-		Order:    fleet.StartOrder{Run: r.id, Spec: j.Spec, LeaseUntilMs: p.grant(u), Token: p.token},
-		Carried:  carried,
-		SendBy:   p.now.Add(p.cfg.Lease),
+		Upstream:  u.Upstream,
+		Order:     fleet.StartOrder{Run: r.id, Spec: j.Spec, LeaseUntilMs: p.grant(u), Token: p.token},
+		LinkDelay: carried,
+		SendBy:    p.now.Add(p.cfg.Lease),
 	})
 	p.decide(Decision{
 		Kind: DecidedStart, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: t.index, Run: t.number, Upstream: u.ID,
-		Room: u.Capacity.Minus(u.used).MilliCPU, Age: p.now.Sub(j.offered),
+		FreeMilliCPU: u.Capacity.Minus(u.used).MilliCPU, Age: p.now.Sub(j.offered),
 	})
 }
 
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -109,8 +109,8 @@
 // a higher token; zero where it has lost none.
 func (p *Pool) FencedAt() time.Time { return p.fencedAt }
 
-// EverJoined reports whether any upstream has accepted the pool's token.
-func (p *Pool) EverJoined() bool { return p.everJoined }
+// EverAccepted reports whether any upstream has accepted the pool's token.
+func (p *Pool) EverAccepted() bool { return p.everJoined }
 
 // Drain makes the pool start nothing more. What waits is returned.
 func (p *Pool) Drain(now time.Time) Effects {
@@ -158,13 +158,13 @@
 
 func (p *Pool) offer(o Offer) {
 	p.supersede(o.Key)
-	j := &job{Offer: o, offered: p.now, tasks: map[int]*task{}, left: len(o.Tasks), failed: map[string]bool{}, past: map[int]Past{}}
+	j := &job{Offer: o, offered: p.now, tasks: map[int]*task{}, left: len(o.Tasks), failed: map[string]bool{}, past: map[int]TaskHistory{}}
 	j.expect = p.timesOf(o.Route).expect(o.Estimate)
 	for _, index := range o.Tasks {
-		t := &task{index: index, number: o.Past[index].Number, attempts: o.Past[index].Failed}
+		t := &task{index: index, number: o.History[index].LastRun, attempts: o.History[index].FailedRuns}
 		j.tasks[index] = t
 		j.order = append(j.order, t)
-		p.crashes.learn(p.now, p.ref(j, t), o.Past[index].Crashed)
+		p.crashes.learn(p.now, p.ref(j, t), o.History[index].Crashes)
 	}
 	p.waiting += len(j.order)
 	for _, t := range j.order {
@@ -348,7 +348,7 @@
 
 func (p *Pool) result(j *job, outcome Outcome, returned []int) {
 	p.out.Results = append(p.out.Results, Result{
-		Key: j.Key, Outcome: outcome, Done: j.done, Returned: returned, Past: j.past, Begun: j.begun,
+		Key: j.Key, Outcome: outcome, Done: j.done, Returned: returned, History: j.past, Begun: j.begun,
 	})
 	p.decide(Decision{
 		Kind: DecidedResult, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: len(j.done), Reason: string(outcome), Age: p.now.Sub(j.offered),
--- a/schedule/rack.go
+++ b/schedule/rack.go
@@ -31,7 +31,7 @@
 // for their being kept apart. What is being stopped counts, and what was ordered for another
 // sending of the job.
 func placesApart(j *job, u *upstream, most int) int {
-	if j.MostOnOne == 0 {
+	if j.MaxPerUpstream == 0 {
 		return most
 	}
 	at := 0
@@ -40,5 +40,5 @@
 			at++
 		}
 	}
-	return min(max(j.MostOnOne-at, 0), most)
+	return min(max(j.MaxPerUpstream-at, 0), most)
 }
--- a/schedule/return.go
+++ b/schedule/return.go
@@ -31,7 +31,7 @@
 		j.left--
 		returned = append(returned, t.index)
 		if past, ran := t.past(); ran {
-			past.Crashed = p.crashes.of(p.ref(j, t))
+			past.Crashes = p.crashes.of(p.ref(j, t))
 			j.past[t.index] = past
 		}
 	}
@@ -44,7 +44,7 @@
 		p.result(j, Completed, returned)
 		return
 	}
-	p.out.Returns = append(p.out.Returns, Result{Key: j.Key, Returned: returned, Past: maps.Clone(j.past), Begun: j.begun})
+	p.out.Returns = append(p.out.Returns, Result{Key: j.Key, Returned: returned, History: maps.Clone(j.past), Begun: j.begun})
 }
 
 // returnUnplaced gives back what was blocked when its job was offered, and would have
--- a/schedule/scenario_test.go
+++ b/schedule/scenario_test.go
@@ -60,16 +60,16 @@
 	case "withdraw":
 		return text(s.pool.Withdraw(s.now, JobKey{"home", first, 0}, "left"))
 	case "ack":
-		return text(s.pool.Started(s.now, s.life(first, arg), runOf(t, arg("run", "")), refusals[arg("refused", "")], errs[arg("error", "")]))
+		return text(s.pool.HandleStartResponse(s.now, s.life(first, arg), runOf(t, arg("run", "")), refusals[arg("refused", "")], errs[arg("error", "")]))
 	case "stopped":
-		return text(s.pool.Stopped(s.now, s.life(first, arg), runOf(t, arg("run", "")), errs[arg("error", "")]))
+		return text(s.pool.HandleStopResponse(s.now, s.life(first, arg), runOf(t, arg("run", "")), errs[arg("error", "")]))
 	case "report":
-		return text(s.pool.Held(s.now, s.life(first, arg), s.now, s.report(t, first, arg), errs[arg("error", "")]))
+		return text(s.pool.HandleHoldResponse(s.now, s.life(first, arg), s.now, s.report(t, first, arg), errs[arg("error", "")]))
 	case "hold":
 		_, o, _ := s.pool.HoldOrder(s.now, first)
 		return fmt.Sprintf("lease %d ms, wait %d ms\n", max(o.LeaseUntilMs-s.clock(), 0), o.WaitMs)
 	case "renew":
-		s.pool.Renew(first, s.now.Add(-duration(t, arg("alive", "0s"))))
+		s.pool.RenewCoordinator(first, s.now.Add(-duration(t, arg("alive", "0s"))))
 		return ""
 	case "wait":
 		s.now = s.now.Add(duration(t, first))
@@ -162,19 +162,19 @@
 	o := Offer{
 		Key: JobKey{arg("from", "home"), id, 0}, Service: "s", Route: "r" + arg("est", "100ms"), Demand: fleet.Demand{MilliCPU: int64(number(t, arg("cpu", "8000")))},
 		Estimate: duration(t, arg("est", "100ms")), Priority: number(t, arg("priority", "0")), MaxAttempts: number(t, arg("attempts", "2")),
-		Stretch: 1.6, Slack: duration(t, arg("slack", "60ms")), Patience: duration(t, arg("patience", "5s")), MayQueue: arg("queue", "") != "", Begun: arg("begun", "") != "",
-		Whole: arg("whole", "") != "", Past: map[int]Past{}, Rack: arg("rack", ""), MostOnOne: number(t, arg("most", "0")),
+		Stretch: 1.6, Slack: duration(t, arg("slack", "60ms")), Timeout: duration(t, arg("patience", "5s")), MayQueue: arg("queue", "") != "", Begun: arg("begun", "") != "",
+		AllOrNothing: arg("whole", "") != "", History: map[int]TaskHistory{}, Rack: arg("rack", ""), MaxPerUpstream: number(t, arg("most", "0")),
 	}
 	if ago := arg("alive", ""); ago != "" {
-		o.Alive = s.now.Add(-duration(t, ago))
+		o.AliveAt = s.now.Add(-duration(t, ago))
 	}
 	for _, part := range strings.FieldsFunc(arg("past", ""), func(c rune) bool { return c == ',' }) {
 		var task int
-		var had Past
-		if n, err := fmt.Sscanf(part, "%d:%d:%d:%d", &task, &had.Number, &had.Failed, &had.Crashed); n < 3 {
+		var had TaskHistory
+		if n, err := fmt.Sscanf(part, "%d:%d:%d:%d", &task, &had.LastRun, &had.FailedRuns, &had.Crashes); n < 3 {
 			t.Fatal(err)
 		}
-		o.Past[task] = had
+		o.History[task] = had
 	}
 	for i := range number(t, arg("tasks", "1")) {
 		o.Tasks = append(o.Tasks, i)
@@ -212,15 +212,15 @@
 func runText(r fleet.Run) string { return fmt.Sprintf("%s.%d#%d", r.Task.Job, r.Task.Index, r.Number) }
 
 // pastText words what returned tasks take along.
-func pastText(past map[int]Past) string {
+func pastText(past map[int]TaskHistory) string {
 	if len(past) == 0 {
 		return ""
 	}
-	words := lo.MapValues(past, func(p Past, _ int) string {
-		if p.Crashed > 0 {
-			return fmt.Sprintf("{%d %d crashed %d}", p.Number, p.Failed, p.Crashed)
+	words := lo.MapValues(past, func(p TaskHistory, _ int) string {
+		if p.Crashes > 0 {
+			return fmt.Sprintf("{%d %d crashed %d}", p.LastRun, p.FailedRuns, p.Crashes)
 		}
-		return fmt.Sprintf("{%d %d}", p.Number, p.Failed)
+		return fmt.Sprintf("{%d %d}", p.LastRun, p.FailedRuns)
 	})
 	return fmt.Sprintf(", past %v", words)
 }
@@ -234,20 +234,20 @@
 	for _, s := range e.Stops {
 		fmt.Fprintf(&b, "stop %s on %s\n", runText(s.Run), s.Upstream.ID)
 	}
-	for _, id := range e.Looks {
+	for _, id := range e.Polls {
 		fmt.Fprintf(&b, "look at %s\n", id)
 	}
 	for _, r := range e.Returns {
-		fmt.Fprintf(&b, "%s returns %v%s\n", r.Key.ID, r.Returned, pastText(r.Past))
+		fmt.Fprintf(&b, "%s returns %v%s\n", r.Key.ID, r.Returned, pastText(r.History))
 	}
 	for _, r := range e.Results {
-		fmt.Fprintf(&b, "%s ends %s: done %v, returned %v, begun %v%s\n", r.Key.ID, r.Outcome, r.Done, r.Returned, r.Begun, pastText(r.Past))
+		fmt.Fprintf(&b, "%s ends %s: done %v, returned %v, begun %v%s\n", r.Key.ID, r.Outcome, r.Done, r.Returned, r.Begun, pastText(r.History))
 	}
 	for _, d := range e.Decisions {
 		switch d.Kind {
 		case DecidedRetry, DecidedStop:
 			fmt.Fprintf(&b, "  because %s.%d: %s\n", d.Job, d.Task, d.Reason)
-		case DecidedDoubt, DecidedTrust, DecidedSilent, DecidedHeard, DecidedGone, DecidedFenced:
+		case DecidedEject, DecidedReadmit, DecidedSilent, DecidedResponding, DecidedGone, DecidedFenced:
 			fmt.Fprintf(&b, "  %s %s: %s\n", [...]string{"", "", "", "", "", "doubts", "trusts", "silent", "heard", "gone", "fenced"}[d.Kind], d.Upstream, d.Reason)
 		}
 	}
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -52,8 +52,8 @@
 // leaseShare is the part of the longest lease that is used at most.
 const leaseShare = 0.7
 
-// ConfigFor fits upstreams that grant leases up to a length.
-func ConfigFor(longest time.Duration) Config {
+// ConfigForMaxLease fits upstreams that grant leases up to a length.
+func ConfigForMaxLease(longest time.Duration) Config {
 	c := DefaultConfig
 	if lease := time.Duration(leaseShare * float64(longest)); lease < c.Lease {
 		c.Report = c.Report * lease / c.Lease
@@ -99,39 +99,39 @@
 	Priority    int           // 0 goes first
 	MaxAttempts int
 	Tasks       []int // indexes within the step
-	// Past holds what became before of those of the tasks that have run already,
+	// History holds what became before of those of the tasks that have run already,
 	// in another pool. None of their runs is at work or can still begin.
-	Past map[int]Past
+	History map[int]TaskHistory
 	// The job should have ended Stretch times its work plus Slack after it was
-	// first sent, which is Age ago. Its customer waits for Patience from now.
-	Stretch  float64
-	Slack    time.Duration
-	Age      time.Duration
-	Patience time.Duration
-	// Alive is when the coordinator was certainly alive, and the customer there, on the
+	// first sent, which is Age ago. Its customer waits for Timeout from now.
+	Stretch float64
+	Slack   time.Duration
+	Age     time.Duration
+	Timeout time.Duration
+	// AliveAt is when the coordinator was certainly alive, and the customer there, on the
 	// clock of whoever holds the offer. Zero is a coordinator that needs no lease: it
 	// lives and dies with the pool.
-	Alive time.Time
+	AliveAt time.Time
 	// Begun is set where other tasks of the job have begun elsewhere.
 	Begun bool
 	// MayQueue lets tasks wait that no upstream has room for now. Others are
 	// returned at once.
 	MayQueue bool
-	// Whole starts all tasks at once or none.
-	Whole bool
-	// Rack is where the data of the tasks is, "" for nowhere, and MostOnOne how many of
+	// AllOrNothing starts all tasks at once or none.
+	AllOrNothing bool
+	// Rack is where the data of the tasks is, "" for nowhere, and MaxPerUpstream how many of
 	// them may be at work on one upstream, 0 for any number.
-	Rack      string
-	MostOnOne int
+	Rack           string
+	MaxPerUpstream int
 }
 
-// Past is what a task that goes from one pool to another takes along: run numbers
+// TaskHistory is what a task that goes from one pool to another takes along: run numbers
 // rise, and a task fails only so often, wherever it runs.
-type Past struct {
-	Number uint32 // of the last run
-	Failed int    // runs that failed
-	// Crashed is how many upstreams have crashed under it.
-	Crashed int
+type TaskHistory struct {
+	LastRun    uint32 // of the last run
+	FailedRuns int    // runs that failed
+	// Crashes is how many upstreams have crashed under it.
+	Crashes int
 }
 
 // Outcome is how a pool's part of a job ended.
@@ -152,20 +152,20 @@
 	Key     JobKey
 	Outcome Outcome
 	Done    []int
-	// Returned are not at work here and never will be; those without a Past never
+	// Returned are not at work here and never will be; those without a TaskHistory never
 	// began.
 	Returned []int
-	Past     map[int]Past // of the tasks that were returned so far
-	Begun    bool         // some task may have begun
+	History  map[int]TaskHistory // of the tasks that were returned so far
+	Begun    bool                // some task may have begun
 }
 
 // Start orders a run on an upstream.
 type Start struct {
 	Upstream fleet.Upstream
 	Order    fleet.StartOrder
-	// Carried is how long the owner's link takes to carry it, behind what was
+	// LinkDelay is how long the owner's link takes to carry it, behind what was
 	// handed to it before.
-	Carried time.Duration
+	LinkDelay time.Duration
 	// SendBy is when the lease that it grants is over: it must not be sent later. The
 	// upstream declines it then, but the next life of the upstream would not.
 	SendBy time.Time
@@ -181,7 +181,7 @@
 type Effects struct {
 	Starts    []Start
 	Stops     []Stop
-	Looks     []string // upstreams whose report is wanted at once
+	Polls     []string // upstreams whose report is wanted at once
 	Returns   []Result // tasks that go elsewhere; the offer goes on
 	Results   []Result
 	Decisions []Decision
@@ -193,15 +193,15 @@
 	Job  string
 	// Coordinator is whose offer it is about; two of one job mean that its customer has
 	// sent it twice.
-	Coordinator string
-	Task        int
-	Run         uint32
-	Upstream    string
-	Reason      string
-	Room        int64 // thousandths of a core left on the upstream
-	Queued      int   // tasks that wait in the pool
-	Age         time.Duration
-	Late        bool // a result comes after the job's objective
+	Coordinator  string
+	Task         int
+	Run          uint32
+	Upstream     string
+	Reason       string
+	FreeMilliCPU int64 // thousandths of a core left on the upstream
+	Queued       int   // tasks that wait in the pool
+	Age          time.Duration
+	Late         bool // a result comes after the job's objective
 }
 
 // DecisionKind is what a decision was about.
@@ -214,10 +214,10 @@
 	DecidedStop
 	DecidedReturn
 	DecidedResult
-	DecidedDoubt
-	DecidedTrust
+	DecidedEject
+	DecidedReadmit
 	DecidedSilent
-	DecidedHeard
+	DecidedResponding
 	DecidedGone
 	DecidedFenced
 	DecidedSuspect
@@ -275,8 +275,8 @@
 }
 
 // past returns what a task has behind it, and whether it has run.
-func (t *task) past() (Past, bool) {
-	return Past{Number: t.number, Failed: t.attempts}, t.number > 0
+func (t *task) past() (TaskHistory, bool) {
+	return TaskHistory{LastRun: t.number, FailedRuns: t.attempts}, t.number > 0
 }
 
 type job struct {
@@ -289,9 +289,9 @@
 	left    int // tasks that have not ended
 	blocked int // tasks that are
 	begun   bool
-	failed  map[string]bool // upstreams where a task of it failed
-	blamed  *upstream       // for the first of them; nil once it failed elsewhere too
-	past    map[int]Past    // of tasks that were returned after runs of theirs
+	failed  map[string]bool     // upstreams where a task of it failed
+	blamed  *upstream           // for the first of them; nil once it failed elsewhere too
+	past    map[int]TaskHistory // of tasks that were returned after runs of theirs
 	done    []int
 }
 
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -34,7 +34,7 @@
 			p.sendStop(r)
 		case r.state == stopped && p.now.Sub(r.looked) >= p.repeatPause() && !u.silent:
 			r.looked = p.now
-			p.out.Looks = append(p.out.Looks, u.ID)
+			p.out.Polls = append(p.out.Polls, u.ID)
 		case r.state == running:
 			p.lookIfOverdue(r)
 			p.checkProgress(r)
@@ -72,7 +72,7 @@
 		return
 	}
 	r.looked = p.now
-	p.out.Looks = append(p.out.Looks, u.ID)
+	p.out.Polls = append(p.out.Polls, u.ID)
 }
 
 // expire gives up a job that cannot end while that is of use, because tasks of
--- a/schedule/world_test.go
+++ b/schedule/world_test.go
@@ -74,7 +74,7 @@
 	w.inFlight[u.Core] = append(w.inFlight[u.Core], s.Order)
 	u.CallStart(s.Order, simStartTimeout, func(refusal fleet.Refusal, err error) {
 		w.ifCurrent(epoch, func(p *Pool, now time.Time) Effects {
-			return p.Started(now, s.Upstream.Life(), run, refusal, err)
+			return p.HandleStartResponse(now, s.Upstream.Life(), run, refusal, err)
 		})
 	})
 }
@@ -105,7 +105,7 @@
 func (w *world) stop(s Stop) {
 	epoch := w.epoch
 	w.find(s.Upstream.ID).CallStop(s.Run, w.pool.Token(), simTimeout, func(err error) {
-		w.ifCurrent(epoch, func(p *Pool, now time.Time) Effects { return p.Stopped(now, s.Upstream.Life(), s.Run, err) })
+		w.ifCurrent(epoch, func(p *Pool, now time.Time) Effects { return p.HandleStopResponse(now, s.Upstream.Life(), s.Run, err) })
 	})
 }
 
@@ -116,7 +116,7 @@
 		if epoch != w.epoch {
 			return
 		}
-		w.apply(w.pool.Held(w.Now(), to.Life(), sent, report, err))
+		w.apply(w.pool.HandleHoldResponse(w.Now(), to.Life(), sent, report, err))
 		then(err == nil)
 	})
 }
