--- a/cli/pages_test.go
+++ b/cli/pages_test.go
@@ -99,8 +99,8 @@
 		t.Fatal(err)
 	}
 	upstream, err := standin.NewUpstream(standin.UpstreamConfig{
-		ID: "u", Service: "desk", Zone: "a", Address: "127.0.0.1:0", Capacity: fleet.Demand{MilliCPU: 16000, MemoryMB: 1000},
-		Takes: standin.TakesOf, Demand: func(string) fleet.Demand { return fleet.Demand{MilliCPU: 1000} },
+		ID: "u", Service: "desk", Zone: "a", Address: "127.0.0.1:0", Capacity: fleet.Resources{MilliCPU: 16000, MemoryMB: 1000},
+		Takes: standin.TakesOf, Demand: func(string) fleet.Resources { return fleet.Resources{MilliCPU: 1000} },
 	}, store, standin.NewLedger())
 	if err != nil {
 		t.Fatal(err)
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -20,8 +20,8 @@
 
 // Reading is what a machine's clocks show, each since a moment of its own.
 type Reading struct {
-	Steady time.Duration // stands while the machine is suspended
-	Day    time.Duration // the time of day, which may step
+	Monotonic time.Duration // stands while the machine is suspended
+	Wall      time.Duration // the time of day, which may step
 }
 
 // Clock is a steady clock that counts suspended time. It is safe for concurrent use.
@@ -51,15 +51,15 @@
 // times of day.
 func (c *Clock) Now() time.Time {
 	r := c.read()
-	return c.began.Add(r.Steady - c.first.Steady + c.suspendedAt(r))
+	return c.began.Add(r.Monotonic - c.first.Monotonic + c.suspendedAt(r))
 }
 
 // suspendedAt returns for how long the machine was suspended until a reading.
 func (c *Clock) suspendedAt(r Reading) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	passed := r.Steady - c.asked.Steady
-	drift := r.Day - c.asked.Day - passed
+	passed := r.Monotonic - c.asked.Monotonic
+	drift := r.Wall - c.asked.Wall - passed
 	if drift.Abs() > mostDrift || passed > askEvery {
 		c.asked = r
 		c.ask()
@@ -76,7 +76,7 @@
 	}
 	// The steady clock is read last: what passes between the two readings counts for
 	// neither.
-	steady := c.read().Steady - c.first.Steady
+	steady := c.read().Monotonic - c.first.Monotonic
 	c.suspended = max(c.suspended, boot-c.bootAt-steady)
 }
 
@@ -102,7 +102,7 @@
 	began := time.Now()
 	return New(began, func() Reading {
 		now := time.Now()
-		return Reading{Steady: now.Sub(began), Day: now.Round(0).Sub(began.Round(0))}
+		return Reading{Monotonic: now.Sub(began), Wall: now.Round(0).Sub(began.Round(0))}
 	}, sinceBoot)
 }
 
@@ -118,5 +118,5 @@
 // Suspended returns for how long this machine was suspended since the process began.
 func Suspended() time.Duration { return System.Suspended() }
 
-// TimeOfDay returns the time of day, which may step and differs between machines.
-func TimeOfDay() time.Time { return time.Now() }
+// WallClock returns the time of day, which may step and differs between machines.
+func WallClock() time.Time { return time.Now() }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -20,32 +20,32 @@
 type Entry struct {
 	ID       string
 	Upstream fleet.Upstream
-	// Gone is set where the entry was removed, Refused where it cannot be read:
+	// Deleted is set where the entry was removed, Invalid where it cannot be read:
 	// somebody else wrote it. It then names no upstream to use.
-	Gone    bool
-	Refused bool
+	Deleted bool
+	Invalid bool
 }
 
 // Directory is one such place. Use New.
 type Directory struct {
 	mu          sync.Mutex // guards what follows
 	upstreams   map[string]fleet.Upstream
-	listed      bool                     // the upstreams have been read
-	drainedAt   map[fleet.Life]time.Time // when an upstream was first known to drain
-	resizedAt   map[fleet.Life]time.Time // when the capacity of an upstream was first known to have changed
-	tellsBirths bool                     // some entry has told when its upstream was born
-	services    map[string]bool          // that the configuration names; nil before there is one
+	listed      bool                                    // the upstreams have been read
+	drainedAt   map[fleet.UpstreamIncarnation]time.Time // when an upstream was first known to drain
+	resizedAt   map[fleet.UpstreamIncarnation]time.Time // when the capacity of an upstream was first known to have changed
+	tellsBirths bool                                    // some entry has told when its upstream was born
+	services    map[string]bool                         // that the configuration names; nil before there is one
 	zones       zones
 }
 
 // New returns a directory that knows nothing.
 func New() *Directory {
-	return &Directory{upstreams: map[string]fleet.Upstream{}, drainedAt: map[fleet.Life]time.Time{}, resizedAt: map[fleet.Life]time.Time{}, zones: zones{rows: map[string]zoneRow{}}}
+	return &Directory{upstreams: map[string]fleet.Upstream{}, drainedAt: map[fleet.UpstreamIncarnation]time.Time{}, resizedAt: map[fleet.UpstreamIncarnation]time.Time{}, zones: zones{rows: map[string]zoneRow{}}}
 }
 
 // Replace takes the whole list of upstreams. It returns those that are newly known to
 // drain.
-func (d *Directory) Replace(now time.Time, entries []Entry) (draining []fleet.Life) {
+func (d *Directory) Replace(now time.Time, entries []Entry) (draining []fleet.UpstreamIncarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.upstreams
@@ -61,24 +61,24 @@
 
 // Update takes the entries that have changed. It returns those that are newly known to
 // drain.
-func (d *Directory) Update(now time.Time, entries []Entry) (draining []fleet.Life) {
+func (d *Directory) Update(now time.Time, entries []Entry) (draining []fleet.UpstreamIncarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.take(now, entries)
 }
 
 // take is Update. The lock is held.
-func (d *Directory) take(now time.Time, entries []Entry) (draining []fleet.Life) {
+func (d *Directory) take(now time.Time, entries []Entry) (draining []fleet.UpstreamIncarnation) {
 	for _, e := range entries {
 		switch {
-		case e.Gone:
-			d.forget(d.upstreams[e.ID].Life())
+		case e.Deleted:
+			d.forget(d.upstreams[e.ID].Incarnation())
 			delete(d.upstreams, e.ID)
-		case e.Refused:
+		case e.Invalid:
 			d.close(e.ID)
 		case d.enter(now, e.Upstream):
-			if e.Upstream.Draining && d.drains(now, e.Upstream.Life()) {
-				draining = append(draining, e.Upstream.Life())
+			if e.Upstream.Draining && d.drains(now, e.Upstream.Incarnation()) {
+				draining = append(draining, e.Upstream.Incarnation())
 			}
 		}
 	}
@@ -90,17 +90,17 @@
 func (d *Directory) enter(now time.Time, u fleet.Upstream) bool {
 	known := d.upstreams[u.ID]
 	switch {
-	case u.Born < known.Born:
+	case u.StartedUnixMs < known.StartedUnixMs:
 		return false
-	case u.Born > known.Born:
-		d.forget(known.Life())
-		u.Largest = u.Capacity
+	case u.StartedUnixMs > known.StartedUnixMs:
+		d.forget(known.Incarnation())
+		u.LargestCapacity = u.Capacity
 	case u.Sequence < known.Sequence:
 		return false
 	default:
-		u.Largest = u.Capacity.Max(known.Largest)
+		u.LargestCapacity = u.Capacity.Max(known.LargestCapacity)
 		if known.ID != "" && u.Capacity != known.Capacity {
-			d.resizedAt[u.Life()] = now
+			d.resizedAt[u.Incarnation()] = now
 		}
 	}
 	d.upstreams[u.ID] = u
@@ -108,17 +108,17 @@
 }
 
 // forget drops what was known of a life beside its entry. The lock is held.
-func (d *Directory) forget(life fleet.Life) {
+func (d *Directory) forget(life fleet.UpstreamIncarnation) {
 	delete(d.drainedAt, life)
 	delete(d.resizedAt, life)
 }
 
-// TellsBirths notes whether some of the entries tell when their upstreams were born, and
+// RecordStartTimes notes whether some of the entries tell when their upstreams were born, and
 // reports whether any ever did: on such a platform each entry of an upstream does.
-func (d *Directory) TellsBirths(entries []Entry) bool {
+func (d *Directory) RecordStartTimes(entries []Entry) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tellsBirths = d.tellsBirths || slices.ContainsFunc(entries, func(e Entry) bool { return e.Upstream.Born > 0 })
+	d.tellsBirths = d.tellsBirths || slices.ContainsFunc(entries, func(e Entry) bool { return e.Upstream.StartedUnixMs > 0 })
 	return d.tellsBirths
 }
 
@@ -134,7 +134,7 @@
 
 // drains notes that an upstream is leaving, and reports whether that is news. The lock
 // is held.
-func (d *Directory) drains(now time.Time, life fleet.Life) bool {
+func (d *Directory) drains(now time.Time, life fleet.UpstreamIncarnation) bool {
 	if _, known := d.drainedAt[life]; known {
 		return false
 	}
@@ -142,33 +142,33 @@
 	return true
 }
 
-// TakeList takes what a peer has read of upstreams, as far as it is newer than what is known
+// Merge takes what a peer has read of upstreams, as far as it is newer than what is known
 // here. They count as listed then. It returns those that are newly known to drain.
-func (d *Directory) TakeList(now time.Time, list []fleet.Upstream) (draining []fleet.Life) {
+func (d *Directory) Merge(now time.Time, list []fleet.Upstream) (draining []fleet.UpstreamIncarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listed = true
 	return d.take(now, lo.Map(list, func(u fleet.Upstream, _ int) Entry { return Entry{ID: u.ID, Upstream: u} }))
 }
 
-// Drains notes what a peer says: that upstreams are leaving. It returns those of
+// MarkDraining notes what a peer says: that upstreams are leaving. It returns those of
 // which that is news. They stay so for the rest of their lives.
-func (d *Directory) Drains(now time.Time, lives []fleet.Life) []fleet.Life {
+func (d *Directory) MarkDraining(now time.Time, lives []fleet.UpstreamIncarnation) []fleet.UpstreamIncarnation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return lo.Filter(lives, func(life fleet.Life, _ int) bool { return d.drains(now, life) })
+	return lo.Filter(lives, func(life fleet.UpstreamIncarnation, _ int) bool { return d.drains(now, life) })
 }
 
-// DrainsSince returns the upstreams that were first known to drain after a moment.
-func (d *Directory) DrainsSince(since time.Time) []fleet.Life {
+// DrainingSince returns the upstreams that were first known to drain after a moment.
+func (d *Directory) DrainingSince(since time.Time) []fleet.UpstreamIncarnation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	recent := maps.Keys(lo.PickBy(d.drainedAt, func(_ fleet.Life, at time.Time) bool { return at.After(since) }))
-	return slices.SortedFunc(recent, fleet.CompareLives)
+	recent := maps.Keys(lo.PickBy(d.drainedAt, func(_ fleet.UpstreamIncarnation, at time.Time) bool { return at.After(since) }))
+	return slices.SortedFunc(recent, fleet.CompareIncarnations)
 }
 
-// Unlist notes that the list is not followed any more.
-func (d *Directory) Unlist() {
+// MarkUnsynced notes that the list is not followed any more.
+func (d *Directory) MarkUnsynced() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listed = false
@@ -194,15 +194,15 @@
 	return d.listed && d.zones.asOf > 0
 }
 
-// Listed reports whether the upstreams have been read.
-func (d *Directory) Listed() bool {
+// Synced reports whether the upstreams have been read.
+func (d *Directory) Synced() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listed
 }
 
-// Count returns how many upstreams an availability zone has.
-func (d *Directory) Count(zone string) int {
+// CountInZone returns how many upstreams an availability zone has.
+func (d *Directory) CountInZone(zone string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return lo.CountBy(slices.Collect(maps.Values(d.upstreams)), func(u fleet.Upstream) bool { return u.Zone == zone })
@@ -216,9 +216,9 @@
 	return d.marked(u), known
 }
 
-// Known returns the upstreams that a caller chooses as the list told them, but for those
+// ListForPeer returns the upstreams that a caller chooses as the list told them, but for those
 // whose entry cannot be read, by id. Draining tells what is known from all sides.
-func (d *Directory) Known(chosen func(fleet.Upstream) bool) []fleet.Upstream {
+func (d *Directory) ListForPeer(chosen func(fleet.Upstream) bool) []fleet.Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.pick(func(u fleet.Upstream) bool { return !u.Closed && chosen(u) }, d.drained)
@@ -247,7 +247,7 @@
 // drained returns an upstream with what is known of its drain from all sides. The lock is
 // held.
 func (d *Directory) drained(u fleet.Upstream) fleet.Upstream {
-	_, draining := d.drainedAt[u.Life()]
+	_, draining := d.drainedAt[u.Incarnation()]
 	u.Draining = u.Draining || draining
 	return u
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -36,20 +36,20 @@
 		do   func()
 		open []string
 	}{
-		{"the list is read", func() { d.Replace(now, []Entry{entry("u1", "a"), entry("u2", "b"), {ID: "x", Refused: true}}) }, []string{"u1", "u2"}},
+		{"the list is read", func() { d.Replace(now, []Entry{entry("u1", "a"), entry("u2", "b"), {ID: "x", Invalid: true}}) }, []string{"u1", "u2"}},
 		{"another comes", func() { d.Update(now, []Entry{entry("u3", "b")}) }, []string{"u1", "u2", "u3"}},
-		{"one is overwritten", func() { d.Update(now, []Entry{{ID: "u3", Refused: true}}) }, []string{"u1", "u2"}},
+		{"one is overwritten", func() { d.Update(now, []Entry{{ID: "u3", Invalid: true}}) }, []string{"u1", "u2"}},
 		{"all are read again", func() {
-			d.Replace(now, []Entry{entry("u1", "a"), entry("u2", "b"), {ID: "u3", Refused: true}})
+			d.Replace(now, []Entry{entry("u1", "a"), entry("u2", "b"), {ID: "u3", Invalid: true}})
 		}, []string{"u1", "u2"}},
 		{"it is written again", func() { d.Update(now, []Entry{entry("u3", "b")}) }, []string{"u1", "u2", "u3"}},
-		{"a peer says that one drains", func() { d.Drains(now, []fleet.Life{{ID: "u2"}}) }, []string{"u1", "u3"}},
+		{"a peer says that one drains", func() { d.MarkDraining(now, []fleet.UpstreamIncarnation{{ID: "u2"}}) }, []string{"u1", "u3"}},
 		{"its entry has not changed", func() { d.Update(now, []Entry{entry("u2", "b")}) }, []string{"u1", "u3"}},
 		{"a zone is evacuated", func() { d.UpdateZones([]ZoneState{{"b", true, 10}}) }, []string{"u1"}},
 		{"the service is not configured", func() { d.SetServices([]string{"other"}) }, []string{}},
 		{"it is again", func() { d.SetServices([]string{"s", "other"}) }, []string{"u1"}},
 		{"the zone is taken back", func() { d.UpdateZones([]ZoneState{{"b", false, 11}}) }, []string{"u1", "u3"}},
-		{"one is gone", func() { d.Update(now, []Entry{{ID: "u1", Gone: true}}) }, []string{"u3"}},
+		{"one is gone", func() { d.Update(now, []Entry{{ID: "u1", Deleted: true}}) }, []string{"u3"}},
 	} {
 		step.do()
 		if got := open(d); !slices.Equal(got, step.open) {
@@ -72,7 +72,7 @@
 	if d.ReplaceZones(7, nil); !d.Ready() {
 		t.Error("not ready")
 	}
-	if d.Unlist(); d.Ready() {
+	if d.MarkUnsynced(); d.Ready() {
 		t.Error("ready though the list is not followed any more")
 	}
 }
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -14,9 +14,9 @@
 	now := time.Unix(1000, 0)
 	d := New()
 	life := func(born, sequence int64, draining bool) []Entry {
-		return []Entry{{ID: "u", Upstream: fleet.Upstream{ID: "u", Service: "s", Zone: "a", Born: born, Sequence: sequence, Draining: draining}}}
+		return []Entry{{ID: "u", Upstream: fleet.Upstream{ID: "u", Service: "s", Zone: "a", StartedUnixMs: born, Sequence: sequence, Draining: draining}}}
 	}
-	drains := func(born int64) { d.Drains(now, []fleet.Life{{ID: "u", Born: born}}) }
+	drains := func(born int64) { d.MarkDraining(now, []fleet.UpstreamIncarnation{{ID: "u", StartedUnixMs: born}}) }
 	for _, step := range []struct {
 		what string
 		do   func()
@@ -33,7 +33,7 @@
 		{"the next life is listed", func() { d.Update(now, life(12, 3, false)) }, false},
 		{"a later one is", func() { d.Replace(now, life(15, 1, false)) }, true},
 		{"its entry goes and comes back", func() {
-			d.Update(now, []Entry{{ID: "u", Gone: true}})
+			d.Update(now, []Entry{{ID: "u", Deleted: true}})
 			d.Update(now, life(15, 2, false))
 		}, true},
 	} {
@@ -53,9 +53,9 @@
 	}{
 		{5, 1, 8000, 8000}, {5, 2, 3000, 8000}, {5, 1, 9000, 8000}, {5, 3, 9000, 9000}, {7, 1, 2000, 2000},
 	} {
-		capacity := fleet.Demand{MilliCPU: step.cpu}
-		d.Update(time.Unix(1000, 0), []Entry{{ID: "u", Upstream: fleet.Upstream{ID: "u", Born: step.born, Sequence: step.sequence, Capacity: capacity}}})
-		if u, _ := d.Lookup("u"); u.Largest.MilliCPU != step.largest {
+		capacity := fleet.Resources{MilliCPU: step.cpu}
+		d.Update(time.Unix(1000, 0), []Entry{{ID: "u", Upstream: fleet.Upstream{ID: "u", StartedUnixMs: step.born, Sequence: step.sequence, Capacity: capacity}}})
+		if u, _ := d.Lookup("u"); u.LargestCapacity.MilliCPU != step.largest {
 			t.Errorf("step %d: %+v, want %d at most", i, u, step.largest)
 		}
 	}
@@ -66,34 +66,34 @@
 func TestRooms(t *testing.T) {
 	now := time.Unix(1000, 0)
 	entry := func(sequence, cpu int64) []Entry {
-		return []Entry{{ID: "u", Upstream: fleet.Upstream{ID: "u", Born: 5, Sequence: sequence, Capacity: fleet.Demand{MilliCPU: cpu}}}}
+		return []Entry{{ID: "u", Upstream: fleet.Upstream{ID: "u", StartedUnixMs: 5, Sequence: sequence, Capacity: fleet.Resources{MilliCPU: cpu}}}}
 	}
 	reads, hears := New(), New()
 	reads.Replace(now, entry(1, 8000))
 	hears.Replace(now, entry(1, 8000))
-	if told := reads.RoomsSince(time.Time{}); len(told) > 0 {
+	if told := reads.CapacityReportsSince(time.Time{}); len(told) > 0 {
 		t.Errorf("%v is told before anything has changed", told)
 	}
 	reads.Update(now, entry(2, 3000))
-	shrunk := reads.RoomsSince(now.Add(-time.Second))
+	shrunk := reads.CapacityReportsSince(now.Add(-time.Second))
 	reads.Update(now, entry(3, 6000))
-	grown := reads.RoomsSince(now.Add(-time.Second))
+	grown := reads.CapacityReportsSince(now.Add(-time.Second))
 	for _, step := range []struct {
 		what  string
-		rooms []Room
+		rooms []CapacityReport
 		news  bool
 		cpu   int64
 	}{
 		{"it shrinks", shrunk, true, 3000}, {"again", shrunk, false, 3000}, {"it grows", grown, true, 6000}, {"late", shrunk, false, 6000},
-		{"another life", []Room{{Life: fleet.Life{ID: "u", Born: 6}, Sequence: 9, Capacity: fleet.Demand{MilliCPU: 1}}}, false, 6000},
-		{"an unknown one", []Room{{Life: fleet.Life{ID: "x", Born: 6}, Sequence: 9}}, false, 6000},
+		{"another life", []CapacityReport{{Incarnation: fleet.UpstreamIncarnation{ID: "u", StartedUnixMs: 6}, Sequence: 9, Capacity: fleet.Resources{MilliCPU: 1}}}, false, 6000},
+		{"an unknown one", []CapacityReport{{Incarnation: fleet.UpstreamIncarnation{ID: "x", StartedUnixMs: 6}, Sequence: 9}}, false, 6000},
 	} {
-		news := hears.TakeRooms(now, step.rooms)
-		if u, _ := hears.Lookup("u"); news != step.news || u.Capacity.MilliCPU != step.cpu || u.Largest.MilliCPU != 8000 {
+		news := hears.ApplyCapacityReports(now, step.rooms)
+		if u, _ := hears.Lookup("u"); news != step.news || u.Capacity.MilliCPU != step.cpu || u.LargestCapacity.MilliCPU != 8000 {
 			t.Errorf("%s: news %v, %+v", step.what, news, u)
 		}
 	}
-	if told := reads.RoomsSince(now); len(told) > 0 {
+	if told := reads.CapacityReportsSince(now); len(told) > 0 {
 		t.Errorf("%v is told for ever", told)
 	}
 }
--- a/dispatch/brokers.go
+++ b/dispatch/brokers.go
@@ -180,7 +180,7 @@
 		return
 	}
 	if err := b.d.peers.Post(home, &inner.Frame{Body: &inner.Frame_SlotGrant{SlotGrant: m}}); err != nil {
-		b.d.cfg.Metrics.Waste("slot_grant")
+		b.d.cfg.Metrics.CountWasted("slot_grant")
 	}
 }
 
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -183,7 +183,7 @@
 			continue
 		}
 		if p.broker != s.d.cfg.Self {
-			s.d.cfg.Metrics.Waste("slot_withdraw")
+			s.d.cfg.Metrics.CountWasted("slot_withdraw")
 		}
 		s.post(p, &inner.Frame{Body: &inner.Frame_SlotWithdraw{SlotWithdraw: &inner.SlotWithdraw{Pool: pool, Tickets: tickets}}})
 	}
--- a/dispatch/starter.go
+++ b/dispatch/starter.go
@@ -41,15 +41,15 @@
 	usage := placement.Usage{Upstream: o.Upstream, Needs: needsOf(task), Service: o.job.Service, Count: 1}
 	switch {
 	case failure.Is(err, failure.Unreachable):
-		l.d.cfg.Metrics.Waste("start")
+		l.d.cfg.Metrics.CountWasted("start")
 		usage.Failed = 1
 		usage.HoldMs = holdUnreachable.Milliseconds()
 		l.notStarted(o, usage)
 	case err != nil || reply.Refusal == api.RefusedDuplicate:
 		l.settle(o, usage)
 	case reply.State == api.LeaseRefused:
-		l.d.cfg.Metrics.Waste("start")
-		l.d.cfg.Metrics.Waste("refusal")
+		l.d.cfg.Metrics.CountWasted("start")
+		l.d.cfg.Metrics.CountWasted("refusal")
 		l.rejected(o, usage, reply.Refusal)
 	default:
 		usage.RunMs = float64(time.Since(began).Microseconds()) / 1000
@@ -65,7 +65,7 @@
 	if l.d.upstreams.isLeaving(o.Upstream) {
 		return upstream.Reply{State: api.LeaseRefused, Refusal: api.RefusedLeaving}, nil
 	}
-	l.d.cfg.Metrics.Sent("start")
+	l.d.cfg.Metrics.CountSent("start")
 	length := l.d.cfg.Lease + time.Duration(task.RunMs)*time.Millisecond
 	lease := o.Lease.String()
 	renewal := l.d.renewing(client, lease, length)
@@ -76,7 +76,7 @@
 		Patience: patience + time.Duration(task.RunMs)*time.Millisecond,
 	})
 	if err == nil {
-		l.d.cfg.Metrics.Sent("result")
+		l.d.cfg.Metrics.CountSent("result")
 	}
 	return reply, err
 }
@@ -95,7 +95,7 @@
 		if r.over.Load() {
 			return
 		}
-		d.cfg.Metrics.Sent("renew")
+		d.cfg.Metrics.CountSent("renew")
 		_, _ = client.Renew(lease, length.Milliseconds())
 		r.timer.Reset(every)
 	})
@@ -136,7 +136,7 @@
 func (l *homeLog) ended(o order, u placement.Usage, outcome fate.Outcome) {
 	l.d.slots.giveBack(u)
 	if !l.finish(o.Lease, outcome) {
-		l.d.cfg.Metrics.Waste("result")
+		l.d.cfg.Metrics.CountWasted("result")
 	}
 }
 
@@ -239,16 +239,16 @@
 	if client == nil {
 		return api.LeaseInfo{}, failure.Unreachable.New("upstream %s is not known", upstreamID)
 	}
-	d.cfg.Metrics.Sent("lookup")
+	d.cfg.Metrics.CountSent("lookup")
 	info, err := client.Lookup(lease, lookupWait)
 	if _, known := concluded(&info); err != nil || !known {
-		d.cfg.Metrics.Waste("lookup")
+		d.cfg.Metrics.CountWasted("lookup")
 	}
 	if err != nil || info.State != api.LeaseNeverSeen {
 		return info, err
 	}
-	d.cfg.Metrics.Sent("stop")
-	d.cfg.Metrics.Waste("stop")
+	d.cfg.Metrics.CountSent("stop")
+	d.cfg.Metrics.CountWasted("stop")
 	infos, err := client.Stop(lease)
 	if err != nil {
 		return api.LeaseInfo{}, err
@@ -277,8 +277,8 @@
 		if client == nil {
 			continue
 		}
-		d.cfg.Metrics.Sent("stop")
-		d.cfg.Metrics.Waste("stop")
+		d.cfg.Metrics.CountSent("stop")
+		d.cfg.Metrics.CountWasted("stop")
 		leases := lo.Map(group, func(s fate.Start, _ int) string { return s.Lease.String() })
 		go func() { _, _ = client.Stop(leases...) }()
 	}
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -42,7 +42,7 @@
 	}
 	if c.Attempt > 1 {
 		d.cfg.Metrics.Add("resubmissions", 1)
-		d.cfg.Metrics.Waste("resubmission")
+		d.cfg.Metrics.CountWasted("resubmission")
 	}
 	if log.Home == d.cfg.Self {
 		return d.atHome(ctx, log, c)
--- a/entry/http.go
+++ b/entry/http.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	n.metrics.Sent("session")
+	n.metrics.CountSent("session")
 	return c.JSON(api.SessionOpened{Session: session, ExpiresInMs: life.Milliseconds(), Entry: n.cfg.Instance})
 }
 
@@ -115,7 +115,7 @@
 	if err := s.Check(); err != nil {
 		return err
 	}
-	n.metrics.Sent("submit")
+	n.metrics.CountSent("submit")
 	if err := n.needSettings(); err != nil {
 		return err
 	}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return err
 	}
-	n.metrics.Sent("answer")
+	n.metrics.CountSent("answer")
 	return sendAnswer(c, &r)
 }
 
@@ -205,7 +205,7 @@
 	if err != nil || wait > api.MaxDeadlineMs {
 		return failure.Field(failure.InvalidInput, "wait_ms", "is a number from 0 to %d", api.MaxDeadlineMs)
 	}
-	n.metrics.Sent("poll")
+	n.metrics.CountSent("poll")
 	r, err := n.dispatch.Submit(n.stop, dispatch.Call{Key: key, Wait: time.Duration(wait) * time.Millisecond})
 	if err != nil {
 		return err
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	n.metrics.Sent("cancel")
+	n.metrics.CountSent("cancel")
 	r, err := n.dispatch.Cancel(n.stop, key)
 	if err != nil {
 		return err
@@ -238,8 +238,8 @@
 	for _, p := range n.Peers() {
 		list = append(list, api.InstanceStatus{
 			Instance: p.Instance, Incarnation: string(p.Incarnation), Zone: p.Zone, Role: api.RoleEntry,
-			State: string(p.State), ActiveJobs: p.Load.ActiveJobs, Revision: p.Load.Revision,
-			FreeSlots: p.Load.Free, QueuedTasks: p.Load.Queued,
+			State: string(p.State), ActiveJobs: p.Heartbeat.ActiveJobs, Revision: p.Heartbeat.Revision,
+			FreeSlots: p.Heartbeat.Free, QueuedTasks: p.Heartbeat.Queued,
 		})
 	}
 	return c.JSON(list)
--- a/entry/node.go
+++ b/entry/node.go
@@ -105,7 +105,7 @@
 
 func newPlatform(i do.Injector) (*kv.Client, error) {
 	counters := do.MustInvoke[*metrics.Set](i)
-	return kv.NewClient(do.MustInvoke[Config](i).Platform, do.MustInvoke[Hooks](i).DialPlatform, counters.Sent), nil
+	return kv.NewClient(do.MustInvoke[Config](i).Platform, do.MustInvoke[Hooks](i).DialPlatform, counters.CountSent), nil
 }
 
 func newNode(i do.Injector) (*Node, error) {
@@ -130,7 +130,7 @@
 	n.mesh = inner.NewMesh(inner.Config{
 		Fleet: cfg.Fleet, Self: n.self, Region: cfg.Region, Zone: cfg.Zone, Rack: cfg.Rack,
 		Address: n.inner.Addr().String(), Directory: n, Handler: n, Met: n.met,
-		Dial: hooks.DialInner, Count: n.metrics.Sent,
+		Dial: hooks.DialInner, Count: n.metrics.CountSent,
 	})
 	n.dispatch = dispatch.New(n.dispatchConfig(hooks), n.mesh)
 	n.app = n.newApp()
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -28,7 +28,7 @@
 	who := fate.Incarnation(h.GetIncarnation())
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.table.Met(membership.Listing{
+	n.table.ApplyHello(membership.Listing{
 		Instance: who.Instance(), Address: h.GetAddress(), Region: h.GetRegion(), Zone: h.GetZone(), Rack: h.GetRack(),
 	})
 }
@@ -47,12 +47,12 @@
 }
 
 func (n *Node) heard(from fate.Incarnation, hb *inner.Heartbeat) {
-	load := membership.Load{
+	load := membership.Heartbeat{
 		Leaving: hb.GetLeaving(), ActiveJobs: hb.GetActiveJobs(), Revision: hb.GetSettingsRevision(),
 		Free: hb.GetFreeSlots(), Queued: hb.GetQueuedTasks(),
 	}
 	n.mu.Lock()
-	changes := n.table.Heard(from, load, time.Now().UnixMilli())
+	changes := n.table.RecordHeartbeat(from, load, time.Now().UnixMilli())
 	n.mu.Unlock()
 	n.changed(changes)
 	if load.Revision > n.Revision() || !n.settings.Load().known {
@@ -207,7 +207,7 @@
 		return
 	}
 	n.mu.Lock()
-	changes := n.table.Ended(p.Incarnation)
+	changes := n.table.MarkEnded(p.Incarnation)
 	n.mu.Unlock()
 	n.changed(changes)
 }
--- a/experiment/cluster.go
+++ b/experiment/cluster.go
@@ -330,7 +330,7 @@
 	c.mu.Unlock()
 	sent, wasted = map[string]int64{}, map[string]int64{}
 	for _, n := range nodes {
-		n.Metrics().AddTo(sent, wasted)
+		n.Metrics().AddMessagesTo(sent, wasted)
 	}
 	return sent, wasted
 }
--- a/fleet/job.go
+++ b/fleet/job.go
@@ -5,30 +5,30 @@
 
 import "time"
 
-// Demand is what a task takes of an upstream, and what an upstream has.
-type Demand struct {
+// Resources is what a task takes of an upstream, and what an upstream has.
+type Resources struct {
 	MilliCPU int64 // thousandths of a core
 	MemoryMB int64
 	GPUs     int64
 }
 
 // Plus returns the sum of two demands.
-func (d Demand) Plus(o Demand) Demand {
-	return Demand{d.MilliCPU + o.MilliCPU, d.MemoryMB + o.MemoryMB, d.GPUs + o.GPUs}
+func (d Resources) Plus(o Resources) Resources {
+	return Resources{d.MilliCPU + o.MilliCPU, d.MemoryMB + o.MemoryMB, d.GPUs + o.GPUs}
 }
 
 // Minus returns what is left of d without o.
-func (d Demand) Minus(o Demand) Demand {
-	return Demand{d.MilliCPU - o.MilliCPU, d.MemoryMB - o.MemoryMB, d.GPUs - o.GPUs}
+func (d Resources) Minus(o Resources) Resources {
+	return Resources{d.MilliCPU - o.MilliCPU, d.MemoryMB - o.MemoryMB, d.GPUs - o.GPUs}
 }
 
 // Max returns the larger of two demands in each respect.
-func (d Demand) Max(o Demand) Demand {
-	return Demand{max(d.MilliCPU, o.MilliCPU), max(d.MemoryMB, o.MemoryMB), max(d.GPUs, o.GPUs)}
+func (d Resources) Max(o Resources) Resources {
+	return Resources{max(d.MilliCPU, o.MilliCPU), max(d.MemoryMB, o.MemoryMB), max(d.GPUs, o.GPUs)}
 }
 
 // Within reports whether d fits into room.
-func (d Demand) Within(room Demand) bool {
+func (d Resources) Within(room Resources) bool {
 	return d.MilliCPU <= room.MilliCPU && d.MemoryMB <= room.MemoryMB && d.GPUs <= room.GPUs
 }
 
@@ -49,11 +49,11 @@
 // Step is a set of equal tasks.
 type Step struct {
 	Count    int
-	Demand   Demand
+	Demand   Resources
 	Estimate time.Duration // of one task, as the customer declares it
 	Rack     string        // where the data of the tasks is; "" is nowhere
-	// MostOnOne is how many of the tasks may be at work on one upstream; 0 is no bound.
-	MostOnOne int
+	// MaxPerUpstream is how many of the tasks may be at work on one upstream; 0 is no bound.
+	MaxPerUpstream int
 }
 
 // Job is what a customer submits.
--- a/fleet/route.go
+++ b/fleet/route.go
@@ -27,8 +27,8 @@
 	Routes  []Route
 	// Services are those whose upstreams run tasks.
 	Services []string
-	// MostBody bounds the body of a request, in bytes; 0 is no bound.
-	MostBody int
+	// MaxBodyBytes bounds the body of a request, in bytes; 0 is no bound.
+	MaxBodyBytes int
 	// Raw is the configuration as it was received, for peers.
 	Raw []byte
 
--- a/fleet/upstream.go
+++ b/fleet/upstream.go
@@ -5,39 +5,41 @@
 	"strings"
 )
 
-// Life names one life of an upstream. A process that starts again holds nothing from
+// UpstreamIncarnation names one life of an upstream. A process that starts again holds nothing from
 // before, whether it comes back under another id or under the same one.
-type Life struct {
-	ID   string
-	Born int64 // when it started, Unix milliseconds; 0 where the platform does not say
+type UpstreamIncarnation struct {
+	ID            string
+	StartedUnixMs int64 // when it started, Unix milliseconds; 0 where the platform does not say
 }
 
-// CompareLives orders lives by id and birth.
-func CompareLives(a, b Life) int {
-	return cmp.Or(strings.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
+// CompareIncarnations orders lives by id and birth.
+func CompareIncarnations(a, b UpstreamIncarnation) int {
+	return cmp.Or(strings.Compare(a.ID, b.ID), cmp.Compare(a.StartedUnixMs, b.StartedUnixMs))
 }
 
 // Upstream is one life of a process that runs tasks.
 type Upstream struct {
-	ID       string
-	Born     int64 // as in Life
-	Service  string
-	Address  string // host and port
-	Zone     string
-	Rack     string // "" where the platform does not say
-	Draining bool   // it is leaving, for good
+	ID            string
+	StartedUnixMs int64 // as in UpstreamIncarnation
+	Service       string
+	Address       string // host and port
+	Zone          string
+	Rack          string // "" where the platform does not say
+	Draining      bool   // it is leaving, for good
 	// Closed is set while nothing new may start there, for a reason that may
 	// pass: its availability zone is evacuated, or its entry cannot be read.
 	Closed bool
-	// Capacity is what the upstream has now, and Largest the most that it had in this
+	// Capacity is what the upstream has now, and LargestCapacity the most that it had in this
 	// life: it may shrink and grow again.
-	Capacity Demand
-	Largest  Demand
-	Sequence int64 // rises with what the upstream says of itself, in each life from the start
+	Capacity        Resources
+	LargestCapacity Resources
+	Sequence        int64 // rises with what the upstream says of itself, in each life from the start
 }
 
-// Life returns the life that the upstream is.
-func (u Upstream) Life() Life { return Life{ID: u.ID, Born: u.Born} }
+// Incarnation returns the life that the upstream is.
+func (u Upstream) Incarnation() UpstreamIncarnation {
+	return UpstreamIncarnation{ID: u.ID, StartedUnixMs: u.StartedUnixMs}
+}
 
 // End is how a run ended.
 type End string
@@ -66,10 +68,10 @@
 
 // Report is what an upstream tells of itself.
 type Report struct {
-	Born    int64 // of the life that tells it, as in Life
-	ClockMs int64 // the upstream's steady clock, milliseconds
-	Running []RunningTask
-	Ended   []EndedRun
+	StartedUnixMs int64 // of the life that tells it, as in UpstreamIncarnation
+	ClockMs       int64 // the upstream's steady clock, milliseconds
+	Running       []RunningTask
+	Ended         []EndedRun
 }
 
 // Refusal is why an upstream refused a start. None of them began anything.
@@ -77,13 +79,13 @@
 
 // The refusals of a start.
 const (
-	RefusedNot       Refusal = ""          // it was accepted
+	NotRefused       Refusal = ""          // it was accepted
 	RefusedFence     Refusal = "fence"     // a higher fencing token was seen
 	RefusedOldRun    Refusal = "old_run"   // a run with this or a higher number was there
 	RefusedLate      Refusal = "late"      // its lease was over on arrival
-	RefusedRoom      Refusal = "room"      // it does not fit
+	RefusedNoRoom    Refusal = "room"      // it does not fit
 	RefusedUnhealthy Refusal = "unhealthy" // the upstream declines all work
-	RefusedBad       Refusal = "bad"       // the order itself is wrong
+	RefusedInvalid   Refusal = "bad"       // the order itself is wrong
 )
 
 // StartOrder starts one run.
@@ -97,8 +99,8 @@
 // HoldOrder renews the lease of all that runs at an upstream, and asks for a
 // report. Without a lease it only asks.
 type HoldOrder struct {
-	LeaseUntilMs int64 // on the upstream's clock; 0 renews nothing
-	Token        uint64
-	SeenEnds     uint64 // ends up to this one may be forgotten
-	WaitMs       int64  // the report may wait so long for an end
+	LeaseUntilMs  int64 // on the upstream's clock; 0 renews nothing
+	Token         uint64
+	AckedSequence uint64 // ends up to this one may be forgotten
+	WaitMs        int64  // the report may wait so long for an end
 }
--- a/ingress/modelowner_test.go
+++ b/ingress/modelowner_test.go
@@ -91,7 +91,7 @@
 	o.w.upstreams[id].CallHold(order, modelCall, func(report fleet.Report, err error) {
 		o.do(func() {
 			if o.pool == pool {
-				o.apply(pool.HandleHoldResponse(o.Now(), fleet.Life{ID: id}, sent, report, err))
+				o.apply(pool.HandleHoldResponse(o.Now(), fleet.UpstreamIncarnation{ID: id}, sent, report, err))
 				then(err)
 			}
 		})
@@ -108,7 +108,7 @@
 			o.w.upstreams[s.Upstream.ID].CallStart(s.Order, modelStart, func(r fleet.Refusal, err error) {
 				o.do(func() {
 					if o.pool == pool {
-						o.apply(pool.HandleStartResponse(o.Now(), s.Upstream.Life(), s.Order.Run, r, err))
+						o.apply(pool.HandleStartResponse(o.Now(), s.Upstream.Incarnation(), s.Order.Run, r, err))
 					}
 				})
 			})
@@ -120,7 +120,7 @@
 			o.w.upstreams[s.Upstream.ID].CallStop(s.Run, pool.Token(), modelCall, func(err error) {
 				o.do(func() {
 					if o.pool == pool {
-						o.apply(pool.HandleStopResponse(o.Now(), s.Upstream.Life(), s.Run, err))
+						o.apply(pool.HandleStopResponse(o.Now(), s.Upstream.Incarnation(), s.Run, err))
 					}
 				})
 			})
--- a/ingress/pending.go
+++ b/ingress/pending.go
@@ -163,7 +163,7 @@
 		Service: p.Route.Service, Route: p.Route.Name, Spec: p.Job.Spec, Demand: step.Demand, Estimate: step.Estimate,
 		Priority: p.Route.Priority, MaxAttempts: p.Route.MaxAttempts, Tasks: p.idle,
 		Stretch: p.Route.Stretch, Slack: p.Route.Slack, Age: now.Sub(p.began), Timeout: p.until.Sub(now), AliveAt: checked, MayQueue: choice.Queue, AllOrNothing: choice.Whole, Begun: p.begun,
-		History: lo.PickByKeys(p.past, p.idle), Rack: step.Rack, MaxPerUpstream: step.MostOnOne,
+		History: lo.PickByKeys(p.past, p.idle), Rack: step.Rack, MaxPerUpstream: step.MaxPerUpstream,
 	}
 	part := &part{number: number, group: choice.Group, tasks: lo.Keyify(p.idle), queue: choice.Queue}
 	p.idle = nil
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -183,8 +183,8 @@
 
 // parse decodes a job that is not larger than the configuration allows.
 func parse(config *fleet.Config, id string, body []byte) (*fleet.Job, error) {
-	if config.MostBody > 0 && len(body) > config.MostBody {
-		return nil, failure.Field(failure.TooLarge, "body", "has %d bytes, over %d", len(body), config.MostBody)
+	if config.MaxBodyBytes > 0 && len(body) > config.MaxBodyBytes {
+		return nil, failure.Field(failure.TooLarge, "body", "has %d bytes, over %d", len(body), config.MaxBodyBytes)
 	}
 	return platform.ParseJob(id, body)
 }
--- a/ingress/tworuns_test.go
+++ b/ingress/tworuns_test.go
@@ -87,9 +87,9 @@
 }
 
 func (w *fleetWorld) addUpstream(id, zone string) {
-	u := w.NewUpstream(fleet.Upstream{ID: id, Service: "s", Zone: zone, Capacity: fleet.Demand{MilliCPU: 8000}},
-		func(r fleet.Run) (time.Duration, fleet.Demand) {
-			return w.jobs[r.Task.Job].takes, fleet.Demand{MilliCPU: 3000}
+	u := w.NewUpstream(fleet.Upstream{ID: id, Service: "s", Zone: zone, Capacity: fleet.Resources{MilliCPU: 8000}},
+		func(r fleet.Run) (time.Duration, fleet.Resources) {
+			return w.jobs[r.Task.Job].takes, fleet.Resources{MilliCPU: 3000}
 		})
 	u.Rate = 0.98 + 0.02*w.Rand.Float64()
 	u.StopTime = func() time.Duration { return w.Millis(0, 50) }
@@ -196,7 +196,7 @@
 // request takes a job from its customer.
 func (w *fleetWorld) request(c *modelCoordinator, conn *modelConn, j *modelJob, again func()) {
 	estimate := j.takes
-	job := &fleet.Job{ID: j.id, Ephemeral: true, Steps: []fleet.Step{{Count: j.tasks, Estimate: estimate, Demand: fleet.Demand{MilliCPU: 3000}}}}
+	job := &fleet.Job{ID: j.id, Ephemeral: true, Steps: []fleet.Step{{Count: j.tasks, Estimate: estimate, Demand: fleet.Resources{MilliCPU: 3000}}}}
 	route := &fleet.Route{Name: "r", Service: "s", Stretch: 1.6, Slack: 300 * time.Millisecond, MaxAttempts: 4}
 	conn.read = true
 	w.note(j.id, "read by %s", c.name)
--- a/lab/draw.go
+++ b/lab/draw.go
@@ -109,7 +109,7 @@
 	kind     int
 	zone     int
 	sent     time.Duration // since the start of the day
-	demand   fleet.Demand
+	demand   fleet.Resources
 	works    []time.Duration // of each task on a sound upstream
 	estimate time.Duration
 	worth    float64
@@ -177,7 +177,7 @@
 			}
 			capacity += float64(cpu)
 			d.upstreams = append(d.upstreams, fleet.Upstream{
-				ID: fmt.Sprintf("%s-u%02d", d.zones[z], i), Service: service, Zone: d.zones[z], Capacity: fleet.Demand{MilliCPU: cpu, MemoryMB: 1 << 20},
+				ID: fmt.Sprintf("%s-u%02d", d.zones[z], i), Service: service, Zone: d.zones[z], Capacity: fleet.Resources{MilliCPU: cpu, MemoryMB: 1 << 20},
 			})
 		}
 	}
@@ -245,7 +245,7 @@
 	k := &d.kinds[i]
 	j := &customerJob{
 		id: fmt.Sprintf("%016x", len(d.jobs)+1), kind: i, zone: d.shifted(d.drawZone(rng), at, rng), sent: at,
-		demand:   fleet.Demand{MilliCPU: int64(min(lognormal(rng, k.milliCPU, 0.2), unitCPU)), MemoryMB: 64},
+		demand:   fleet.Resources{MilliCPU: int64(min(lognormal(rng, k.milliCPU, 0.2), unitCPU)), MemoryMB: 64},
 		ownFault: rng.Float64() < ownFaultShare,
 	}
 	base := lognormal(rng, k.work.Seconds(), jobSpread)
--- a/lab/world.go
+++ b/lab/world.go
@@ -108,7 +108,7 @@
 
 func (w *world) newUpstream(u fleet.Upstream, byID map[string]*customerJob) *standin.SimulatedUpstream {
 	starts := map[fleet.Run]time.Time{}
-	s := w.NewUpstream(u, func(r fleet.Run) (time.Duration, fleet.Demand) {
+	s := w.NewUpstream(u, func(r fleet.Run) (time.Duration, fleet.Resources) {
 		j := byID[r.Task.Job]
 		return j.works[r.Task.Index], j.demand
 	})
@@ -249,12 +249,12 @@
 	}
 	for _, s := range e.Starts {
 		g.w.upstreams[s.Upstream.ID].CallStart(s.Order, startTimeout, func(r fleet.Refusal, err error) {
-			g.apply(g.pool.HandleStartResponse(g.w.Now(), s.Upstream.Life(), s.Order.Run, r, err))
+			g.apply(g.pool.HandleStartResponse(g.w.Now(), s.Upstream.Incarnation(), s.Order.Run, r, err))
 		})
 	}
 	for _, s := range e.Stops {
 		g.w.upstreams[s.Upstream.ID].CallStop(s.Run, g.pool.Token(), callTimeout, func(err error) {
-			g.apply(g.pool.HandleStopResponse(g.w.Now(), s.Upstream.Life(), s.Run, err))
+			g.apply(g.pool.HandleStopResponse(g.w.Now(), s.Upstream.Incarnation(), s.Run, err))
 		})
 	}
 	for _, id := range e.Polls {
@@ -296,7 +296,7 @@
 		timeout = lookTimeout
 	}
 	g.w.upstreams[id].CallHold(o, timeout, func(report fleet.Report, err error) {
-		g.apply(g.pool.HandleHoldResponse(g.w.Now(), fleet.Life{ID: id}, sent, report, err))
+		g.apply(g.pool.HandleHoldResponse(g.w.Now(), fleet.UpstreamIncarnation{ID: id}, sent, report, err))
 		then(err == nil)
 	})
 }
--- a/membership/neighbours.go
+++ b/membership/neighbours.go
@@ -27,36 +27,36 @@
 
 // Member is an instance that may be a neighbour.
 type Member struct {
-	Name  string
-	Zone  string
-	Share float64 // of a processor; 0 if not known
+	Name     string
+	Zone     string
+	CPUShare float64 // of a processor; 0 if not known
 }
 
 // Neighbours are the instances that one exchanges heartbeats with.
 type Neighbours struct {
-	Hub  bool            // the instance itself is a hub
-	Near map[string]bool // hubs of the same zone, for a hub
-	Far  map[string]bool // the others
+	IsHub bool            // the instance itself is a hub
+	Near  map[string]bool // hubs of the same zone, for a hub
+	Far   map[string]bool // the others
 	// Spokes are the instances of the own zone that are no hubs, for a hub.
 	Spokes map[string]bool
-	// Rank is the place of a hub among those of its zone, from 0, and Hubs how
+	// Rank is the place of a hub among those of its zone, from 0, and HubCount how
 	// many there are.
-	Rank, Hubs int
+	Rank, HubCount int
 }
 
 // Has reports whether an instance is a neighbour.
 func (n *Neighbours) Has(name string) bool { return n.Near[name] || n.Far[name] }
 
-// Around returns the neighbours of an instance among others. Groups is how many
+// NeighboursOf returns the neighbours of an instance among others. Groups is how many
 // groups each zone has.
-func Around(self Member, others []Member, groups map[string]int) Neighbours {
+func NeighboursOf(self Member, others []Member, groups map[string]int) Neighbours {
 	zones := lo.GroupBy(append(slices.Clone(others), self), func(m Member) string { return m.Zone })
 	n := Neighbours{Near: map[string]bool{}, Far: map[string]bool{}, Spokes: map[string]bool{}}
 	own := hubsOf(zones[self.Zone], groups[self.Zone])
-	n.Hubs = len(own)
+	n.HubCount = len(own)
 	n.Rank = slices.IndexFunc(own, func(m Member) bool { return m.Name == self.Name })
-	n.Hub = n.Rank >= 0
-	if !n.Hub {
+	n.IsHub = n.Rank >= 0
+	if !n.IsHub {
 		for _, m := range own {
 			n.Far[m.Name] = true
 		}
@@ -93,7 +93,7 @@
 // an order that hardly changes as instances come and go.
 func hubsOf(members []Member, groups int) []Member {
 	ranked := slices.SortedFunc(slices.Values(members), func(a, b Member) int {
-		return cmp.Or(cmp.Compare(b.Share, a.Share), cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.CPUShare, a.CPUShare), cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name)), cmp.Compare(a.Name, b.Name))
 	})
 	if len(ranked) <= smallZone {
 		return ranked
--- a/membership/neighbours_test.go
+++ b/membership/neighbours_test.go
@@ -11,9 +11,9 @@
 func zoneOf(zone string, count, large int) []Member {
 	var list []Member
 	for i := range count {
-		m := Member{Name: fmt.Sprintf("%s-%d", zone, i), Zone: zone, Share: 0.2}
+		m := Member{Name: fmt.Sprintf("%s-%d", zone, i), Zone: zone, CPUShare: 0.2}
 		if i < large {
-			m.Share = 0.8
+			m.CPUShare = 0.8
 		}
 		list = append(list, m)
 	}
@@ -34,8 +34,8 @@
 func TestNeighboursSmall(t *testing.T) {
 	all := append(zoneOf("a", 12, 2), zoneOf("b", 3, 0)...)
 	for _, m := range all {
-		n := Around(m, without(all, m.Name), nil)
-		if !n.Hub || len(n.Near)+len(n.Far) != len(all)-1 || len(n.Spokes) > 0 {
+		n := NeighboursOf(m, without(all, m.Name), nil)
+		if !n.IsHub || len(n.Near)+len(n.Far) != len(all)-1 || len(n.Spokes) > 0 {
 			t.Errorf("%s: %+v", m.Name, n)
 		}
 		for name := range n.Near {
@@ -57,17 +57,17 @@
 	}
 	around := map[string]Neighbours{}
 	for _, m := range all {
-		around[m.Name] = Around(m, without(all, m.Name), groups)
+		around[m.Name] = NeighboursOf(m, without(all, m.Name), groups)
 	}
 	hubs := 0
 	for _, m := range all {
 		n := around[m.Name]
-		if n.Hubs != 17 {
-			t.Fatalf("zone %s has %d hubs", m.Zone, n.Hubs)
+		if n.HubCount != 17 {
+			t.Fatalf("zone %s has %d hubs", m.Zone, n.HubCount)
 		}
-		if n.Hub {
+		if n.IsHub {
 			hubs++
-			if m.Share < 0.8 {
+			if m.CPUShare < 0.8 {
 				t.Errorf("%s is a hub, and small", m.Name)
 			}
 			if len(n.Near) != 16 || len(n.Spokes) != 75-17 || len(n.Far) != 75-17+3*17 {
@@ -113,7 +113,7 @@
 	table.SetListed([]Listing{{Instance: "near"}, {Instance: "far"}, {Instance: "parted"}, {Instance: "wanting"}})
 	table.SetNeighbours(&Neighbours{Near: map[string]bool{"near": true}, Far: map[string]bool{"far": true}})
 	for _, who := range []string{"near.1", "far.1", "parted.1", "wanting.1"} {
-		table.Heard(fate.Incarnation(who), Load{Unwanted: who == "parted.1"}, 0)
+		table.RecordHeartbeat(fate.Incarnation(who), Heartbeat{Unwanted: who == "parted.1"}, 0)
 	}
 	for _, step := range []struct {
 		at   int64
--- a/membership/ownership.go
+++ b/membership/ownership.go
@@ -11,8 +11,8 @@
 
 // Candidate is an instance that may own groups of upstreams.
 type Candidate struct {
-	Name  string
-	Share float64 // of a processor
+	Name     string
+	CPUShare float64 // of a processor
 }
 
 // largeEnough is the part of the largest candidate's share that an owner must
@@ -26,7 +26,7 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	large := lo.Filter(candidates, func(c Candidate, _ int) bool { return IsLarge(c.Share, candidates) })
+	large := lo.Filter(candidates, func(c Candidate, _ int) bool { return IsLarge(c.CPUShare, candidates) })
 	limit := (len(groups) + len(large) - 1) / len(large)
 	owners := map[string]string{}
 	count := map[string]int{}
@@ -42,7 +42,7 @@
 // own groups beside the candidates.
 func IsLarge(share float64, candidates []Candidate) bool {
 	for _, c := range candidates {
-		if share < largeEnough*c.Share {
+		if share < largeEnough*c.CPUShare {
 			return false
 		}
 	}
@@ -59,20 +59,20 @@
 func score(group string, c Candidate) float64 {
 	const spread = 1 << 53 // what a float64 tells apart
 	unit := (float64(xxhash.Sum64String(group+"\x00"+c.Name)>>11) + 0.5) / spread
-	return -max(c.Share, math.SmallestNonzeroFloat64) / math.Log(unit)
+	return -max(c.CPUShare, math.SmallestNonzeroFloat64) / math.Log(unit)
 }
 
-// RankBits is how many bits of a fencing token hold the rank of its maker. The
+// TokenNameBits is how many bits of a fencing token hold the rank of its maker. The
 // others hold a time in milliseconds, so that tokens rise with each takeover and
 // two instances never make the same one.
-const RankBits = 12
+const TokenNameBits = 12
 
 // NextToken returns a fencing token above every one that was heard of. The time
 // only makes it likely that tokens that were not heard of are lower too: where
 // one is not, upstreams refuse it.
 func NextToken(unixMs int64, highest uint64, name string) uint64 {
-	term := max(uint64(max(unixMs, 0)), highest>>RankBits+1)
-	return term<<RankBits | xxhash.Sum64String(name)&(1<<RankBits-1)
+	term := max(uint64(max(unixMs, 0)), highest>>TokenNameBits+1)
+	return term<<TokenNameBits | xxhash.Sum64String(name)&(1<<TokenNameBits-1)
 }
 
 // GroupSize is how many upstreams a group has at most when groups are made. An
--- a/membership/table.go
+++ b/membership/table.go
@@ -43,11 +43,11 @@
 	Zone     string
 	Rack     string
 	Leaving  bool
-	Share    float64 // of a processor; 0 if not known
+	CPUShare float64 // of a processor; 0 if not known
 }
 
-// Load is what a heartbeat carries.
-type Load struct {
+// Heartbeat is what a heartbeat carries.
+type Heartbeat struct {
 	// Unwanted is said by a peer that does not need heartbeats from here.
 	Unwanted   bool
 	Leaving    bool
@@ -62,7 +62,7 @@
 	Listing
 	Incarnation fate.Incarnation // "" until heard
 	State       State
-	Load        Load
+	Heartbeat   Heartbeat
 	heard       int64
 	met         bool // the listing is the peer's own word, which goes before the list
 }
@@ -100,14 +100,14 @@
 	return max(t.cfg.FarFactor, 1)
 }
 
-// Allowed is how long a peer may be silent before it is dead.
-func (t *Table) Allowed(name string) time.Duration {
+// DeadAfter is how long a peer may be silent before it is dead.
+func (t *Table) DeadAfter(name string) time.Duration {
 	return time.Duration(t.cfg.DeadMs*t.allowance(name)) * time.Millisecond
 }
 
 // parted reports whether neither side of a pair needs the other.
 func (t *Table) parted(p *Peer) bool {
-	return t.unheard(p) && p.Load.Unwanted
+	return t.unheard(p) && p.Heartbeat.Unwanted
 }
 
 // forgetDeadMs is when a dead peer that this instance does not want to hear
@@ -131,7 +131,7 @@
 			p.Listing = l
 			p.met = false
 		}
-		p.Share = cmp.Or(l.Share, p.Share)
+		p.CPUShare = cmp.Or(l.CPUShare, p.CPUShare)
 	}
 	t.order = slices.DeleteFunc(t.order, func(p *Peer) bool {
 		gone := !listed[p.Instance] && (p.State == Dead || p.State == Listed)
@@ -155,18 +155,18 @@
 	return p
 }
 
-// Met takes what an instance says of itself. The list lags: it may not have the
+// ApplyHello takes what an instance says of itself. The list lags: it may not have the
 // instance yet, or an address that it had before.
-func (t *Table) Met(l Listing) {
+func (t *Table) ApplyHello(l Listing) {
 	p := t.peer(l.Instance)
-	l.Share = cmp.Or(l.Share, p.Share)
+	l.CPUShare = cmp.Or(l.CPUShare, p.CPUShare)
 	p.Listing = l
 	p.met = true
 }
 
-// Heard takes a heartbeat. A new incarnation of an instance ends the one
+// RecordHeartbeat takes a heartbeat. A new incarnation of an instance ends the one
 // before it at once; a late heartbeat of one that was replaced is not taken.
-func (t *Table) Heard(from fate.Incarnation, load Load, now int64) []Change {
+func (t *Table) RecordHeartbeat(from fate.Incarnation, load Heartbeat, now int64) []Change {
 	p := t.peer(from.Instance())
 	var changes []Change
 	if p.Incarnation != "" && p.Incarnation != from {
@@ -174,7 +174,7 @@
 		p.State = Listed
 	}
 	p.Incarnation = from
-	p.Load = load
+	p.Heartbeat = load
 	p.heard = now
 	state := Alive
 	if load.Leaving {
@@ -183,8 +183,8 @@
 	return append(changes, p.changeTo(state)...)
 }
 
-// Ended takes the certain news that an incarnation is over.
-func (t *Table) Ended(who fate.Incarnation) []Change {
+// MarkEnded takes the certain news that an incarnation is over.
+func (t *Table) MarkEnded(who fate.Incarnation) []Change {
 	p := t.peers[who.Instance()]
 	if p == nil || p.Incarnation != who {
 		return nil
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -29,18 +29,18 @@
 				}
 				table.SetListed(list)
 			case "met":
-				table.Met(Listing{Instance: strings.TrimSpace(d.Input), Address: strings.TrimSpace(d.Input) + ":2", Zone: "z"})
+				table.ApplyHello(Listing{Instance: strings.TrimSpace(d.Input), Address: strings.TrimSpace(d.Input) + ":2", Zone: "z"})
 			case "address":
 				address, _ := table.Address(strings.TrimSpace(d.Input))
 				return address + "\n"
 			case "heard":
 				var who string
 				d.ScanArgs(t, "from", &who)
-				changes = table.Heard(fate.Incarnation(who), Load{Leaving: d.HasArg("leaving")}, now)
+				changes = table.RecordHeartbeat(fate.Incarnation(who), Heartbeat{Leaving: d.HasArg("leaving")}, now)
 			case "ended":
 				var who string
 				d.ScanArgs(t, "who", &who)
-				changes = table.Ended(fate.Incarnation(who))
+				changes = table.MarkEnded(fate.Incarnation(who))
 			case "tick":
 				changes = table.Tick(now)
 			case "peers":
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -28,11 +28,11 @@
 	expvar.Publish(prefix+"_counts", s.Counts)
 }
 
-// Sent counts a message.
-func (s *Set) Sent(kind string) { s.Messages.Add(kind, 1) }
+// CountSent counts a message.
+func (s *Set) CountSent(kind string) { s.Messages.Add(kind, 1) }
 
-// Waste counts a message, sent already, that led to nothing.
-func (s *Set) Waste(kind string) { s.Wasted.Add(kind, 1) }
+// CountWasted counts a message, sent already, that led to nothing.
+func (s *Set) CountWasted(kind string) { s.Wasted.Add(kind, 1) }
 
 // Add counts anything else.
 func (s *Set) Add(name string, n int64) { s.Counts.Add(name, n) }
@@ -48,8 +48,8 @@
 	return values
 }
 
-// AddTo adds the message counters of s to sent and wasted.
-func (s *Set) AddTo(sent, wasted map[string]int64) {
+// AddMessagesTo adds the message counters of s to sent and wasted.
+func (s *Set) AddMessagesTo(sent, wasted map[string]int64) {
 	for kind, n := range Values(s.Messages) {
 		sent[kind] += n
 	}
--- a/metrics/text_test.go
+++ b/metrics/text_test.go
@@ -8,8 +8,8 @@
 
 func TestText(t *testing.T) {
 	s := NewSet()
-	s.Sent("offer")
-	s.Waste("start")
+	s.CountSent("offer")
+	s.CountWasted("start")
 	s.Add("answers_not_run", 2)
 	for i := range 100 {
 		s.Latencies.Observe("request", time.Duration(i)*time.Millisecond)
--- a/node/configask.go
+++ b/node/configask.go
@@ -52,7 +52,7 @@
 	if !due {
 		return
 	}
-	n.metrics.Sent("config_request")
+	n.metrics.CountSent("config_request")
 	if err := link.Send(&inner.Frame{Body: &inner.Frame_ConfigRequest{ConfigRequest: &inner.ConfigRequest{}}}); err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "config request"), slog.String("error", err.Error()))
 	}
--- a/node/convert.go
+++ b/node/convert.go
@@ -29,52 +29,56 @@
 	return lo.Map(list, func(v int, _ int) uint32 { return uint32(v) })
 }
 
-func livesTo(lives []fleet.Life) []*inner.UpstreamLife {
-	return lo.Map(lives, func(l fleet.Life, _ int) *inner.UpstreamLife { return &inner.UpstreamLife{Id: l.ID, Born: l.Born} })
+func livesTo(lives []fleet.UpstreamIncarnation) []*inner.UpstreamLife {
+	return lo.Map(lives, func(l fleet.UpstreamIncarnation, _ int) *inner.UpstreamLife {
+		return &inner.UpstreamLife{Id: l.ID, Born: l.StartedUnixMs}
+	})
 }
 
-func roomTo(r directory.Room) *inner.UpstreamRoom {
+func roomTo(r directory.CapacityReport) *inner.UpstreamRoom {
 	return &inner.UpstreamRoom{
-		Life: &inner.UpstreamLife{Id: r.Life.ID, Born: r.Life.Born}, Sequence: r.Sequence,
+		Life: &inner.UpstreamLife{Id: r.Incarnation.ID, Born: r.Incarnation.StartedUnixMs}, Sequence: r.Sequence,
 		MilliCpu: r.Capacity.MilliCPU, MemoryMb: r.Capacity.MemoryMB, Gpus: r.Capacity.GPUs,
 	}
 }
 
-func roomFrom(r *inner.UpstreamRoom) directory.Room {
-	return directory.Room{
-		Life: fleet.Life{ID: r.GetLife().GetId(), Born: r.GetLife().GetBorn()}, Sequence: r.GetSequence(),
-		Capacity: fleet.Demand{MilliCPU: r.GetMilliCpu(), MemoryMB: r.GetMemoryMb(), GPUs: r.GetGpus()},
+func roomFrom(r *inner.UpstreamRoom) directory.CapacityReport {
+	return directory.CapacityReport{
+		Incarnation: fleet.UpstreamIncarnation{ID: r.GetLife().GetId(), StartedUnixMs: r.GetLife().GetBorn()}, Sequence: r.GetSequence(),
+		Capacity: fleet.Resources{MilliCPU: r.GetMilliCpu(), MemoryMB: r.GetMemoryMb(), GPUs: r.GetGpus()},
 	}
 }
 
-func roomsTo(rooms []directory.Room) []*inner.UpstreamRoom {
-	return lo.Map(rooms, func(r directory.Room, _ int) *inner.UpstreamRoom { return roomTo(r) })
+func roomsTo(rooms []directory.CapacityReport) []*inner.UpstreamRoom {
+	return lo.Map(rooms, func(r directory.CapacityReport, _ int) *inner.UpstreamRoom { return roomTo(r) })
 }
 
-func roomsFrom(list []*inner.UpstreamRoom) []directory.Room {
-	return lo.Map(list, func(r *inner.UpstreamRoom, _ int) directory.Room { return roomFrom(r) })
+func roomsFrom(list []*inner.UpstreamRoom) []directory.CapacityReport {
+	return lo.Map(list, func(r *inner.UpstreamRoom, _ int) directory.CapacityReport { return roomFrom(r) })
 }
 
 // upstreamTo words what is known of an upstream.
 func upstreamTo(u fleet.Upstream) *inner.Upstream {
 	return &inner.Upstream{
-		Room:    roomTo(directory.Room{Life: u.Life(), Sequence: u.Sequence, Capacity: u.Capacity}),
+		Room:    roomTo(directory.CapacityReport{Incarnation: u.Incarnation(), Sequence: u.Sequence, Capacity: u.Capacity}),
 		Service: u.Service, Address: u.Address, Zone: u.Zone, Rack: u.Rack, Draining: u.Draining,
-		LargestMilliCpu: u.Largest.MilliCPU, LargestMemoryMb: u.Largest.MemoryMB, LargestGpus: u.Largest.GPUs,
+		LargestMilliCpu: u.LargestCapacity.MilliCPU, LargestMemoryMb: u.LargestCapacity.MemoryMB, LargestGpus: u.LargestCapacity.GPUs,
 	}
 }
 
 func upstreamFrom(m *inner.Upstream) fleet.Upstream {
 	room := roomFrom(m.GetRoom())
 	return fleet.Upstream{
-		ID: room.Life.ID, Born: room.Life.Born, Sequence: room.Sequence, Capacity: room.Capacity,
+		ID: room.Incarnation.ID, StartedUnixMs: room.Incarnation.StartedUnixMs, Sequence: room.Sequence, Capacity: room.Capacity,
 		Service: m.GetService(), Address: m.GetAddress(), Zone: m.GetZone(), Rack: m.GetRack(), Draining: m.GetDraining(),
-		Largest: fleet.Demand{MilliCPU: m.GetLargestMilliCpu(), MemoryMB: m.GetLargestMemoryMb(), GPUs: m.GetLargestGpus()},
+		LargestCapacity: fleet.Resources{MilliCPU: m.GetLargestMilliCpu(), MemoryMB: m.GetLargestMemoryMb(), GPUs: m.GetLargestGpus()},
 	}
 }
 
-func livesFrom(list []*inner.UpstreamLife) []fleet.Life {
-	return lo.Map(list, func(l *inner.UpstreamLife, _ int) fleet.Life { return fleet.Life{ID: l.GetId(), Born: l.GetBorn()} })
+func livesFrom(list []*inner.UpstreamLife) []fleet.UpstreamIncarnation {
+	return lo.Map(list, func(l *inner.UpstreamLife, _ int) fleet.UpstreamIncarnation {
+		return fleet.UpstreamIncarnation{ID: l.GetId(), StartedUnixMs: l.GetBorn()}
+	})
 }
 
 // pastTo words what tasks that go elsewhere take along, by task.
@@ -129,7 +133,7 @@
 	return schedule.Offer{
 		Key:     schedule.JobKey{ID: m.GetJob(), Part: int(m.GetPart())},
 		Service: m.GetService(), Route: m.GetRoute(), Spec: m.GetSpec(),
-		Demand:   fleet.Demand{MilliCPU: m.GetMilliCpu(), MemoryMB: m.GetMemoryMb(), GPUs: m.GetGpus()},
+		Demand:   fleet.Resources{MilliCPU: m.GetMilliCpu(), MemoryMB: m.GetMemoryMb(), GPUs: m.GetGpus()},
 		Estimate: time.Duration(m.GetEstimateMs()) * time.Millisecond, Priority: int(m.GetPriority()),
 		MaxAttempts: int(m.GetMaxAttempts()), Tasks: toInts(m.GetTasks()), Stretch: m.GetStretch(),
 		Slack: time.Duration(m.GetSlackMs()) * time.Millisecond, Age: time.Duration(m.GetAgeMs()) * time.Millisecond,
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -178,7 +178,7 @@
 	n := in.nodes["a-1"]
 	in.until("the configuration is read again", func() bool { return n.config.Load().Version == 5 })
 	in.until("the upstream is gone", func() bool {
-		return n.directory.Count("a") == 1
+		return n.directory.CountInZone("a") == 1
 	})
 	in.want("a-1", 2, 10)
 }
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -38,7 +38,7 @@
 				n.setPeers(known)
 				for _, other := range zone {
 					if other != self && heard < c.heard {
-						n.table.Heard(fate.Incarnation(other+".1"), membership.Load{}, 1)
+						n.table.RecordHeartbeat(fate.Incarnation(other+".1"), membership.Heartbeat{}, 1)
 						heard++
 					}
 				}
--- a/node/groups.go
+++ b/node/groups.go
@@ -139,11 +139,11 @@
 // for all instances, through the store.
 func (n *Node) countGroups() {
 	n.mu.Lock()
-	if n.groupCounts[n.in.Zone] > 0 || n.counting || !n.directory.Listed() {
+	if n.groupCounts[n.in.Zone] > 0 || n.counting || !n.directory.Synced() {
 		n.mu.Unlock()
 		return
 	}
-	count := n.directory.Count(n.in.Zone)
+	count := n.directory.CountInZone(n.in.Zone)
 	if count == 0 || !n.counted(count, clock.Now()) {
 		n.mu.Unlock()
 		return
--- a/node/lease.go
+++ b/node/lease.go
@@ -79,7 +79,7 @@
 	r.mu.Lock()
 	r.renewed[link.Number()] = clock.Now()
 	r.mu.Unlock()
-	r.n.metrics.Sent("renewal")
+	r.n.metrics.CountSent("renewal")
 	err := link.Send(&inner.Frame{Body: &inner.Frame_Renewal{Renewal: &inner.Renewal{ClockMs: clockMs}}})
 	if err != nil {
 		event.PeerUnsent.Log(r.n.log, slog.String("what", "renewal"), slog.String("error", err.Error()))
--- a/node/lives_test.go
+++ b/node/lives_test.go
@@ -46,7 +46,7 @@
 		})
 	}
 	for _, capacity := range []int64{taskSize, 2 * taskSize} {
-		in.upstreams[0].Resize(fleet.Demand{MilliCPU: capacity, MemoryMB: 1000}, 0)
+		in.upstreams[0].Resize(fleet.Resources{MilliCPU: capacity, MemoryMB: 1000}, 0)
 		knows(capacity)
 		in.until("four tasks are served", func() bool {
 			status, _ := in.submit("a-1", in.newID(), 4, 20)
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -41,7 +41,7 @@
 		if p.Zone == "" {
 			continue // only its address is known
 		}
-		m := membership.Member{Name: p.Instance, Zone: p.Zone, Share: p.Share}
+		m := membership.Member{Name: p.Instance, Zone: p.Zone, CPUShare: p.CPUShare}
 		b.known = append(b.known, m)
 		if !n.missing(m.Name) {
 			b.live = append(b.live, m)
@@ -60,19 +60,19 @@
 	}
 	basis.groups = maps.Clone(basis.groups)
 	n.basis = basis
-	self := membership.Member{Name: n.in.Name, Zone: n.in.Zone, Share: n.in.CPUShare}
-	sought := membership.Around(self, basis.known, basis.groups)
+	self := membership.Member{Name: n.in.Name, Zone: n.in.Zone, CPUShare: n.in.CPUShare}
+	sought := membership.NeighboursOf(self, basis.known, basis.groups)
 	around := sought
 	if len(basis.live) < len(basis.known) {
-		around = membership.Around(self, basis.live, basis.groups)
+		around = membership.NeighboursOf(self, basis.live, basis.groups)
 	}
 	for name := range used {
 		if !around.Has(name) {
 			around.Far[name] = true // in sought too, where the two are one: no harm
 		}
 	}
-	if around.Hub != n.around.Hub || around.Hubs != n.around.Hubs {
-		event.NeighboursChanged.Log(n.log, slog.Bool("hub", around.Hub), slog.Int("hubs", around.Hubs),
+	if around.IsHub != n.around.IsHub || around.HubCount != n.around.HubCount {
+		event.NeighboursChanged.Log(n.log, slog.Bool("hub", around.IsHub), slog.Int("hubs", around.HubCount),
 			slog.Int("near", len(around.Near)), slog.Int("far", len(around.Far)), slog.Int("known", len(basis.known)))
 	}
 	n.sought, n.around = &sought, &around
@@ -96,7 +96,7 @@
 func (n *Node) silenceOf(instance string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.table.Allowed(instance)
+	return n.table.DeadAfter(instance)
 }
 
 // audience is what differs between the heartbeats of one beat.
@@ -197,7 +197,7 @@
 func (n *Node) tellPeer(beat *beatFrames, around *membership.Neighbours, p membership.Peer) {
 	wanted := around.Has(p.Instance)
 	n.mu.Lock()
-	last := !wanted && p.Load.Unwanted
+	last := !wanted && p.Heartbeat.Unwanted
 	told := n.parted[p.Instance]
 	if last {
 		n.parted[p.Instance] = true
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -29,7 +29,7 @@
 		for _, name := range names {
 			n := in.nodes[name]
 			n.mu.Lock()
-			hub, count := n.around.Hub, n.around.Hubs
+			hub, count := n.around.IsHub, n.around.HubCount
 			n.mu.Unlock()
 			if hub {
 				hubs = append(hubs, name)
@@ -111,7 +111,7 @@
 	for _, name := range names {
 		n := in.nodes[name]
 		n.mu.Lock()
-		fmt.Fprintf(&b, "%s: hub %v of %d, near %d, far %d;", name, n.around.Hub, n.around.Hubs, len(n.around.Near), len(n.around.Far))
+		fmt.Fprintf(&b, "%s: hub %v of %d, near %d, far %d;", name, n.around.IsHub, n.around.HubCount, len(n.around.Near), len(n.around.Far))
 		states := map[membership.State]int{}
 		for p := range n.table.All() {
 			states[p.State]++
@@ -174,7 +174,7 @@
 	known := map[string]membership.Listing{}
 	for i := range 40 {
 		name := fmt.Sprintf("%c-%d", 'a'+i%2, i+1)
-		known[name] = membership.Listing{Instance: name, Zone: zoneOfInstance(name), Share: 0.4, Address: name}
+		known[name] = membership.Listing{Instance: name, Zone: zoneOfInstance(name), CPUShare: 0.4, Address: name}
 	}
 	change := func(what string, input func(), want bool) {
 		t.Helper()
@@ -187,8 +187,8 @@
 	}
 	change("instances are listed", func() { n.table.SetListed(lo.Values(known)) }, true)
 	change("nothing", func() {}, false)
-	change("a heartbeat", func() { n.table.Heard("a-3.1", membership.Load{}, 1) }, false)
-	change("an instance is lost", func() { n.table.Ended("a-3.1") }, true)
+	change("a heartbeat", func() { n.table.RecordHeartbeat("a-3.1", membership.Heartbeat{}, 1) }, false)
+	change("an instance is lost", func() { n.table.MarkEnded("a-3.1") }, true)
 	change("another does not run", func() { n.absent["a-5"] = clock.Now() }, true)
 	change("the groups of a zone are counted", func() { n.groupCounts["a"] = 30 }, true)
 	change("an owner is in use", func() { n.router.used["b-2"] = clock.Now() }, true)
--- a/node/node.go
+++ b/node/node.go
@@ -125,7 +125,7 @@
 func newStore(i do.Injector) (*platform.Store, error) {
 	counters := do.MustInvoke[*metrics.Set](i)
 	return platform.NewStore(do.MustInvoke[fleet.Instance](i).StoreAddress, func(kind string, status int, took time.Duration) {
-		counters.Sent("store_" + kind)
+		counters.CountSent("store_" + kind)
 		counters.Add("store_"+kind+"_"+strconv.Itoa(status), 1)
 		if kind != "watch" { // which waits for changes
 			counters.Latencies.Observe("store_"+kind, took)
@@ -139,7 +139,7 @@
 		in: in, self: fate.Incarnation(in.Name + "." + uuid.NewString()[:8]), log: do.MustInvoke[*slog.Logger](i),
 		metrics: do.MustInvoke[*metrics.Set](i), store: do.MustInvoke[*platform.Store](i), calls: platform.NewUpstreams(), directory: directory.New(),
 		began: clock.Now(), listed: make(chan struct{}),
-		table: membership.NewTable(silence), around: &membership.Neighbours{Hub: true, Hubs: 1}, sought: &membership.Neighbours{}, parted: map[string]bool{}, heard: map[string]*inner.Presence{},
+		table: membership.NewTable(silence), around: &membership.Neighbours{IsHub: true, HubCount: 1}, sought: &membership.Neighbours{}, parted: map[string]bool{}, heard: map[string]*inner.Presence{},
 		groups: map[string]*held{}, dialing: map[string]bool{}, absent: map[string]time.Time{}, dials: map[string]dialOutcome{}, registered: map[string]string{}, unstaffed: map[string]time.Time{}, orphanRetry: map[string]time.Time{}, groupCounts: map[string]int{},
 	}
 	n.decisions = newDecisionLog(n.log)
@@ -152,7 +152,7 @@
 	n.server = ingress.NewServer(n.ingress, n.config.Load, n.stopping, n)
 	n.mesh = inner.NewMesh(inner.Config{
 		Fleet: fleetName, Self: n.self, Region: in.Region, Zone: in.Zone, Address: n.in.PeerAddress,
-		Directory: n, Handler: n, Met: n.met, Dial: n.dial, DialTimeout: dialTimeout, Count: n.metrics.Sent, QueueOnly: true,
+		Directory: n, Handler: n, Met: n.met, Dial: n.dial, DialTimeout: dialTimeout, Count: n.metrics.CountSent, QueueOnly: true,
 		Shared: true, Silence: n.silenceOf, Clock: n.clockMs,
 	})
 	return n, nil
@@ -351,7 +351,7 @@
 func (n *Node) met(h *inner.Hello) {
 	name := fate.Incarnation(h.GetIncarnation()).Instance()
 	n.mu.Lock()
-	n.table.Met(membership.Listing{Instance: name, Address: h.GetAddress(), Region: h.GetRegion(), Zone: h.GetZone()})
+	n.table.ApplyHello(membership.Listing{Instance: name, Address: h.GetAddress(), Region: h.GetRegion(), Zone: h.GetZone()})
 	n.mu.Unlock()
 	n.router.heardClock(fate.Incarnation(h.GetIncarnation()), h.GetClockMs())
 	n.introduce(name)
@@ -364,9 +364,9 @@
 
 // Called implements owner.Observer.
 func (n *Node) Called(kind string, err error, took time.Duration) {
-	n.metrics.Sent(kind)
+	n.metrics.CountSent(kind)
 	if err != nil {
-		n.metrics.Waste(kind)
+		n.metrics.CountWasted(kind)
 		n.metrics.Add(kind+"_"+failure.Code(err), 1)
 		return
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -91,9 +91,9 @@
 
 func (in *installation) addUpstream(id, zone string) *standin.Upstream {
 	u, err := standin.NewUpstream(standin.UpstreamConfig{
-		ID: id, Service: "desk", Zone: zone, Address: "127.0.0.1:0", Capacity: fleet.Demand{MilliCPU: 16000, MemoryMB: 1000},
+		ID: id, Service: "desk", Zone: zone, Address: "127.0.0.1:0", Capacity: fleet.Resources{MilliCPU: 16000, MemoryMB: 1000},
 		Takes:  standin.TakesOf,
-		Demand: func(string) fleet.Demand { return fleet.Demand{MilliCPU: taskSize} }, TellsBirth: true,
+		Demand: func(string) fleet.Resources { return fleet.Resources{MilliCPU: taskSize} }, TellsBirth: true,
 	}, in.store, in.ledger)
 	if err != nil {
 		in.t.Fatal(err)
--- a/node/operators.go
+++ b/node/operators.go
@@ -111,9 +111,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case n.around.Hub && n.around.Rank < closeWatchers || n.hubsHeard() < closeWatchers:
+	case n.around.IsHub && n.around.Rank < closeWatchers || n.hubsHeard() < closeWatchers:
 		return closeConfigWait
-	case n.around.Hub:
+	case n.around.IsHub:
 		return configWait
 	default:
 		return spokeWait
@@ -124,7 +124,7 @@
 func (n *Node) peerWait() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.around.Hub || n.hubsHeard() < closeWatchers {
+	if n.around.IsHub || n.hubsHeard() < closeWatchers {
 		return peerWait
 	}
 	return spokeWait
--- a/node/orphans.go
+++ b/node/orphans.go
@@ -68,7 +68,7 @@
 // foreignCandidates returns the instances of all zones that may own orphaned
 // groups. The lock is held.
 func (n *Node) foreignCandidates() []membership.Candidate {
-	list := []membership.Candidate{{Name: n.in.Name, Share: n.in.CPUShare}}
+	list := []membership.Candidate{{Name: n.in.Name, CPUShare: n.in.CPUShare}}
 	hubs := n.table.Filter(func(p membership.Peer) bool {
 		return n.sought.Has(p.Instance) && !n.sought.Spokes[p.Instance]
 	})
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -89,7 +89,7 @@
 	// tokenLeap raises the next token by a second: the owner that this
 	// instance was fenced by may have a clock that is ahead. It doubles each
 	// time, at most maxLeaps times.
-	tokenLeap = 1000 << membership.RankBits
+	tokenLeap = 1000 << membership.TokenNameBits
 	maxLeaps  = 8
 )
 
@@ -138,7 +138,7 @@
 // betterOwner reports whether handing a group to a peer is worth the change. The
 // lock is held.
 func (n *Node) betterOwner(peer string, owners map[string]string) bool {
-	if !n.around.Hub || n.heard[peer].GetShare() >= muchLarger*n.in.CPUShare {
+	if !n.around.IsHub || n.heard[peer].GetShare() >= muchLarger*n.in.CPUShare {
 		return true
 	}
 	fair := 0
@@ -228,7 +228,7 @@
 	}
 	n.mu.Lock()
 	taken := false
-	if n.around.Hub && n.settled() && !n.isolated() {
+	if n.around.IsHub && n.settled() && !n.isolated() {
 		taken = n.takeOwn(membership.Assign(n.zoneGroups(), n.candidates()))
 		if orphaned := n.orphaned(); len(orphaned) > 0 {
 			taken = n.takeOwn(membership.Assign(orphaned, n.foreignCandidates())) || taken
@@ -256,7 +256,7 @@
 
 // take begins to own a group. The lock is held.
 func (n *Node) take(group string) {
-	n.highest = membership.NextToken(clock.TimeOfDay().UnixMilli(), n.highest, string(n.self))
+	n.highest = membership.NextToken(clock.WallClock().UnixMilli(), n.highest, string(n.self))
 	cfg := schedule.ConfigForMaxLease(n.in.Timing.MaxTaskLease)
 	cfg.RemoteFactor = n.in.Timing.RemoteFactor
 	cfg.LinkRate = n.in.LinkRate // counted in full by each group of an owner of several
@@ -323,8 +323,8 @@
 // groups: its hubs. The lock is held.
 func (n *Node) candidates() []membership.Candidate {
 	var list []membership.Candidate
-	if n.around.Hub {
-		list = append(list, membership.Candidate{Name: n.in.Name, Share: n.in.CPUShare})
+	if n.around.IsHub {
+		list = append(list, membership.Candidate{Name: n.in.Name, CPUShare: n.in.CPUShare})
 	}
 	return append(list, n.candidatesOf(n.hubPeers())...)
 }
@@ -332,6 +332,6 @@
 // candidatesOf returns those of some peers that live. The lock is held.
 func (n *Node) candidatesOf(peers []membership.Peer) []membership.Candidate {
 	return lo.FilterMap(peers, func(p membership.Peer, _ int) (membership.Candidate, bool) {
-		return membership.Candidate{Name: p.Instance, Share: n.heard[p.Instance].GetShare()}, p.State == membership.Alive
+		return membership.Candidate{Name: p.Instance, CPUShare: n.heard[p.Instance].GetShare()}, p.State == membership.Alive
 	})
 }
--- a/node/ownership_test.go
+++ b/node/ownership_test.go
@@ -27,7 +27,7 @@
 		"fewer than its fair part already":  {0.4, 0, 2, 2, false},
 		"much larger, and owns many itself": {0.8, 3, 1, 0, true},
 	} {
-		n := &Node{in: fleet.Instance{Name: "self", CPUShare: 0.4}, around: &membership.Neighbours{Hub: true}, groups: map[string]*held{}, heard: map[string]*inner.Presence{}}
+		n := &Node{in: fleet.Instance{Name: "self", CPUShare: 0.4}, around: &membership.Neighbours{IsHub: true}, groups: map[string]*held{}, heard: map[string]*inner.Presence{}}
 		for i := range c.own {
 			n.groups[groupName("a", i)] = &held{}
 		}
--- a/node/peers.go
+++ b/node/peers.go
@@ -58,8 +58,8 @@
 	}
 	n.mu.Unlock()
 	p.ClockMs = n.clockMs()
-	p.Draining = livesTo(n.directory.DrainsSince(clock.Now().Add(-tellDrains)))
-	p.Rooms = roomsTo(n.directory.RoomsSince(clock.Now().Add(-tellDrains)))
+	p.Draining = livesTo(n.directory.DrainingSince(clock.Now().Add(-tellDrains)))
+	p.Rooms = roomsTo(n.directory.CapacityReportsSince(clock.Now().Add(-tellDrains)))
 	n.tellZones(p)
 	if c := n.config.Load(); c != nil {
 		p.ConfigVersion = c.Version
@@ -187,7 +187,7 @@
 	if config == nil {
 		return
 	}
-	n.metrics.Sent("config_reply")
+	n.metrics.CountSent("config_reply")
 	f := &inner.Frame{Body: &inner.Frame_ConfigReply{ConfigReply: &inner.ConfigReply{Config: config.Raw}}}
 	if err := to.Send(f); err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "config"), slog.String("error", err.Error()))
@@ -212,7 +212,7 @@
 		return
 	}
 	n.mu.Lock()
-	changes := n.table.Ended(peer)
+	changes := n.table.MarkEnded(peer)
 	n.mu.Unlock()
 	n.changed(changes)
 	if len(changes) > 0 {
@@ -223,8 +223,8 @@
 // hear takes the heartbeat of a peer.
 func (n *Node) hear(link inner.Link, from fate.Incarnation, p *inner.Presence) {
 	n.mu.Lock()
-	load := membership.Load{Leaving: p.GetLeaving(), Revision: p.GetConfigVersion(), Unwanted: p.GetUnwanted()}
-	changes := n.table.Heard(from, load, n.nowMs())
+	load := membership.Heartbeat{Leaving: p.GetLeaving(), Revision: p.GetConfigVersion(), Unwanted: p.GetUnwanted()}
+	changes := n.table.RecordHeartbeat(from, load, n.nowMs())
 	before := n.heard[from.Instance()]
 	n.heard[from.Instance()] = p
 	n.highest = max(n.highest, p.GetHighestToken())
@@ -234,9 +234,9 @@
 		}
 	}
 	n.mu.Unlock()
-	leaving := n.directory.Drains(clock.Now(), livesFrom(p.GetDraining()))
+	leaving := n.directory.MarkDraining(clock.Now(), livesFrom(p.GetDraining()))
 	n.logDrains(leaving, from.Instance())
-	resized := n.directory.TakeRooms(clock.Now(), roomsFrom(p.GetRooms()))
+	resized := n.directory.ApplyCapacityReports(clock.Now(), roomsFrom(p.GetRooms()))
 	n.hearZones(from.Instance(), p)
 	n.router.heardOwner(link, from, p.GetClockMs())
 	n.router.heard(from, p)
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -19,12 +19,12 @@
 			share = 0.8
 		}
 		name := fmt.Sprintf("%s-%d", zone, i)
-		known[name] = membership.Listing{Instance: name, Zone: zone, Share: share, Address: name}
+		known[name] = membership.Listing{Instance: name, Zone: zone, CPUShare: share, Address: name}
 	}
 	var fleet []*Node
 	for name, l := range known {
 		n := bareNode(name, l.Zone)
-		n.in.CPUShare = l.Share
+		n.in.CPUShare = l.CPUShare
 		for i := range zones {
 			n.groupCounts[fmt.Sprintf("%c", 'a'+i)] = 4
 		}
--- a/node/registration.go
+++ b/node/registration.go
@@ -37,7 +37,7 @@
 				delete(known, name)
 				continue
 			}
-			known[name] = membership.Listing{Instance: name, Address: e.Address, Region: e.Region, Zone: e.Zone, Share: e.Share}
+			known[name] = membership.Listing{Instance: name, Address: e.Address, Region: e.Region, Zone: e.Zone, CPUShare: e.Share}
 		}
 		n.listPeers(known)
 	}
--- a/node/relay.go
+++ b/node/relay.go
@@ -28,7 +28,7 @@
 	}
 	var mine []*inner.RemoteOwner
 	for i, o := range n.router.awayOwners() {
-		if i%around.Hubs == around.Rank {
+		if i%around.HubCount == around.Rank {
 			mine = append(mine, o)
 		}
 	}
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -87,7 +87,7 @@
 			absent: map[string]time.Time{}, dials: map[string]dialOutcome{"there": c.dial},
 			began: clock.Now().Add(-c.age), peersRead: !c.unread,
 		}
-		n.table.Met(membership.Listing{Instance: "a-2", Zone: "a", Address: "there"})
+		n.table.ApplyHello(membership.Listing{Instance: "a-2", Zone: "a", Address: "there"})
 		if c.absent {
 			n.absent["a-2"] = clock.Now()
 		}
@@ -100,7 +100,7 @@
 // bareNode returns an instance that has just begun and knows nobody. It does not run.
 func bareNode(name, zone string) *Node {
 	n := &Node{
-		table: membership.NewTable(silence), around: &membership.Neighbours{Hub: true, Hubs: 1}, sought: &membership.Neighbours{},
+		table: membership.NewTable(silence), around: &membership.Neighbours{IsHub: true, HubCount: 1}, sought: &membership.Neighbours{},
 		absent: map[string]time.Time{}, dials: map[string]dialOutcome{}, groupCounts: map[string]int{}, began: clock.Now(), log: slog.New(slog.DiscardHandler),
 		listed: make(chan struct{}), stop: context.Background(), directory: directory.New(),
 	}
--- a/node/upstreamask.go
+++ b/node/upstreamask.go
@@ -23,14 +23,14 @@
 // askUpstreams asks a peer for the upstreams of the own availability zone, unless they are
 // known: another one each time.
 func (n *Node) askUpstreams() {
-	if n.directory.Listed() {
+	if n.directory.Synced() {
 		return
 	}
 	peer, found := n.nextToAsk()
 	if !found {
 		return
 	}
-	n.metrics.Sent("upstreams_request")
+	n.metrics.CountSent("upstreams_request")
 	request := &inner.Frame{Body: &inner.Frame_UpstreamsRequest{UpstreamsRequest: &inner.UpstreamsRequest{Zone: n.in.Zone}}}
 	_, err := n.mesh.Ask(peer, request, func(f *inner.Frame, err error) { n.takeUpstreams(peer, f, err) })
 	if err != nil {
@@ -66,17 +66,17 @@
 	}
 	list := lo.Map(f.GetUpstreamsReply().GetUpstreams(), func(u *inner.Upstream, _ int) fleet.Upstream { return upstreamFrom(u) })
 	event.UpstreamsTold.Log(n.log, slog.String("peer", string(peer)), slog.Int("upstreams", len(list)))
-	n.upstreamsChanged(n.directory.TakeList(clock.Now(), list))
+	n.upstreamsChanged(n.directory.Merge(clock.Now(), list))
 	n.tick() // groups may be taken now
 }
 
 // tellUpstreams answers a peer that asks for the upstreams of an availability zone.
 func (n *Node) tellUpstreams(zone string, reply func(*inner.Frame)) {
-	if !n.directory.Listed() {
+	if !n.directory.Synced() {
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(failure.NotFound.New("the upstreams are not known here"))}})
 		return
 	}
-	list := n.directory.Known(func(u fleet.Upstream) bool { return u.Zone == zone })
+	list := n.directory.ListForPeer(func(u fleet.Upstream) bool { return u.Zone == zone })
 	reply(&inner.Frame{Body: &inner.Frame_UpstreamsReply{UpstreamsReply: &inner.UpstreamsReply{
 		Upstreams: lo.Map(list, func(u fleet.Upstream, _ int) *inner.Upstream { return upstreamTo(u) }),
 	}}})
--- a/node/upstreamask_test.go
+++ b/node/upstreamask_test.go
@@ -22,7 +22,7 @@
 		in.until(other+" serves alone", func() bool { status, _ := in.submit(other, in.newID(), 1, 10); return status == http.StatusOK })
 		<-stopped
 		in.startKnowing(name, other)
-		in.until(name+" knows the upstreams", func() bool { return in.nodes[name].directory.Listed() })
+		in.until(name+" knows the upstreams", func() bool { return in.nodes[name].directory.Synced() })
 		in.until(name+" serves", func() bool { status, _ := in.submit(name, in.newID(), 2, 10); return status == http.StatusOK })
 	}
 	if in.store.Calls("kv-range") == 0 {
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -34,15 +34,15 @@
 func (n *Node) entries(items []platform.Item) []directory.Entry {
 	list := make([]directory.Entry, 0, len(items))
 	for _, item := range items {
-		e := directory.Entry{ID: platform.UpstreamID(item.Key), Gone: item.Deleted}
+		e := directory.Entry{ID: platform.UpstreamID(item.Key), Deleted: item.Deleted}
 		if !item.Deleted {
 			var err error
 			e.Upstream, err = platform.ParseUpstream(item.Key, item.Value)
-			e.Refused = n.refusals.entry(n, item.Key, err)
+			e.Invalid = n.refusals.entry(n, item.Key, err)
 		}
 		list = append(list, e)
 	}
-	if n.directory.TellsBirths(list) {
+	if n.directory.RecordStartTimes(list) {
 		n.refuseUnborn(list)
 	}
 	return list
@@ -53,21 +53,21 @@
 func (n *Node) refuseUnborn(list []directory.Entry) {
 	missing := failure.Field(failure.Protocol, "born", "is missing")
 	for i, e := range list {
-		if !e.Gone && !e.Refused && e.Upstream.Born == 0 {
-			list[i].Refused = n.refusals.entry(n, platform.UpstreamPrefix+e.ID, missing)
+		if !e.Deleted && !e.Invalid && e.Upstream.StartedUnixMs == 0 {
+			list[i].Invalid = n.refusals.entry(n, platform.UpstreamPrefix+e.ID, missing)
 		}
 	}
 }
 
 // upstreamsChanged gives owned groups the list as it is now, and notes the upstreams
 // that are newly known to drain.
-func (n *Node) upstreamsChanged(draining []fleet.Life) {
+func (n *Node) upstreamsChanged(draining []fleet.UpstreamIncarnation) {
 	n.logDrains(draining, "store")
 	n.updateGroups()
 }
 
 // logDrains logs those of some upstreams that this instance owns.
-func (n *Node) logDrains(lives []fleet.Life, from string) {
+func (n *Node) logDrains(lives []fleet.UpstreamIncarnation, from string) {
 	for _, life := range lives {
 		u, listed := n.directory.Lookup(life.ID)
 		n.mu.Lock()
@@ -130,7 +130,7 @@
 	how := n.upstreamNeedNow()
 	n.mu.Unlock()
 	if how == needNothing {
-		n.directory.Unlist()
+		n.directory.MarkUnsynced()
 	}
 	return how
 }
@@ -143,7 +143,7 @@
 	switch {
 	case len(n.groups) > 0:
 		return needClosely
-	case !n.around.Hub:
+	case !n.around.IsHub:
 		return needNothing
 	case counted && clock.Since(n.began) < standbyFirst && !membership.IsLarge(n.in.CPUShare, n.listedCandidates()):
 		return needNothing // the larger ones start as well, and read them at this moment
@@ -158,7 +158,7 @@
 // listed. The lock is held.
 func (n *Node) listedCandidates() []membership.Candidate {
 	return lo.FilterMap(n.hubPeers(), func(p membership.Peer, _ int) (membership.Candidate, bool) {
-		return membership.Candidate{Name: p.Instance, Share: p.Share}, !n.missing(p.Instance)
+		return membership.Candidate{Name: p.Instance, CPUShare: p.CPUShare}, !n.missing(p.Instance)
 	})
 }
 
--- a/owner/group.go
+++ b/owner/group.go
@@ -193,7 +193,7 @@
 func (g *Group) started(s schedule.Start, a started, took time.Duration) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		g.rtt.learn(now, took, a.err == nil)
-		return p.HandleStartResponse(now, s.Upstream.Life(), s.Order.Run, a.refusal, a.err)
+		return p.HandleStartResponse(now, s.Upstream.Incarnation(), s.Order.Run, a.refusal, a.err)
 	})
 }
 
@@ -203,7 +203,7 @@
 	err := g.calls.Stop(s.Upstream, s.Run, g.Token, limit)
 	g.seen.Called("stop", err, clock.Since(began))
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
-		return p.HandleStopResponse(now, s.Upstream.Life(), s.Run, err)
+		return p.HandleStopResponse(now, s.Upstream.Incarnation(), s.Run, err)
 	})
 }
 
@@ -249,7 +249,7 @@
 // held gives the pool the answer to a hold that was sent at a time.
 func (g *Group) held(u fleet.Upstream, sent time.Time, a held) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
-		return p.HandleHoldResponse(now, u.Life(), sent, a.report, a.err)
+		return p.HandleHoldResponse(now, u.Incarnation(), sent, a.report, a.err)
 	})
 }
 
--- a/owner/link_test.go
+++ b/owner/link_test.go
@@ -51,8 +51,8 @@
 func newLinked(rate float64, upstreams []fleet.Upstream) *linked {
 	l := &linked{rate: rate, cores: map[string]*standin.Core{}, idle: map[string]int{}}
 	for _, u := range upstreams {
-		l.cores[u.ID] = standin.NewCore(time.Now(), u.Capacity, func(fleet.Run) (time.Duration, fleet.Demand) {
-			return taskTime, fleet.Demand{MilliCPU: 32_000}
+		l.cores[u.ID] = standin.NewCore(time.Now(), u.Capacity, func(fleet.Run) (time.Duration, fleet.Resources) {
+			return taskTime, fleet.Resources{MilliCPU: 32_000}
 		})
 	}
 	return l
@@ -123,14 +123,14 @@
 }
 
 func (l *linked) Start(to fleet.Upstream, o fleet.StartOrder, timeout time.Duration) (fleet.Refusal, error) {
-	refusal := fleet.RefusedNot
+	refusal := fleet.NotRefused
 	err := l.call(to, headBytes+len(o.Spec), timeout, func(c *standin.Core) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		refusal = c.Start(time.Now(), o)
 	})
 	if err != nil {
-		return fleet.RefusedNot, err
+		return fleet.NotRefused, err
 	}
 	return refusal, nil
 }
@@ -152,7 +152,7 @@
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		report = c.Report(time.Now(), o.SeenEnds)
+		report = c.Report(time.Now(), o.AckedSequence)
 	})
 	if err != nil {
 		return fleet.Report{}, err
@@ -165,7 +165,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.Hold(time.Now(), o)
-	return !c.HasEnds(time.Now(), o.SeenEnds)
+	return !c.HasEnds(time.Now(), o.AckedSequence)
 }
 
 // silentObserver is told nothing of interest.
@@ -191,7 +191,7 @@
 	var upstreams []fleet.Upstream
 	for i := range 20 {
 		upstreams = append(upstreams, fleet.Upstream{
-			ID: fmt.Sprintf("u%02d", i), Service: "desk", Capacity: fleet.Demand{MilliCPU: 64_000, MemoryMB: 1000},
+			ID: fmt.Sprintf("u%02d", i), Service: "desk", Capacity: fleet.Resources{MilliCPU: 64_000, MemoryMB: 1000},
 		})
 	}
 	n := &narrowOwner{widths: rand.New(rand.NewPCG(1, 2)), link: newLinked(rate, upstreams)}
@@ -216,7 +216,7 @@
 		open.Add(1)
 		err := n.Offer(schedule.Offer{
 			Key: schedule.JobKey{Coordinator: "c", ID: fmt.Sprintf("%d-%d-%d", perSecond, long, i)}, Service: "desk", Route: "r",
-			Spec: string(make([]byte, specBytes)), Demand: fleet.Demand{MilliCPU: 32_000}, Estimate: taskTime, MaxAttempts: 4,
+			Spec: string(make([]byte, specBytes)), Demand: fleet.Resources{MilliCPU: 32_000}, Estimate: taskTime, MaxAttempts: 4,
 			Tasks: lo.Range(1 + n.widths.IntN(2*meanWidth-1)), Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: 2 * time.Second, MayQueue: true,
 		}, Answer{
 			Returned: func(schedule.Result, schedule.Load) {},
--- a/schedule/closed.go
+++ b/schedule/closed.go
@@ -26,7 +26,7 @@
 // it has been, on any upstream of its service for which may holds.
 func (p *Pool) fitsAny(j *job, may func(*upstream) bool) bool {
 	return slices.ContainsFunc(p.sorted, func(u *upstream) bool {
-		return u.Service == j.Service && j.Demand.Within(u.Capacity.Max(u.Largest)) && may(u)
+		return u.Service == j.Service && j.Demand.Within(u.Capacity.Max(u.LargestCapacity)) && may(u)
 	})
 }
 
@@ -42,7 +42,7 @@
 		if j.Demand.Within(u.Capacity) {
 			return true
 		}
-		shrunk = shrunk || j.Demand.Within(u.Largest)
+		shrunk = shrunk || j.Demand.Within(u.LargestCapacity)
 	}
 	return !shrunk
 }
--- a/schedule/cost_test.go
+++ b/schedule/cost_test.go
@@ -13,11 +13,11 @@
 	p := NewPool(DefaultConfig, 1)
 	var list []fleet.Upstream
 	for i := range upstreams {
-		list = append(list, fleet.Upstream{ID: fmt.Sprintf("u%03d", i), Service: "s", Capacity: fleet.Demand{MilliCPU: 64000, MemoryMB: 1 << 18}})
+		list = append(list, fleet.Upstream{ID: fmt.Sprintf("u%03d", i), Service: "s", Capacity: fleet.Resources{MilliCPU: 64000, MemoryMB: 1 << 18}})
 	}
 	p.SetUpstreams(epochZero, list)
 	for _, u := range list {
-		p.HandleHoldResponse(epochZero, u.Life(), epochZero, fleet.Report{}, nil)
+		p.HandleHoldResponse(epochZero, u.Incarnation(), epochZero, fleet.Report{}, nil)
 	}
 	for i := range 2*upstreams + jobs {
 		p.Offer(epochZero, crowdedOffer(fmt.Sprintf("%016x", i)))
@@ -27,7 +27,7 @@
 
 func crowdedOffer(id string) Offer {
 	return Offer{
-		Key: JobKey{"home", id, 1}, Service: "s", Route: "r", Demand: fleet.Demand{MilliCPU: 27000, MemoryMB: 64},
+		Key: JobKey{"home", id, 1}, Service: "s", Route: "r", Demand: fleet.Resources{MilliCPU: 27000, MemoryMB: 64},
 		Estimate: 200 * time.Millisecond, MaxAttempts: 2, Tasks: []int{0}, Stretch: 1.6, Slack: time.Minute, Timeout: time.Minute, MayQueue: true,
 	}
 }
@@ -54,7 +54,7 @@
 				report.Running = append(report.Running, fleet.RunningTask{Run: id})
 			}
 			for b.Loop() {
-				p.HandleHoldResponse(epochZero, fleet.Life{ID: "u000"}, epochZero, report, nil)
+				p.HandleHoldResponse(epochZero, fleet.UpstreamIncarnation{ID: "u000"}, epochZero, report, nil)
 			}
 		})
 	}
@@ -78,7 +78,9 @@
 // for room. A forecast for each of them would.
 func TestInputsAreCheap(t *testing.T) {
 	report := func(p *Pool) float64 {
-		return testing.AllocsPerRun(20, func() { p.HandleHoldResponse(epochZero, fleet.Life{ID: "u000"}, epochZero, fleet.Report{}, nil) })
+		return testing.AllocsPerRun(20, func() {
+			p.HandleHoldResponse(epochZero, fleet.UpstreamIncarnation{ID: "u000"}, epochZero, fleet.Report{}, nil)
+		})
 	}
 	offer := func(p *Pool) float64 {
 		o := crowdedOffer("ffffffffffffffff")
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -9,7 +9,7 @@
 )
 
 // HandleStartResponse takes the answer to a start that was ordered of a life.
-func (p *Pool) HandleStartResponse(now time.Time, of fleet.Life, id fleet.Run, refusal fleet.Refusal, err error) Effects {
+func (p *Pool) HandleStartResponse(now time.Time, of fleet.UpstreamIncarnation, id fleet.Run, refusal fleet.Refusal, err error) Effects {
 	return p.do(now, func() {
 		u := p.upstreams[of.ID]
 		if u == nil || u.runs[id] == nil {
@@ -17,13 +17,13 @@
 		}
 		r := u.runs[id]
 		switch {
-		case err != nil && of.Born < u.Born:
+		case err != nil && of.StartedUnixMs < u.StartedUnixMs:
 			// It says nothing of this life, in which the run is being stopped.
 		case failure.Is(err, failure.Gone):
 			p.gone(u, "another life answers")
 		case err != nil:
 			p.stop(r, "start without answer")
-		case refusal == fleet.RefusedNot:
+		case refusal == fleet.NotRefused:
 			u.misses = 0
 			r.acked = now
 			if r.state == starting {
@@ -50,7 +50,7 @@
 		switch refusal {
 		case fleet.RefusedOldRun:
 			t.number += oldRunStep
-		case fleet.RefusedUnhealthy, fleet.RefusedRoom, fleet.RefusedBad:
+		case fleet.RefusedUnhealthy, fleet.RefusedNoRoom, fleet.RefusedInvalid:
 			if p.cfg.Policy.DoubtRefusing {
 				p.doubt(u, string(refusal))
 			}
@@ -76,7 +76,7 @@
 }
 
 // HandleStopResponse takes the answer to a stop that was ordered of a life.
-func (p *Pool) HandleStopResponse(now time.Time, of fleet.Life, id fleet.Run, err error) Effects {
+func (p *Pool) HandleStopResponse(now time.Time, of fleet.UpstreamIncarnation, id fleet.Run, err error) Effects {
 	return p.do(now, func() {
 		u := p.current(of, 0)
 		if u == nil || u.runs[id] == nil {
@@ -106,7 +106,7 @@
 		return fleet.Upstream{}, fleet.HoldOrder{}, false
 	}
 	p.now = now
-	o := fleet.HoldOrder{Token: p.token, SeenEnds: p.seenEnds(u)}
+	o := fleet.HoldOrder{Token: p.token, AckedSequence: p.seenEnds(u)}
 	// Runs of a former owner are over at the latest with the leases that it granted.
 	if u.joined && !u.silent && u.unknown == 0 && p.mayRenew(u) {
 		o.LeaseUntilMs = p.grant(u)
@@ -135,13 +135,13 @@
 		return fleet.Upstream{}, fleet.HoldOrder{}, false
 	}
 	p.now = now
-	return u.Upstream, fleet.HoldOrder{Token: p.token, SeenEnds: p.seenEnds(u)}, true
+	return u.Upstream, fleet.HoldOrder{Token: p.token, AckedSequence: p.seenEnds(u)}, true
 }
 
 // HandleHoldResponse takes the answer to a hold or a look that was sent to a life at a time.
-func (p *Pool) HandleHoldResponse(now time.Time, to fleet.Life, sent time.Time, report fleet.Report, err error) Effects {
+func (p *Pool) HandleHoldResponse(now time.Time, to fleet.UpstreamIncarnation, sent time.Time, report fleet.Report, err error) Effects {
 	return p.do(now, func() {
-		u := p.current(to, report.Born)
+		u := p.current(to, report.StartedUnixMs)
 		switch {
 		case u == nil:
 		case failure.Is(err, failure.Gone):
--- a/schedule/link_test.go
+++ b/schedule/link_test.go
@@ -16,11 +16,11 @@
 	p := NewPool(cfg, 1)
 	var list []fleet.Upstream
 	for i := range 20 {
-		list = append(list, fleet.Upstream{ID: fmt.Sprintf("u%02d", i), Service: "s", Capacity: fleet.Demand{MilliCPU: 64_000}})
+		list = append(list, fleet.Upstream{ID: fmt.Sprintf("u%02d", i), Service: "s", Capacity: fleet.Resources{MilliCPU: 64_000}})
 	}
 	added, _ := p.SetUpstreams(now, list)
 	for _, id := range added {
-		p.HandleHoldResponse(now, fleet.Life{ID: id}, now, fleet.Report{}, nil)
+		p.HandleHoldResponse(now, fleet.UpstreamIncarnation{ID: id}, now, fleet.Report{}, nil)
 	}
 	return p
 }
@@ -30,7 +30,7 @@
 func wide(n int) Offer {
 	return Offer{
 		Key: JobKey{"c", fmt.Sprintf("%016x", n), 1}, Service: "s", Route: "r", Spec: string(make([]byte, 1200)),
-		Demand: fleet.Demand{MilliCPU: 32_000}, Estimate: 60 * time.Millisecond, MaxAttempts: 4, Tasks: []int{0, 1, 2, 3, 4, 5, 6, 7},
+		Demand: fleet.Resources{MilliCPU: 32_000}, Estimate: 60 * time.Millisecond, MaxAttempts: 4, Tasks: []int{0, 1, 2, 3, 4, 5, 6, 7},
 		Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: time.Second, MayQueue: true,
 	}
 }
--- a/schedule/lives.go
+++ b/schedule/lives.go
@@ -15,18 +15,18 @@
 // current returns the upstream whose life answered a call, nil where that life is over.
 // An answer may tell of a new life before its entry does. Answers that come from no
 // process say nothing of lives.
-func (p *Pool) current(of fleet.Life, says int64) *upstream {
+func (p *Pool) current(of fleet.UpstreamIncarnation, says int64) *upstream {
 	u := p.upstreams[of.ID]
 	if u == nil {
 		return nil
 	}
-	born := max(of.Born, says)
+	born := max(of.StartedUnixMs, says)
 	switch {
-	case born < u.Born:
+	case born < u.StartedUnixMs:
 		return nil
-	case born > u.Born:
+	case born > u.StartedUnixMs:
 		next := u.Upstream
-		next.Born, next.Draining = born, false
+		next.StartedUnixMs, next.Draining = born, false
 		return p.restarted(u, next)
 	default:
 		return u
@@ -37,7 +37,7 @@
 // itself so lately that it cannot have done so since: that takes a second or more, and a
 // lease is shorter.
 func (p *Pool) heardLately(u *upstream) bool {
-	return u.Born == 0 || p.now.Sub(u.clockAt) <= p.cfg.Lease
+	return u.StartedUnixMs == 0 || p.now.Sub(u.clockAt) <= p.cfg.Lease
 }
 
 // restarted replaces an upstream by its next life. What ran in the former life is over. A
--- a/schedule/model_test.go
+++ b/schedule/model_test.go
@@ -47,7 +47,7 @@
 			return w.open[key]
 		}
 	}
-	return &simJob{offer: Offer{Demand: fleet.Demand{MilliCPU: 3000}}}
+	return &simJob{offer: Offer{Demand: fleet.Resources{MilliCPU: 3000}}}
 }
 
 func (w *world) apply(e Effects) {
@@ -200,14 +200,14 @@
 
 // resize changes the room of an upstream. Its entry tells that some time later.
 func (w *world) resize(u *standin.SimulatedUpstream) {
-	room := fleet.Demand{MilliCPU: int64(1000 * (1 + w.Rand.IntN(8)))}
+	room := fleet.Resources{MilliCPU: int64(1000 * (1 + w.Rand.IntN(8)))}
 	u.Core.Capacity = room
 	w.AfterFunc(w.Millis(0, latestEntry), func() {
 		if u.Core.Capacity != room {
 			return // another change has been told since, or is about to be
 		}
 		u.Upstream.Capacity = room
-		u.Upstream.Largest = u.Upstream.Largest.Max(room)
+		u.Upstream.LargestCapacity = u.Upstream.LargestCapacity.Max(room)
 		w.listUpstreams()
 	})
 }
@@ -238,7 +238,7 @@
 	}
 	o := Offer{
 		Key: key, Service: "s", Route: "r", Spec: "x",
-		Demand: fleet.Demand{MilliCPU: 3000}, Estimate: 150 * time.Millisecond, MaxAttempts: 4,
+		Demand: fleet.Resources{MilliCPU: 3000}, Estimate: 150 * time.Millisecond, MaxAttempts: 4,
 		Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: 5 * time.Second, MayQueue: w.Rand.IntN(2) == 0,
 	}
 	for i := range 1 + w.Rand.IntN(8) {
@@ -324,7 +324,7 @@
 	}
 	if w.resizes {
 		for _, u := range w.upstreams {
-			u.Core.Capacity, u.Upstream.Capacity = fleet.Demand{MilliCPU: 8000}, fleet.Demand{MilliCPU: 8000}
+			u.Core.Capacity, u.Upstream.Capacity = fleet.Resources{MilliCPU: 8000}, fleet.Resources{MilliCPU: 8000}
 		}
 		w.listUpstreams()
 	}
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -95,9 +95,9 @@
 	case u == nil:
 		p.insert(listed)
 		return true
-	case listed.Born > u.Born:
+	case listed.StartedUnixMs > u.StartedUnixMs:
 		u = p.restarted(u, listed)
-	case listed.Born == u.Born:
+	case listed.StartedUnixMs == u.StartedUnixMs:
 		listed.Draining = listed.Draining || u.Draining
 		u.Upstream = listed
 	}
--- a/schedule/scenario_test.go
+++ b/schedule/scenario_test.go
@@ -94,18 +94,18 @@
 }
 
 var refusals = map[string]fleet.Refusal{
-	"": fleet.RefusedNot, "room": fleet.RefusedRoom, "old": fleet.RefusedOldRun, "fence": fleet.RefusedFence,
+	"": fleet.NotRefused, "room": fleet.RefusedNoRoom, "old": fleet.RefusedOldRun, "fence": fleet.RefusedFence,
 	"late": fleet.RefusedLate, "unhealthy": fleet.RefusedUnhealthy,
 }
 
 // life is the life of an upstream that a call was made to: born, or the one that the
 // pool knows.
-func (s *scenario) life(id string, arg func(string, string) string) fleet.Life {
+func (s *scenario) life(id string, arg func(string, string) string) fleet.UpstreamIncarnation {
 	born, err := strconv.ParseInt(arg("born", "0"), 10, 64)
 	if u := s.pool.upstreams[id]; err == nil && born == 0 && u != nil {
-		return u.Life()
+		return u.Incarnation()
 	}
-	return fleet.Life{ID: id, Born: born}
+	return fleet.UpstreamIncarnation{ID: id, StartedUnixMs: born}
 }
 
 func (s *scenario) clock() int64 { return s.now.Sub(epochZero).Milliseconds() }
@@ -131,19 +131,19 @@
 	for line := range strings.Lines(input) {
 		fields := strings.Fields(line)
 		list = append(list, fleet.Upstream{
-			ID: fields[0], Service: "s", Capacity: fleet.Demand{MilliCPU: int64(number(t, fields[1]))}, Largest: s.largest(fields[0], int64(number(t, fields[1]))),
+			ID: fields[0], Service: "s", Capacity: fleet.Resources{MilliCPU: int64(number(t, fields[1]))}, LargestCapacity: s.largest(fields[0], int64(number(t, fields[1]))),
 			Draining: slices.Contains(fields[2:], "draining"), Closed: slices.Contains(fields[2:], "closed"),
-			Born: int64(number(t, fieldOf(fields[2:], "born", "0"))), Rack: fieldOf(fields[2:], "rack", ""),
+			StartedUnixMs: int64(number(t, fieldOf(fields[2:], "born", "0"))), Rack: fieldOf(fields[2:], "rack", ""),
 		})
 	}
 	return list
 }
 
 // largest returns the largest capacity that an upstream has had so far.
-func (s *scenario) largest(id string, cpu int64) fleet.Demand {
-	now := fleet.Demand{MilliCPU: cpu}
+func (s *scenario) largest(id string, cpu int64) fleet.Resources {
+	now := fleet.Resources{MilliCPU: cpu}
 	if u := s.pool.upstreams[id]; u != nil {
-		return now.Max(u.Largest)
+		return now.Max(u.LargestCapacity)
 	}
 	return now
 }
@@ -160,7 +160,7 @@
 
 func (s *scenario) offer(t *testing.T, id string, arg func(string, string) string) Offer {
 	o := Offer{
-		Key: JobKey{arg("from", "home"), id, 0}, Service: "s", Route: "r" + arg("est", "100ms"), Demand: fleet.Demand{MilliCPU: int64(number(t, arg("cpu", "8000")))},
+		Key: JobKey{arg("from", "home"), id, 0}, Service: "s", Route: "r" + arg("est", "100ms"), Demand: fleet.Resources{MilliCPU: int64(number(t, arg("cpu", "8000")))},
 		Estimate: duration(t, arg("est", "100ms")), Priority: number(t, arg("priority", "0")), MaxAttempts: number(t, arg("attempts", "2")),
 		Stretch: 1.6, Slack: duration(t, arg("slack", "60ms")), Timeout: duration(t, arg("patience", "5s")), MayQueue: arg("queue", "") != "", Begun: arg("begun", "") != "",
 		AllOrNothing: arg("whole", "") != "", History: map[int]TaskHistory{}, Rack: arg("rack", ""), MaxPerUpstream: number(t, arg("most", "0")),
@@ -190,9 +190,9 @@
 }
 
 func (s *scenario) report(t *testing.T, upstream string, arg func(string, string) string) fleet.Report {
-	r := fleet.Report{ClockMs: s.clock(), Born: int64(number(t, arg("says", "0")))}
-	if r.Born == 0 {
-		r.Born = s.life(upstream, arg).Born
+	r := fleet.Report{ClockMs: s.clock(), StartedUnixMs: int64(number(t, arg("says", "0")))}
+	if r.StartedUnixMs == 0 {
+		r.StartedUnixMs = s.life(upstream, arg).StartedUnixMs
 	}
 	if arg("counts", "") == "anew" {
 		s.seq[upstream] = 0
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -94,7 +94,7 @@
 	Service     string
 	Route       string
 	Spec        string
-	Demand      fleet.Demand
+	Demand      fleet.Resources
 	Estimate    time.Duration // of one task, as declared
 	Priority    int           // 0 goes first
 	MaxAttempts int
@@ -237,7 +237,7 @@
 	id        fleet.Run
 	job       *job // nil once nobody wants it
 	up        *upstream
-	demand    fleet.Demand
+	demand    fleet.Resources
 	unknown   bool // found on the upstream: its demand is not known
 	state     runState
 	ordered   time.Time
@@ -300,7 +300,7 @@
 	joined    bool // its first report is in, and nothing unknown runs there
 	listed    bool
 	removed   time.Time
-	used      fleet.Demand
+	used      fleet.Resources
 	runs      map[fleet.Run]*run
 	unknown   int
 	clockMs   int64
--- a/schedule/world_test.go
+++ b/schedule/world_test.go
@@ -28,8 +28,8 @@
 	open      map[JobKey]*simJob
 	sending   map[fleet.TaskRef]int                // how often a task was offered
 	ordered   map[fleet.Run]int                    // the sending that a run was ordered for last
-	told      map[string]fleet.Demand              // the room of each upstream as the pool was told last
-	room      map[fleet.Run]fleet.Demand           // told by the time that a run was ordered
+	told      map[string]fleet.Resources           // the room of each upstream as the pool was told last
+	room      map[fleet.Run]fleet.Resources        // told by the time that a run was ordered
 	inFlight  map[*standin.Core][]fleet.StartOrder // that may yet be carried out, by the life they were made to
 	begun     map[fleet.TaskRef]bool               // of its last sending
 	returned  map[fleet.TaskRef]bool               // as never begun, and not offered since
@@ -74,7 +74,7 @@
 	w.inFlight[u.Core] = append(w.inFlight[u.Core], s.Order)
 	u.CallStart(s.Order, simStartTimeout, func(refusal fleet.Refusal, err error) {
 		w.ifCurrent(epoch, func(p *Pool, now time.Time) Effects {
-			return p.HandleStartResponse(now, s.Upstream.Life(), run, refusal, err)
+			return p.HandleStartResponse(now, s.Upstream.Incarnation(), run, refusal, err)
 		})
 	})
 }
@@ -87,7 +87,7 @@
 	used := w.jobOf(ordered.Task).offer.Demand
 	runs := u.Running()
 	w.inFlight[u.Core] = slices.DeleteFunc(w.inFlight[u.Core], func(o fleet.StartOrder) bool {
-		return slices.Contains(runs, o.Run) || u.Refuses(w.Now(), o) != fleet.RefusedNot
+		return slices.Contains(runs, o.Run) || u.Refuses(w.Now(), o) != fleet.NotRefused
 	})
 	for _, o := range w.inFlight[u.Core] {
 		runs = append(runs, o.Run)
@@ -105,7 +105,9 @@
 func (w *world) stop(s Stop) {
 	epoch := w.epoch
 	w.find(s.Upstream.ID).CallStop(s.Run, w.pool.Token(), simTimeout, func(err error) {
-		w.ifCurrent(epoch, func(p *Pool, now time.Time) Effects { return p.HandleStopResponse(now, s.Upstream.Life(), s.Run, err) })
+		w.ifCurrent(epoch, func(p *Pool, now time.Time) Effects {
+			return p.HandleStopResponse(now, s.Upstream.Incarnation(), s.Run, err)
+		})
 	})
 }
 
@@ -116,7 +118,7 @@
 		if epoch != w.epoch {
 			return
 		}
-		w.apply(w.pool.HandleHoldResponse(w.Now(), to.Life(), sent, report, err))
+		w.apply(w.pool.HandleHoldResponse(w.Now(), to.Incarnation(), sent, report, err))
 		then(err == nil)
 	})
 }
@@ -136,8 +138,8 @@
 	w := &world{
 		Simulation: standin.NewSimulation(epochZero, seed), t: t,
 		open: map[JobKey]*simJob{}, begun: map[fleet.TaskRef]bool{}, returned: map[fleet.TaskRef]bool{}, noted: map[fleet.TaskRef]bool{}, crashers: map[fleet.TaskRef]int{},
-		sending: map[fleet.TaskRef]int{}, ordered: map[fleet.Run]int{}, room: map[fleet.Run]fleet.Demand{},
-		told: map[string]fleet.Demand{}, inFlight: map[*standin.Core][]fleet.StartOrder{},
+		sending: map[fleet.TaskRef]int{}, ordered: map[fleet.Run]int{}, room: map[fleet.Run]fleet.Resources{},
+		told: map[string]fleet.Resources{}, inFlight: map[*standin.Core][]fleet.StartOrder{},
 	}
 	for i := range 4 {
 		w.upstreams = append(w.upstreams, w.newUpstream(fmt.Sprintf("u%d", i)))
@@ -146,8 +148,8 @@
 }
 
 func (w *world) newUpstream(id string) *standin.SimulatedUpstream {
-	u := w.NewUpstream(fleet.Upstream{ID: id, Service: "s", Zone: "z", Capacity: fleet.Demand{MilliCPU: 8000}},
-		func(r fleet.Run) (time.Duration, fleet.Demand) {
+	u := w.NewUpstream(fleet.Upstream{ID: id, Service: "s", Zone: "z", Capacity: fleet.Resources{MilliCPU: 8000}},
+		func(r fleet.Run) (time.Duration, fleet.Resources) {
 			return w.Millis(20, 400), w.jobOf(r.Task).offer.Demand
 		})
 	u.Rate = 0.98 + 0.02*w.Rand.Float64()
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -268,9 +268,9 @@
 	in.born++
 	u, err := standin.NewUpstream(standin.UpstreamConfig{
 		ID: fmt.Sprintf("u%d", in.born), Service: "desk", Zone: zone, Address: "127.0.0.1:0",
-		Capacity: fleet.Demand{MilliCPU: upstreamCPU, MemoryMB: upstreamMemory}, Hidden: true,
+		Capacity: fleet.Resources{MilliCPU: upstreamCPU, MemoryMB: upstreamMemory}, Hidden: true,
 		Takes:  standin.TakesOf,
-		Demand: func(string) fleet.Demand { return fleet.Demand{MilliCPU: taskCPU} }, TellsBirth: in.cfg.Lives,
+		Demand: func(string) fleet.Resources { return fleet.Resources{MilliCPU: taskCPU} }, TellsBirth: in.cfg.Lives,
 	}, in.store, in.ledger)
 	if err != nil {
 		return err
--- a/soak/run.go
+++ b/soak/run.go
@@ -236,9 +236,9 @@
 	if !in.claimUpstream(u) {
 		return
 	}
-	u.Resize(fleet.Demand{MilliCPU: shrunkCPU, MemoryMB: upstreamMemory}, roomBound)
+	u.Resize(fleet.Resources{MilliCPU: shrunkCPU, MemoryMB: upstreamMemory}, roomBound)
 	time.Sleep(roomBound + d)
-	u.Resize(fleet.Demand{MilliCPU: upstreamCPU, MemoryMB: upstreamMemory}, 0)
+	u.Resize(fleet.Resources{MilliCPU: upstreamCPU, MemoryMB: upstreamMemory}, 0)
 	in.releaseUpstream(u)
 }
 
