--- a/node/configask.go
+++ b/node/configask.go
@@ -18,10 +18,10 @@
 	configRetry = 500 * time.Millisecond
 )
 
-// configAsk decides when to ask a peer for a newer configuration: one at a time.
+// configRequests decides when to ask a peer for a newer configuration: one at a time.
 // Every neighbour tells of it at about the same moment; in a fleet of 147 a hub has
 // 70, and 70 answers of 300 kB would fill its memory, and the links, for seconds.
-type configAsk struct {
+type configRequests struct {
 	version uint64    // the newest that was heard of
 	since   time.Time // when it was
 	asked   time.Time // when a peer was asked last
@@ -29,7 +29,7 @@
 
 // due takes that a peer has a newer configuration than this instance, and reports
 // whether to ask it now. An instance that has none yet does not wait for the store.
-func (c *configAsk) due(now time.Time, version uint64, none bool) bool {
+func (c *configRequests) due(now time.Time, version uint64, none bool) bool {
 	if version > c.version {
 		c.version, c.since = version, now
 	}
@@ -47,7 +47,7 @@
 		return
 	}
 	n.mu.Lock()
-	due := n.configAsk.due(clock.Now(), version, config == nil)
+	due := n.configRequests.due(clock.Now(), version, config == nil)
 	n.mu.Unlock()
 	if !due {
 		return
--- a/node/configask_test.go
+++ b/node/configask_test.go
@@ -12,7 +12,7 @@
 func TestConfigAsk(t *testing.T) {
 	began := time.Now()
 	at := func(d time.Duration) time.Time { return began.Add(d) }
-	var c configAsk
+	var c configRequests
 	asked := 0
 	tell := func(from, until time.Duration, version uint64, none bool) {
 		const neighbours = 70
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -52,7 +52,7 @@
 func TestCustomerLeaves(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 1, "a-1")
 	id := in.newID()
-	conn, err := net.Dial("tcp", in.nodes["a-1"].in.CustomerAddress)
+	conn, err := net.Dial("tcp", in.nodes["a-1"].settings.CustomerAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 			in.store.SetTrouble(standin.Fine, 0)
 			in.configure(2, "/checks/", "/more/")
 			in.until("the new route is there", func() bool {
-				return in.status("GET", in.nodes[left].in.CustomerAddress, "/more/") == http.StatusOK
+				return in.status("GET", in.nodes[left].settings.CustomerAddress, "/more/") == http.StatusOK
 			})
 		})
 	}
@@ -146,7 +146,7 @@
 	dead.SetTrouble(standin.Busy, 0)
 	settings := in.settings("a-2")
 	settings.StoreAddress = dead.Address
-	settings.SeedPeers = []string{in.nodes["a-1"].in.PeerAddress}
+	settings.SeedPeers = []string{in.nodes["a-1"].settings.PeerAddress}
 	n, err := New(settings, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 	stopped := make(chan bool, 1)
 	go func() { stopped <- in.nodes[owner].Stop() }()
 	in.until("it is not ready", func() bool {
-		return in.status("GET", in.nodes[owner].in.ReadinessAddress, "/readiness") == http.StatusServiceUnavailable
+		return in.status("GET", in.nodes[owner].settings.ReadinessAddress, "/readiness") == http.StatusServiceUnavailable
 	})
 	running = append(running, in.background(owner, in.newID(), 1, 30))
 	for i, answer := range running {
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	in.nodes["a-2"] = n
-	_ = n.listener.Close() // nobody reaches it
+	_ = n.peerListener.Close() // nobody reaches it
 	n.Run()
 	in.until("it hears its peer", func() bool {
 		n.mu.Lock()
--- a/node/follow.go
+++ b/node/follow.go
@@ -52,7 +52,7 @@
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = firstRetry, longestRetry
 	revision, known, lost := uint64(0), false, time.Time{}
-	for n.stop.Err() == nil {
+	for n.ctx.Err() == nil {
 		if f.now() == needNothing {
 			known = false
 			n.pause(neededPoll)
@@ -93,7 +93,7 @@
 // reports whether they have to be read again in whole.
 func (n *Node) restRoughly(f follower) bool {
 	began, rested := clock.Now(), false
-	for f.now() == needRoughly && n.stop.Err() == nil {
+	for f.now() == needRoughly && n.ctx.Err() == nil {
 		if clock.Since(began) >= roughRest {
 			return true
 		}
@@ -118,7 +118,7 @@
 // pause waits, unless the instance stops.
 func (n *Node) pause(d time.Duration) {
 	select {
-	case <-n.stop.Done():
+	case <-n.ctx.Done():
 	case <-time.After(d):
 	}
 }
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -38,7 +38,7 @@
 				n.setPeers(known)
 				for _, other := range zone {
 					if other != self && heard < c.heard {
-						n.table.RecordHeartbeat(fate.Incarnation(other+".1"), membership.Heartbeat{}, 1)
+						n.peers.RecordHeartbeat(fate.Incarnation(other+".1"), membership.Heartbeat{}, 1)
 						heard++
 					}
 				}
--- a/node/giveup_test.go
+++ b/node/giveup_test.go
@@ -19,7 +19,7 @@
 func (in *installation) handIn(name, id string, tasks int) (leave func()) {
 	in.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	req, err := standin.NewRequest(ctx, "POST", in.nodes[name].in.CustomerAddress, "desk.example", "/checks/"+id, jobBody(tasks, longTask), patience)
+	req, err := standin.NewRequest(ctx, "POST", in.nodes[name].settings.CustomerAddress, "desk.example", "/checks/"+id, jobBody(tasks, longTask), patience)
 	if err != nil {
 		in.t.Fatal(err)
 	}
--- a/node/groups.go
+++ b/node/groups.go
@@ -20,14 +20,14 @@
 	"github.com/samber/lo"
 )
 
-// held is a group that this instance owns.
-type held struct {
+// ownedGroup is a group that this instance owns.
+type ownedGroup struct {
 	*owner.Group
-	since time.Time
-	// handing is set while the group goes to a better owner. The upstreams
+	takenAt time.Time
+	// handingOver is set while the group goes to a better owner. The upstreams
 	// that were let go already are in released.
-	handing  bool
-	released []string
+	handingOver bool
+	released    []string
 }
 
 // groupName names one group of an availability zone.
@@ -56,16 +56,18 @@
 }
 
 // zoneGroups returns the groups of the own availability zone. The lock is held.
-func (n *Node) zoneGroups() []string { return groupsOf(n.in.Zone, n.groupCounts[n.in.Zone]) }
+func (n *Node) zoneGroups() []string {
+	return groupsOf(n.settings.Zone, n.groupCounts[n.settings.Zone])
+}
 
 // ownedGroups returns the groups that this instance owns, by name. The lock is
 // held.
-func (n *Node) ownedGroups() []*held {
-	return slices.SortedFunc(maps.Values(n.groups), func(a, b *held) int { return strings.Compare(a.Name, b.Name) })
+func (n *Node) ownedGroups() []*ownedGroup {
+	return slices.SortedFunc(maps.Values(n.groups), func(a, b *ownedGroup) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // owned is ownedGroups, without the lock.
-func (n *Node) owned() []*held {
+func (n *Node) owned() []*ownedGroup {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ownedGroups()
@@ -83,10 +85,10 @@
 // updateGroups gives each owned group its upstreams. One update is carried out
 // after the other, so that none is overtaken by an older one.
 func (n *Node) updateGroups() {
-	n.updating.Lock()
-	defer n.updating.Unlock()
+	n.updateMu.Lock()
+	defer n.updateMu.Unlock()
 	n.mu.Lock()
-	members := map[*held][]fleet.Upstream{}
+	members := map[*ownedGroup][]fleet.Upstream{}
 	for _, g := range n.groups {
 		members[g] = n.membersOf(g.Name)
 	}
@@ -101,8 +103,8 @@
 func (n *Node) claimOf(group string, leaving bool) (string, *inner.Claim) {
 	var best *inner.Claim
 	name := ""
-	for instance, p := range n.heard {
-		if state := n.table.State(instance); state == membership.Dead || state == membership.Listed {
+	for instance, p := range n.lastHeartbeat {
+		if state := n.peers.State(instance); state == membership.Dead || state == membership.Listed {
 			continue
 		}
 		for _, c := range p.GetClaims() {
@@ -126,44 +128,44 @@
 // counted reports whether the number of upstreams of the own zone can be trusted:
 // always but at the first start of the whole system. The lock is held.
 func (n *Node) counted(count int, now time.Time) bool {
-	if !n.in.FirstStart || now.Sub(n.began) >= countLimit {
+	if !n.settings.FirstStart || now.Sub(n.startedAt) >= countLimit {
 		return true
 	}
-	if count != n.lastCount || n.lastCountAt.IsZero() {
-		n.lastCount, n.lastCountAt = count, now
+	if count != n.lastUpstreamCount || n.upstreamCountChangedAt.IsZero() {
+		n.lastUpstreamCount, n.upstreamCountChangedAt = count, now
 	}
-	return now.Sub(n.lastCountAt) >= countSettle
+	return now.Sub(n.upstreamCountChangedAt) >= countSettle
 }
 
 // countGroups settles how many groups the own availability zone has, once and
 // for all instances, through the store.
 func (n *Node) countGroups() {
 	n.mu.Lock()
-	if n.groupCounts[n.in.Zone] > 0 || n.counting || !n.directory.Synced() {
+	if n.groupCounts[n.settings.Zone] > 0 || n.creatingGroupCount || !n.directory.Synced() {
 		n.mu.Unlock()
 		return
 	}
-	count := n.directory.CountInZone(n.in.Zone)
+	count := n.directory.CountInZone(n.settings.Zone)
 	if count == 0 || !n.counted(count, clock.Now()) {
 		n.mu.Unlock()
 		return
 	}
-	n.counting = true
-	instances := lo.CountBy(slices.Collect(maps.Values(n.registered)), func(zone string) bool { return zone == n.in.Zone })
+	n.creatingGroupCount = true
+	instances := lo.CountBy(slices.Collect(maps.Values(n.registeredZones)), func(zone string) bool { return zone == n.settings.Zone })
 	n.mu.Unlock()
-	go n.createCount(membership.GroupCount(count, instances, n.in.LinkRate))
+	go n.createCount(membership.GroupCount(count, instances, n.settings.LinkRate))
 }
 
 func (n *Node) createCount(groups int) {
-	err := n.store.Create(platform.GroupPrefix+n.in.Zone, []byte(strconv.Itoa(groups)))
+	err := n.store.Create(platform.GroupPrefix+n.settings.Zone, []byte(strconv.Itoa(groups)))
 	if err == nil {
-		n.takeCount(n.in.Zone, groups)
+		n.takeCount(n.settings.Zone, groups)
 	} else if !failure.Is(err, failure.Conflict) { // where it is there already, the watch tells
 		event.RegisterFailed.Log(n.log, slog.String("what", "number of groups"), slog.String("error", err.Error()))
 	}
 	n.pause(firstRetry)
 	n.mu.Lock()
-	n.counting = false
+	n.creatingGroupCount = false
 	n.mu.Unlock()
 }
 
--- a/node/groups_test.go
+++ b/node/groups_test.go
@@ -12,7 +12,7 @@
 func TestCounted(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
-	n := &Node{began: began, in: fleet.Instance{FirstStart: true}}
+	n := &Node{startedAt: began, settings: fleet.Instance{FirstStart: true}}
 	for _, step := range []struct {
 		ms, count int
 		want      bool
@@ -24,7 +24,7 @@
 			t.Errorf("%d upstreams after %d ms count: %v", step.count, step.ms, got)
 		}
 	}
-	n = &Node{began: began}
+	n = &Node{startedAt: began}
 	if !n.counted(1, began) {
 		t.Error("a later start waits")
 	}
--- a/node/lease.go
+++ b/node/lease.go
@@ -21,11 +21,13 @@
 const clockBegan = time.Hour
 
 // clockMs is the steady clock that peers are told.
-func (n *Node) clockMs() uint64 { return uint64((clockBegan + clock.Since(n.began)).Milliseconds()) }
+func (n *Node) clockMs() uint64 {
+	return uint64((clockBegan + clock.Since(n.startedAt)).Milliseconds())
+}
 
 // atClock is when the own steady clock showed a time.
 func (n *Node) atClock(ms uint64) time.Time {
-	return n.began.Add(time.Duration(ms)*time.Millisecond - clockBegan)
+	return n.startedAt.Add(time.Duration(ms)*time.Millisecond - clockBegan)
 }
 
 // aliveAt returns the time of a peer's clock at which a customer was certainly there: the
@@ -97,7 +99,7 @@
 // renewOwn renews the leases of this instance with the groups that it owns itself.
 func (n *Node) renewOwn() {
 	self := string(n.self)
-	groups := slices.DeleteFunc(n.owned(), func(g *held) bool { return !g.WorksFor(self) })
+	groups := slices.DeleteFunc(n.owned(), func(g *ownedGroup) bool { return !g.WorksFor(self) })
 	if len(groups) == 0 {
 		return
 	}
--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -36,7 +36,7 @@
 // TestClock: the clock that peers are told gives back the time at which it was read, and a
 // time that is not known is long ago, however young the instance is.
 func TestClock(t *testing.T) {
-	n := &Node{began: clock.Now()}
+	n := &Node{startedAt: clock.Now()}
 	before := clock.Now()
 	read := n.atClock(n.clockMs())
 	if read.After(clock.Now()) || read.Before(before.Add(-time.Millisecond)) {
--- a/node/log.go
+++ b/node/log.go
@@ -156,7 +156,7 @@
 	case r.Late:
 		e = event.JobLate
 	default:
-		if n.answers.Add(1)%sampleOne != 0 {
+		if n.onTimeAnswers.Add(1)%sampleOne != 0 {
 			return
 		}
 		sample = sampleOne
--- a/node/main.go
+++ b/node/main.go
@@ -17,14 +17,14 @@
 
 // The exit codes of the daemon.
 const (
-	ExitOK        = 0
-	ExitFailed    = 1 // it could not start
-	ExitSettings  = 2 // the settings are wrong
-	ExitUndrained = 3 // a planned stop ended with work in flight
+	ExitOK              = 0
+	ExitFailed          = 1 // it could not start
+	ExitInvalidSettings = 2 // the settings are wrong
+	ExitUndrained       = 3 // a planned stop ended with work in flight
 )
 
-// lastLines bounds how long the end waits for the last lines of the log.
-const lastLines = 200 * time.Millisecond
+// logFlushTimeout bounds how long the end waits for the last lines of the log.
+const logFlushTimeout = 200 * time.Millisecond
 
 // Main runs one instance with the platform's settings file until a signal. With
 // checkOnly it only checks the file. It returns the exit code of the process.
@@ -35,21 +35,21 @@
 		fmt.Fprintf(out, "sedgehatchd: %s: %s\n", failure.FieldOf(p), failure.Text(p))
 	}
 	if len(problems) > 0 {
-		return ExitSettings
+		return ExitInvalidSettings
 	}
 	if checkOnly {
 		fmt.Fprintf(out, "sedgehatchd: %q is right\n", path)
 		return ExitOK
 	}
 	sink := logging.NewSink(os.Stdout, logging.DefaultBuffer)
-	defer sink.Close(lastLines)
+	defer sink.Close(logFlushTimeout)
 	log := slog.New(sink.Handler(slog.LevelInfo)).With(slog.String("instance", in.Name))
 	n, err := New(in, log)
 	if err != nil {
 		fmt.Fprintf(out, "sedgehatchd: %s: %s\n", failure.FieldOf(err), failure.Text(err))
 		return ExitFailed
 	}
-	n.sink = sink
+	n.logSink = sink
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	n.Run()
@@ -73,6 +73,6 @@
 		event.SettingsFileBad.Log(n.log, slog.String("field", failure.FieldOf(problems[0])), slog.String("error", failure.Text(problems[0])))
 		return
 	}
-	changed := in.CustomerAddress != n.in.CustomerAddress || in.PeerAddress != n.in.PeerAddress || in.Zone != n.in.Zone
+	changed := in.CustomerAddress != n.settings.CustomerAddress || in.PeerAddress != n.settings.PeerAddress || in.Zone != n.settings.Zone
 	event.Reloaded.Log(n.log, slog.Bool("needs_restart", changed))
 }
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -12,7 +12,7 @@
 	in.want("a-1", 2, 20)
 	n := in.nodes["a-1"]
 	in.until("all neighbours are known", func() bool { return n.wants("a-2") && n.wants("b-1") })
-	status, text := in.call("GET", n.in.MetricsAddress, "/metrics", nil)
+	status, text := in.call("GET", n.settings.MetricsAddress, "/metrics", nil)
 	if status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
@@ -26,7 +26,7 @@
 		}
 	}
 	owner := in.nodes[in.owner("a/0")]
-	if _, text := in.call("GET", owner.in.MetricsAddress, "/metrics", nil); !strings.Contains(text, `sedgehatch_group_overdue_ms{group="a/0"} `) {
+	if _, text := in.call("GET", owner.settings.MetricsAddress, "/metrics", nil); !strings.Contains(text, `sedgehatch_group_overdue_ms{group="a/0"} `) {
 		t.Errorf("the owner's metrics lack what its calls wait for:\n%s", text)
 	}
 }
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -20,24 +20,24 @@
 	n.setNeighbours(used)
 }
 
-// neighbourBasis is what the neighbours of this instance follow from.
-type neighbourBasis struct {
+// neighbourInputs is what the neighbours of this instance follow from.
+type neighbourInputs struct {
 	known  []membership.Member
 	live   []membership.Member
 	groups map[string]int  // of each availability zone
 	used   map[string]bool // owners that work for customers of this instance
 }
 
-func (b neighbourBasis) equal(o neighbourBasis) bool {
+func (b neighbourInputs) equal(o neighbourInputs) bool {
 	return slices.Equal(b.known, o.known) && slices.Equal(b.live, o.live) && maps.Equal(b.groups, o.groups) && maps.Equal(b.used, o.used)
 }
 
-// neighbourBasis returns what is known now. The lock is held.
-func (n *Node) neighbourBasis(used map[string]bool) neighbourBasis {
-	b := neighbourBasis{used: used, groups: n.groupCounts}
-	b.known = make([]membership.Member, 0, n.table.Len())
-	b.live = make([]membership.Member, 0, n.table.Len())
-	for p := range n.table.All() {
+// collectNeighbourInputs returns what is known now. The lock is held.
+func (n *Node) collectNeighbourInputs(used map[string]bool) neighbourInputs {
+	b := neighbourInputs{used: used, groups: n.groupCounts}
+	b.known = make([]membership.Member, 0, n.peers.Len())
+	b.live = make([]membership.Member, 0, n.peers.Len())
+	for p := range n.peers.All() {
 		if p.Zone == "" {
 			continue // only its address is known
 		}
@@ -54,13 +54,13 @@
 // owners in use, if those have changed: each beat asks, and they seldom do. The lock is
 // held.
 func (n *Node) setNeighbours(used map[string]bool) {
-	basis := n.neighbourBasis(used)
-	if basis.equal(n.basis) {
+	basis := n.collectNeighbourInputs(used)
+	if basis.equal(n.neighbourInputs) {
 		return
 	}
 	basis.groups = maps.Clone(basis.groups)
-	n.basis = basis
-	self := membership.Member{Name: n.in.Name, Zone: n.in.Zone, CPUShare: n.in.CPUShare}
+	n.neighbourInputs = basis
+	self := membership.Member{Name: n.settings.Name, Zone: n.settings.Zone, CPUShare: n.settings.CPUShare}
 	sought := membership.NeighboursOf(self, basis.known, basis.groups)
 	around := sought
 	if len(basis.live) < len(basis.known) {
@@ -71,17 +71,17 @@
 			around.Far[name] = true // in sought too, where the two are one: no harm
 		}
 	}
-	if around.IsHub != n.around.IsHub || around.HubCount != n.around.HubCount {
+	if around.IsHub != n.neighbours.IsHub || around.HubCount != n.neighbours.HubCount {
 		event.NeighboursChanged.Log(n.log, slog.Bool("hub", around.IsHub), slog.Int("hubs", around.HubCount),
 			slog.Int("near", len(around.Near)), slog.Int("far", len(around.Far)), slog.Int("known", len(basis.known)))
 	}
-	n.sought, n.around = &sought, &around
-	n.table.SetNeighbours(n.around)
+	n.neighboursIfAllAlive, n.neighbours = &sought, &around
+	n.peers.SetNeighbours(n.neighbours)
 }
 
 // missing reports whether an instance is lost, or does not run. The lock is held.
 func (n *Node) missing(instance string) bool {
-	state := n.table.State(instance)
+	state := n.peers.State(instance)
 	return state == membership.Dead || state == membership.Listed && n.isAbsent(instance)
 }
 
@@ -89,14 +89,14 @@
 func (n *Node) wants(instance string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.around.Has(instance)
+	return n.neighbours.Has(instance)
 }
 
 // silenceOf is how long a connection to an instance may be silent.
 func (n *Node) silenceOf(instance string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.table.DeadAfter(instance)
+	return n.peers.DeadAfter(instance)
 }
 
 // audience is what differs between the heartbeats of one beat.
@@ -145,10 +145,10 @@
 func (n *Node) farDue() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	joining := clock.Since(n.taken) < joinTime
-	far := clock.Since(n.toldFar) >= farEvery || joining || n.leaving.Load()
+	joining := clock.Since(n.lastTakenAt) < joinTime
+	far := clock.Since(n.lastFarHeartbeat) >= farEvery || joining || n.leaving.Load()
 	if far {
-		n.toldFar = clock.Now()
+		n.lastFarHeartbeat = clock.Now()
 	}
 	return far
 }
@@ -158,7 +158,7 @@
 func (n *Node) tellPeers() {
 	far := n.farDue()
 	n.mu.Lock()
-	around, alone := n.around, n.table.Len() == 0
+	around, alone := n.neighbours, n.peers.Len() == 0
 	due, missed := n.audienceOf(far)
 	n.mu.Unlock()
 	beat := n.newBeat()
@@ -168,7 +168,7 @@
 	for _, name := range missed {
 		n.introduce(name)
 	}
-	if alone && clock.Since(n.began) > seedAfter {
+	if alone && clock.Since(n.startedAt) > seedAfter {
 		n.trySeeds()
 	}
 }
@@ -177,14 +177,14 @@
 // without far ones, and the names of the neighbours that are not heard. The lock is
 // held.
 func (n *Node) audienceOf(far bool) (due []membership.Peer, missed []string) {
-	for p := range n.table.All() {
+	for p := range n.peers.All() {
 		switch p.State {
 		case membership.Alive, membership.Suspect, membership.Leaving:
-			if far || n.around.Near[p.Instance] {
+			if far || n.neighbours.Near[p.Instance] {
 				due = append(due, p)
 			}
 		default:
-			if n.around.Has(p.Instance) || n.sought.Has(p.Instance) {
+			if n.neighbours.Has(p.Instance) || n.neighboursIfAllAlive.Has(p.Instance) {
 				missed = append(missed, p.Instance)
 			}
 		}
@@ -198,11 +198,11 @@
 	wanted := around.Has(p.Instance)
 	n.mu.Lock()
 	last := !wanted && p.Heartbeat.Unwanted
-	told := n.parted[p.Instance]
+	told := n.finalHeartbeatSent[p.Instance]
 	if last {
-		n.parted[p.Instance] = true
+		n.finalHeartbeatSent[p.Instance] = true
 	} else {
-		delete(n.parted, p.Instance)
+		delete(n.finalHeartbeatSent, p.Instance)
 	}
 	n.mu.Unlock()
 	if last && told {
@@ -219,5 +219,5 @@
 // hubPeers returns the peers of the own availability zone that are hubs.
 // The lock is held.
 func (n *Node) hubPeers() []membership.Peer {
-	return n.table.Filter(func(p membership.Peer) bool { return n.around.Near[p.Instance] })
+	return n.peers.Filter(func(p membership.Peer) bool { return n.neighbours.Near[p.Instance] })
 }
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -29,7 +29,7 @@
 		for _, name := range names {
 			n := in.nodes[name]
 			n.mu.Lock()
-			hub, count := n.around.IsHub, n.around.HubCount
+			hub, count := n.neighbours.IsHub, n.neighbours.HubCount
 			n.mu.Unlock()
 			if hub {
 				hubs = append(hubs, name)
@@ -54,11 +54,11 @@
 		first.mu.Lock()
 		defer first.mu.Unlock()
 		for _, other := range spokes[1:] {
-			if first.table.State(other) != membership.Listed {
+			if first.peers.State(other) != membership.Listed {
 				return false
 			}
 		}
-		return first.table.State("b-1") == membership.Listed
+		return first.peers.State("b-1") == membership.Listed
 	})
 	in.until("the owner of the other zone is known", func() bool { return len(first.router.Loads()) == 2 })
 	in.want(spokes[0], 2, 20)
@@ -111,12 +111,12 @@
 	for _, name := range names {
 		n := in.nodes[name]
 		n.mu.Lock()
-		fmt.Fprintf(&b, "%s: hub %v of %d, near %d, far %d;", name, n.around.IsHub, n.around.HubCount, len(n.around.Near), len(n.around.Far))
+		fmt.Fprintf(&b, "%s: hub %v of %d, near %d, far %d;", name, n.neighbours.IsHub, n.neighbours.HubCount, len(n.neighbours.Near), len(n.neighbours.Far))
 		states := map[membership.State]int{}
-		for p := range n.table.All() {
+		for p := range n.peers.All() {
 			states[p.State]++
 		}
-		fmt.Fprintf(&b, " %v, absent %d\n", states, len(n.absent))
+		fmt.Fprintf(&b, " %v, absent %d\n", states, len(n.refusedAt))
 		n.mu.Unlock()
 	}
 	return b.String()
@@ -178,18 +178,18 @@
 	}
 	change := func(what string, input func(), want bool) {
 		t.Helper()
-		before := n.around
+		before := n.neighbours
 		input()
 		n.setNeighbours(n.router.inUse())
-		if (n.around != before) != want {
+		if (n.neighbours != before) != want {
 			t.Errorf("%s: worked out anew %v, want %v", what, !want, want)
 		}
 	}
-	change("instances are listed", func() { n.table.SetListed(lo.Values(known)) }, true)
+	change("instances are listed", func() { n.peers.SetListed(lo.Values(known)) }, true)
 	change("nothing", func() {}, false)
-	change("a heartbeat", func() { n.table.RecordHeartbeat("a-3.1", membership.Heartbeat{}, 1) }, false)
-	change("an instance is lost", func() { n.table.MarkEnded("a-3.1") }, true)
-	change("another does not run", func() { n.absent["a-5"] = clock.Now() }, true)
+	change("a heartbeat", func() { n.peers.RecordHeartbeat("a-3.1", membership.Heartbeat{}, 1) }, false)
+	change("an instance is lost", func() { n.peers.MarkEnded("a-3.1") }, true)
+	change("another does not run", func() { n.refusedAt["a-5"] = clock.Now() }, true)
 	change("the groups of a zone are counted", func() { n.groupCounts["a"] = 30 }, true)
 	change("an owner is in use", func() { n.router.used["b-2"] = clock.Now() }, true)
 	change("it still is", func() { n.router.used["b-2"] = clock.Now() }, false)
--- a/node/node.go
+++ b/node/node.go
@@ -43,72 +43,72 @@
 
 // Node is one instance.
 type Node struct {
-	in        fleet.Instance
-	self      fate.Incarnation
-	log       *slog.Logger
-	answers   atomic.Uint64 // to jobs that were complete in time
-	decisions *decisionLog
-	metrics   *metrics.Set
-	store     *platform.Store
-	calls     *platform.Upstreams
-	mesh      *inner.Mesh
-	directory *directory.Directory // of upstreams; its lock is taken last
-	refusals  entryRefusals
-	router    *router
-	ingress   *ingress.Coordinator
-	server    *ingress.Server
-	config    atomic.Pointer[fleet.Config]
-	leaving   atomic.Bool
-	unserved  atomic.Bool               // customers cannot be served: their listener ended with an error
-	ends      atomic.Pointer[time.Time] // of jobs in a planned stop; nil without one
-	began     time.Time
-	stop      context.Context
-	cancel    context.CancelFunc
-	running   sync.WaitGroup
-	conns     connset.Set   // of customers and of the platform's questions
-	listener  net.Listener  // of peers
-	public    net.Listener  // of customers
-	ready     net.Listener  // of the platform's question
-	figures   net.Listener  // of metrics
-	sink      *logging.Sink // of the log; nil where it is written otherwise
+	settings               fleet.Instance
+	self                   fate.Incarnation
+	log                    *slog.Logger
+	onTimeAnswers          atomic.Uint64 // to jobs that were complete in time
+	decisions              *decisionLog
+	metrics                *metrics.Set
+	store                  *platform.Store
+	upstreamClient         *platform.Upstreams
+	mesh                   *inner.Mesh
+	directory              *directory.Directory // of upstreams; its lock is taken last
+	refusals               entryRefusals
+	router                 *router
+	ingress                *ingress.Coordinator
+	server                 *ingress.Server
+	config                 atomic.Pointer[fleet.Config]
+	leaving                atomic.Bool
+	customerListenerFailed atomic.Bool               // customers cannot be served: their listener ended with an error
+	drainDeadline          atomic.Pointer[time.Time] // of jobs in a planned stop; nil without one
+	startedAt              time.Time
+	ctx                    context.Context
+	cancel                 context.CancelFunc
+	goroutines             sync.WaitGroup
+	conns                  connset.Set   // of customers and of the platform's questions
+	peerListener           net.Listener  // of peers
+	customerListener       net.Listener  // of customers
+	readinessListener      net.Listener  // of the platform's question
+	metricsListener        net.Listener  // of metrics
+	logSink                *logging.Sink // of the log; nil where it is written otherwise
 
-	listed chan struct{} // closed once the instances have been read
+	peerListReady chan struct{} // closed once the instances have been read
 
-	updating sync.Mutex // held while groups are given their upstreams; taken before mu
+	updateMu sync.Mutex // held while groups are given their upstreams; taken before mu
 
-	mu      sync.Mutex // guards what follows
-	table   *membership.Table
-	heard   map[string]*inner.Presence // by instance
-	groups  map[string]*held
-	highest uint64                 // fencing token heard of
-	dialing map[string]bool        // instances that are being connected to
-	dials   map[string]dialOutcome // of the addresses of peers
-	absent  map[string]time.Time   // when a connection to an instance was refused last
-	// registered holds the zones of the instances that the store lists now.
-	registered map[string]string
-	peersRead  bool // the instances have been read once; listed is closed then
-	// unstaffed holds since when a zone has no instance, and orphanRetry when
+	mu            sync.Mutex // guards what follows
+	peers         *membership.Table
+	lastHeartbeat map[string]*inner.Presence // by instance
+	groups        map[string]*ownedGroup
+	highestToken  uint64                 // fencing token heard of
+	dialing       map[string]bool        // instances that are being connected to
+	dialOutcomes  map[string]dialOutcome // of the addresses of peers
+	refusedAt     map[string]time.Time   // when a connection to an instance was refused last
+	// registeredZones holds the zones of the instances that the store lists now.
+	registeredZones map[string]string
+	peerListRead    bool // the instances have been read once; listed is closed then
+	// emptySince holds since when a zone has no instance, and orphanRetryAt when
 	// its groups may be tried again.
-	unstaffed, orphanRetry map[string]time.Time
-	alone                  time.Time // since when no peer is heard
+	emptySince, orphanRetryAt map[string]time.Time
+	isolatedSince             time.Time // since when no peer is heard
 	// groupCounts is how many groups each availability zone has.
 	groupCounts map[string]int
-	// lastCount is how many upstreams the own zone had when that changed last.
-	lastCount   int
-	lastCountAt time.Time
-	configAsk   configAsk
-	// upstreamAsks counts the peers that were asked for upstreams.
-	upstreamAsks int
-	counting     bool      // the number of groups is being written
-	toldFar      time.Time // when far neighbours heard last
-	relayed      time.Time // when spokes heard last of owners in other zones
-	around       *membership.Neighbours
-	sought       *membership.Neighbours // as around, if nobody were lost
-	basis        neighbourBasis         // what both follow from
-	parted       map[string]bool        // instances that were told that neither needs the other
-	taken        time.Time              // when the last group was taken
-	suspended    time.Duration          // of this machine, as noticed last
-	leaps        uint                   // how often a token had to be raised beyond the time
+	// lastUpstreamCount is how many upstreams the own zone had when that changed last.
+	lastUpstreamCount      int
+	upstreamCountChangedAt time.Time
+	configRequests         configRequests
+	// upstreamRequests counts the peers that were asked for upstreams.
+	upstreamRequests     int
+	creatingGroupCount   bool      // the number of groups is being written
+	lastFarHeartbeat     time.Time // when far neighbours heard last
+	lastRelay            time.Time // when spokes heard last of owners in other zones
+	neighbours           *membership.Neighbours
+	neighboursIfAllAlive *membership.Neighbours // as around, if nobody were lost
+	neighbourInputs      neighbourInputs        // what both follow from
+	finalHeartbeatSent   map[string]bool        // instances that were told that neither needs the other
+	lastTakenAt          time.Time              // when the last group was taken
+	suspendedTotal       time.Duration          // of this machine, as noticed last
+	incrementDoublings   uint                   // how often a token had to be raised beyond the time
 }
 
 // New makes an instance and its listeners. Run starts it.
@@ -136,14 +136,14 @@
 func newNode(i do.Injector) (*Node, error) {
 	in := do.MustInvoke[fleet.Instance](i)
 	n := &Node{
-		in: in, self: fate.Incarnation(in.Name + "." + uuid.NewString()[:8]), log: do.MustInvoke[*slog.Logger](i),
-		metrics: do.MustInvoke[*metrics.Set](i), store: do.MustInvoke[*platform.Store](i), calls: platform.NewUpstreams(), directory: directory.New(),
-		began: clock.Now(), listed: make(chan struct{}),
-		table: membership.NewTable(silence), around: &membership.Neighbours{IsHub: true, HubCount: 1}, sought: &membership.Neighbours{}, parted: map[string]bool{}, heard: map[string]*inner.Presence{},
-		groups: map[string]*held{}, dialing: map[string]bool{}, absent: map[string]time.Time{}, dials: map[string]dialOutcome{}, registered: map[string]string{}, unstaffed: map[string]time.Time{}, orphanRetry: map[string]time.Time{}, groupCounts: map[string]int{},
+		settings: in, self: fate.Incarnation(in.Name + "." + uuid.NewString()[:8]), log: do.MustInvoke[*slog.Logger](i),
+		metrics: do.MustInvoke[*metrics.Set](i), store: do.MustInvoke[*platform.Store](i), upstreamClient: platform.NewUpstreams(), directory: directory.New(),
+		startedAt: clock.Now(), peerListReady: make(chan struct{}),
+		peers: membership.NewTable(silence), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{}, finalHeartbeatSent: map[string]bool{}, lastHeartbeat: map[string]*inner.Presence{},
+		groups: map[string]*ownedGroup{}, dialing: map[string]bool{}, refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{}, registeredZones: map[string]string{}, emptySince: map[string]time.Time{}, orphanRetryAt: map[string]time.Time{}, groupCounts: map[string]int{},
 	}
 	n.decisions = newDecisionLog(n.log)
-	n.stop, n.cancel = context.WithCancel(context.Background())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	if err := n.listen(); err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 	n.ingress = ingress.NewCoordinator(in.Zone, n.router)
 	n.server = ingress.NewServer(n.ingress, n.config.Load, n.stopping, n)
 	n.mesh = inner.NewMesh(inner.Config{
-		Fleet: fleetName, Self: n.self, Region: in.Region, Zone: in.Zone, Address: n.in.PeerAddress,
+		Fleet: fleetName, Self: n.self, Region: in.Region, Zone: in.Zone, Address: n.settings.PeerAddress,
 		Directory: n, Handler: n, Met: n.met, Dial: n.dial, DialTimeout: dialTimeout, Count: n.metrics.CountSent, QueueOnly: true,
 		Shared: true, Silence: n.silenceOf, Clock: n.clockMs,
 	})
@@ -165,10 +165,10 @@
 		address *string
 		into    *net.Listener
 	}{
-		{"peer address", &n.in.PeerAddress, &n.listener},
-		{"customer address", &n.in.CustomerAddress, &n.public},
-		{"readiness address", &n.in.ReadinessAddress, &n.ready},
-		{"metrics address", &n.in.MetricsAddress, &n.figures},
+		{"peer address", &n.settings.PeerAddress, &n.peerListener},
+		{"customer address", &n.settings.CustomerAddress, &n.customerListener},
+		{"readiness address", &n.settings.ReadinessAddress, &n.readinessListener},
+		{"metrics address", &n.settings.MetricsAddress, &n.metricsListener},
 	} {
 		var err error
 		if *l.into, err = net.Listen("tcp4", *l.address); err != nil {
@@ -182,12 +182,12 @@
 // Close ends the instance at once: what is open is cut off.
 func (n *Node) Close() {
 	n.cancel()
-	for _, l := range []net.Listener{n.public, n.ready, n.figures, n.listener} {
+	for _, l := range []net.Listener{n.customerListener, n.readinessListener, n.metricsListener, n.peerListener} {
 		_ = l.Close() // a second close changes nothing
 	}
 	n.conns.Close()
 	n.store.Close()
-	n.calls.Close()
+	n.upstreamClient.Close()
 	n.mesh.Close()
 	n.mu.Lock()
 	groups := n.ownedGroups()
@@ -197,7 +197,7 @@
 		g.Close()
 	}
 	n.ingress.Abandon()
-	n.running.Wait()
+	n.goroutines.Wait()
 }
 
 // Run starts the instance and returns at once.
@@ -205,29 +205,29 @@
 	if err := clock.System.Err(); err != nil {
 		event.ClockBlind.Log(n.log, slog.String("error", err.Error()))
 	}
-	n.running.Go(func() { n.mesh.Serve(n.listener) })
-	n.running.Go(n.followOperators)
-	n.running.Go(n.followUpstreams)
-	n.running.Go(n.followPeers)
-	n.running.Go(n.register)
-	n.running.Go(n.beat)
+	n.goroutines.Go(func() { n.mesh.Serve(n.peerListener) })
+	n.goroutines.Go(n.followOperators)
+	n.goroutines.Go(n.followUpstreams)
+	n.goroutines.Go(n.followPeers)
+	n.goroutines.Go(n.register)
+	n.goroutines.Go(n.beat)
 	n.serve("customers", n.serveCustomers)
-	n.serve("metrics", func() error { return fasthttp.Serve(n.conns.Listener(n.figures), n.tellMetrics) })
-	n.serve("readiness", func() error { return fasthttp.Serve(n.conns.Listener(n.ready), n.readiness) })
-	event.NodeStarted.Log(n.log, slog.String("incarnation", string(n.self)), slog.String("zone", n.in.Zone),
-		slog.String("customers", n.in.CustomerAddress), slog.Bool("first_start", n.in.FirstStart))
+	n.serve("metrics", func() error { return fasthttp.Serve(n.conns.Listener(n.metricsListener), n.tellMetrics) })
+	n.serve("readiness", func() error { return fasthttp.Serve(n.conns.Listener(n.readinessListener), n.readiness) })
+	event.NodeStarted.Log(n.log, slog.String("incarnation", string(n.self)), slog.String("zone", n.settings.Zone),
+		slog.String("customers", n.settings.CustomerAddress), slog.Bool("first_start", n.settings.FirstStart))
 }
 
 // serveCustomers serves until the instance ends. An instance that cannot is not ready.
 func (n *Node) serveCustomers() error {
-	err := n.server.Serve(n.conns.Listener(n.public))
-	n.unserved.Store(err != nil)
+	err := n.server.Serve(n.conns.Listener(n.customerListener))
+	n.customerListenerFailed.Store(err != nil)
 	return err
 }
 
 func (n *Node) serve(what string, serve func() error) {
-	n.running.Go(func() {
-		if err := serve(); err != nil && !errors.Is(err, net.ErrClosed) && n.stop.Err() == nil {
+	n.goroutines.Go(func() {
+		if err := serve(); err != nil && !errors.Is(err, net.ErrClosed) && n.ctx.Err() == nil {
 			event.ServeFailed.Log(n.log, slog.String("listener", what), slog.String("error", err.Error()))
 		}
 	})
@@ -251,7 +251,7 @@
 	}
 	fmt.Fprintf(w, "sedgehatch_config_version %d\nsedgehatch_open_jobs %d\n", version, n.ingress.Open())
 	n.mu.Lock()
-	near, far := len(n.around.Near), len(n.around.Far)
+	near, far := len(n.neighbours.Near), len(n.neighbours.Far)
 	n.mu.Unlock()
 	fmt.Fprintf(w, "sedgehatch_neighbours{kind=\"near\"} %d\nsedgehatch_neighbours{kind=\"far\"} %d\n", near, far)
 	for _, l := range n.router.Loads() {
@@ -260,8 +260,8 @@
 	}
 	n.zoneGauges(w)
 	n.linkGauges(w)
-	if n.sink != nil {
-		dropped, refused := n.sink.Dropped()
+	if n.logSink != nil {
+		dropped, refused := n.logSink.Dropped()
 		for _, class := range slices.Sorted(maps.Keys(dropped)) {
 			fmt.Fprintf(w, "sedgehatch_log_dropped{class=%q} %d\n", class, dropped[class])
 		}
@@ -275,11 +275,11 @@
 	for _, l := range []struct {
 		with  string
 		bytes func() (read, wrote int64)
-	}{{"customers", n.conns.Bytes}, {"store", n.store.Bytes}, {"upstreams", n.calls.Bytes}} {
+	}{{"customers", n.conns.Bytes}, {"store", n.store.Bytes}, {"upstreams", n.upstreamClient.Bytes}} {
 		read, wrote := l.bytes()
 		fmt.Fprintf(w, "sedgehatch_bytes{with=%q,way=\"in\"} %d\nsedgehatch_bytes{with=%q,way=\"out\"} %d\n", l.with, read, l.with, wrote)
 	}
-	fmt.Fprintf(w, "sedgehatch_bytes{with=\"peers\",way=\"out\"} %d\nsedgehatch_link_bytes_per_s %.0f\n", n.mesh.Sent(), n.in.LinkRate)
+	fmt.Fprintf(w, "sedgehatch_bytes{with=\"peers\",way=\"out\"} %d\nsedgehatch_link_bytes_per_s %.0f\n", n.mesh.Sent(), n.settings.LinkRate)
 	for _, g := range n.owned() {
 		waits := g.Waits()
 		fmt.Fprintf(w, "sedgehatch_group_overdue_ms{group=%q} %d\nsedgehatch_group_link_wait_ms{group=%q} %d\n",
@@ -297,12 +297,12 @@
 }
 
 func (n *Node) isReady() bool {
-	return !n.leaving.Load() && !n.unserved.Load() && n.config.Load() != nil && len(n.router.Loads()) > 0
+	return !n.leaving.Load() && !n.customerListenerFailed.Load() && n.config.Load() != nil && len(n.router.Loads()) > 0
 }
 
 // stopping implements ingress.Stopping.
 func (n *Node) stopping() (left time.Duration, stopping bool) {
-	ends := n.ends.Load()
+	ends := n.drainDeadline.Load()
 	if ends == nil {
 		return 0, false
 	}
@@ -314,8 +314,8 @@
 // first.
 func (n *Node) Stop() bool {
 	began := clock.Now()
-	limit := n.in.Timing.Grace - graceMargin
-	n.ends.Store(lo.ToPtr(began.Add(limit)))
+	limit := n.settings.Timing.Grace - graceMargin
+	n.drainDeadline.Store(lo.ToPtr(began.Add(limit)))
 	n.leaving.Store(true)
 	event.NodeDraining.Log(n.log, slog.Int("jobs", n.ingress.Open()))
 	n.handOver(0, limit)
@@ -330,7 +330,7 @@
 		n.mu.Unlock()
 		drained = n.ingress.Open() == 0 && owns == 0 && clock.Since(began) >= minDrain
 	}
-	n.ends.Store(&began) // no job is taken any more
+	n.drainDeadline.Store(&began) // no job is taken any more
 	jobs := n.ingress.Open()
 	n.ingress.Abandon()
 	time.Sleep(flushTime)
@@ -343,7 +343,7 @@
 func (n *Node) Address(instance string) (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.table.Address(instance)
+	return n.peers.Address(instance)
 }
 
 // met takes what a peer says of itself when a connection opens. One that is not
@@ -351,7 +351,7 @@
 func (n *Node) met(h *inner.Hello) {
 	name := fate.Incarnation(h.GetIncarnation()).Instance()
 	n.mu.Lock()
-	n.table.ApplyHello(membership.Listing{Instance: name, Address: h.GetAddress(), Region: h.GetRegion(), Zone: h.GetZone()})
+	n.peers.ApplyHello(membership.Listing{Instance: name, Address: h.GetAddress(), Region: h.GetRegion(), Zone: h.GetZone()})
 	n.mu.Unlock()
 	n.router.heardClock(fate.Incarnation(h.GetIncarnation()), h.GetClockMs())
 	n.introduce(name)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -53,7 +53,7 @@
 	}
 	for _, name := range instances {
 		in.until(name+" is ready", func() bool {
-			return in.status("GET", in.nodes[name].in.ReadinessAddress, "/readiness") == http.StatusOK
+			return in.status("GET", in.nodes[name].settings.ReadinessAddress, "/readiness") == http.StatusOK
 		})
 	}
 	in.until("every zone has an owner", func() bool {
@@ -133,7 +133,7 @@
 func (in *installation) startKnowing(name, other string) *Node {
 	in.t.Helper()
 	settings := in.settings(name)
-	settings.SeedPeers = []string{in.nodes[other].in.PeerAddress}
+	settings.SeedPeers = []string{in.nodes[other].settings.PeerAddress}
 	return in.startWith(settings)
 }
 
@@ -148,7 +148,7 @@
 	if err != nil {
 		in.t.Fatal(err)
 	}
-	n.listener = standin.NewSilencer(n.listener)
+	n.peerListener = standin.NewSilencer(n.peerListener)
 	in.nodes[name] = n
 	n.Run()
 	return n
@@ -158,7 +158,7 @@
 // new ones work.
 func (in *installation) silencePeers() {
 	for _, n := range in.nodes {
-		n.listener.(*standin.Silencer).SilenceOpen()
+		n.peerListener.(*standin.Silencer).SilenceOpen()
 	}
 }
 
@@ -178,7 +178,7 @@
 			owns := n.groups[group] != nil
 			n.mu.Unlock()
 			if owns {
-				name = n.in.Name
+				name = n.settings.Name
 				return true
 			}
 		}
@@ -251,13 +251,13 @@
 
 // submit hands a job to an instance and returns the answer.
 func (in *installation) submit(name, id string, tasks, ms int) (int, string) {
-	return in.call("POST", in.nodes[name].in.CustomerAddress, "/checks/"+id, jobBody(tasks, ms))
+	return in.call("POST", in.nodes[name].settings.CustomerAddress, "/checks/"+id, jobBody(tasks, ms))
 }
 
 // background submits a job and returns a channel with the status.
 func (in *installation) background(name, id string, tasks, ms int) <-chan int {
 	answer := make(chan int, 1)
-	address := in.nodes[name].in.CustomerAddress
+	address := in.nodes[name].settings.CustomerAddress
 	go func() {
 		status, _ := in.call("POST", address, "/checks/"+id, jobBody(tasks, ms))
 		answer <- status
@@ -285,7 +285,7 @@
 // TestAnswers checks what is not a job, and what is not offered.
 func TestAnswers(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 1, "a-1")
-	address := in.nodes["a-1"].in.CustomerAddress
+	address := in.nodes["a-1"].settings.CustomerAddress
 	kept := standin.Job{Tasks: 1, MilliCPU: 100, Takes: time.Millisecond, Kept: true}.Body()
 	huge := standin.Job{Tasks: 1, MilliCPU: 99000, Takes: 10 * time.Millisecond}.Body()
 	for _, c := range []struct {
--- a/node/operators.go
+++ b/node/operators.go
@@ -111,9 +111,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case n.around.IsHub && n.around.Rank < closeWatchers || n.hubsHeard() < closeWatchers:
+	case n.neighbours.IsHub && n.neighbours.Rank < closeWatchers || n.hubsHeard() < closeWatchers:
 		return closeConfigWait
-	case n.around.IsHub:
+	case n.neighbours.IsHub:
 		return configWait
 	default:
 		return spokeWait
@@ -124,7 +124,7 @@
 func (n *Node) peerWait() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.around.IsHub || n.hubsHeard() < closeWatchers {
+	if n.neighbours.IsHub || n.hubsHeard() < closeWatchers {
 		return peerWait
 	}
 	return spokeWait
@@ -133,9 +133,9 @@
 // hubsHeard counts the other hubs of the own availability zone that live. The lock is
 // held.
 func (n *Node) hubsHeard() int {
-	return len(n.table.Filter(func(p membership.Peer) bool {
-		hub := n.around.Has(p.Instance) && !n.around.Spokes[p.Instance]
-		return hub && p.Zone == n.in.Zone && p.State == membership.Alive
+	return len(n.peers.Filter(func(p membership.Peer) bool {
+		hub := n.neighbours.Has(p.Instance) && !n.neighbours.Spokes[p.Instance]
+		return hub && p.Zone == n.settings.Zone && p.State == membership.Alive
 	}))
 }
 
--- a/node/orphans.go
+++ b/node/orphans.go
@@ -27,10 +27,10 @@
 // staffed reports whether an availability zone has an instance, as far as this
 // one can tell. The lock is held.
 func (n *Node) staffed(zone string) bool {
-	if !n.peersRead {
+	if !n.peerListRead {
 		return true // the store has not told yet
 	}
-	for _, z := range n.registered {
+	for _, z := range n.registeredZones {
 		if z == zone {
 			return true
 		}
@@ -40,7 +40,7 @@
 
 // liveIn returns the instances of a zone that are heard. The lock is held.
 func (n *Node) liveIn(zone string) []membership.Peer {
-	return n.table.Filter(func(p membership.Peer) bool {
+	return n.peers.Filter(func(p membership.Peer) bool {
 		return p.Zone == zone && p.State != membership.Dead && p.State != membership.Listed
 	})
 }
@@ -50,14 +50,14 @@
 func (n *Node) orphaned() []string {
 	var groups []string
 	for zone, count := range n.groupCounts {
-		if n.staffed(zone) || zone == n.in.Zone {
-			delete(n.unstaffed, zone)
+		if n.staffed(zone) || zone == n.settings.Zone {
+			delete(n.emptySince, zone)
 			continue
 		}
-		if n.unstaffed[zone].IsZero() {
-			n.unstaffed[zone] = clock.Now()
+		if n.emptySince[zone].IsZero() {
+			n.emptySince[zone] = clock.Now()
 		}
-		if clock.Since(n.unstaffed[zone]) < orphanAfter || clock.Now().Before(n.orphanRetry[zone]) {
+		if clock.Since(n.emptySince[zone]) < orphanAfter || clock.Now().Before(n.orphanRetryAt[zone]) {
 			continue
 		}
 		groups = append(groups, groupsOf(zone, count)...)
@@ -68,28 +68,28 @@
 // foreignCandidates returns the instances of all zones that may own orphaned
 // groups. The lock is held.
 func (n *Node) foreignCandidates() []membership.Candidate {
-	list := []membership.Candidate{{Name: n.in.Name, CPUShare: n.in.CPUShare}}
-	hubs := n.table.Filter(func(p membership.Peer) bool {
-		return n.sought.Has(p.Instance) && !n.sought.Spokes[p.Instance]
+	list := []membership.Candidate{{Name: n.settings.Name, CPUShare: n.settings.CPUShare}}
+	hubs := n.peers.Filter(func(p membership.Peer) bool {
+		return n.neighboursIfAllAlive.Has(p.Instance) && !n.neighboursIfAllAlive.Spokes[p.Instance]
 	})
 	return append(list, n.candidatesOf(hubs)...)
 }
 
 // isForeign reports whether a group belongs to another zone.
-func (n *Node) isForeign(group string) bool { return zoneOf(group) != n.in.Zone }
+func (n *Node) isForeign(group string) bool { return zoneOf(group) != n.settings.Zone }
 
 // dropForeign gives up the groups of other zones whose upstreams do not accept
 // this instance.
 func (n *Node) dropForeign() {
-	var dropped []*held
+	var dropped []*ownedGroup
 	n.mu.Lock()
 	for _, g := range n.ownedGroups() {
 		fenced, joined := g.FencedAt()
-		tried := clock.Since(g.since) >= orphanTrial
-		if g.handing || !n.isForeign(g.Name) || fenced.IsZero() && (joined || !tried) {
+		tried := clock.Since(g.takenAt) >= orphanTrial
+		if g.handingOver || !n.isForeign(g.Name) || fenced.IsZero() && (joined || !tried) {
 			continue
 		}
-		n.orphanRetry[zoneOf(g.Name)] = clock.Now().Add(orphanPause)
+		n.orphanRetryAt[zoneOf(g.Name)] = clock.Now().Add(orphanPause)
 		event.GroupLost.Log(n.log, slog.String("group", g.Name), slog.Uint64("token", g.Token), slog.Bool("fenced", !fenced.IsZero()),
 			slog.Bool("joined", joined), slog.String("to", "unknown"))
 		delete(n.groups, g.Name)
@@ -110,7 +110,7 @@
 	}
 	for group := range n.groups {
 		zone := zoneOf(group)
-		if zone == n.in.Zone {
+		if zone == n.settings.Zone {
 			continue
 		}
 		home := n.candidatesOf(n.liveIn(zone))
--- a/node/orphans_test.go
+++ b/node/orphans_test.go
@@ -53,7 +53,7 @@
 	in.until("the group is given up", func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		return a.groups["b/0"] == nil && !a.orphanRetry["b"].IsZero()
+		return a.groups["b/0"] == nil && !a.orphanRetryAt["b"].IsZero()
 	})
 	in.want("a-1", 2, 20)
 }
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -28,10 +28,10 @@
 // yieldGroups gives up groups that a peer owns under a higher token: upstreams
 // do not listen to this instance any more.
 func (n *Node) yieldGroups() {
-	var yielded []*held
+	var yielded []*ownedGroup
 	n.mu.Lock()
 	for name, g := range n.groups {
-		if g.handing {
+		if g.handingOver {
 			continue // another takes what this instance has let go
 		}
 		peer, claim := n.claimOf(name, false)
@@ -61,20 +61,20 @@
 // claims. They may be taken again, under a token above it, once two holders
 // cannot be taking turns.
 func (n *Node) dropFenced() {
-	var dropped []*held
+	var dropped []*ownedGroup
 	n.mu.Lock()
 	for _, g := range n.ownedGroups() {
 		since, joined := g.FencedAt()
 		wait := staleFence
 		if joined {
-			wait = n.in.Timing.FenceSettle + fenceMargin
-			n.leaps = 0
+			wait = n.settings.Timing.FenceSettle + fenceMargin
+			n.incrementDoublings = 0
 		}
 		if since.IsZero() || clock.Since(since) < wait {
 			continue
 		}
-		n.highest += tokenLeap << n.leaps
-		n.leaps = min(n.leaps+1, maxLeaps)
+		n.highestToken += tokenLeap << n.incrementDoublings
+		n.incrementDoublings = min(n.incrementDoublings+1, maxLeaps)
 		event.GroupLost.Log(n.log, slog.String("group", g.Name), slog.Uint64("token", g.Token), slog.String("to", "unknown"))
 		delete(n.groups, g.Name)
 		dropped = append(dropped, g)
@@ -113,20 +113,20 @@
 		n.mu.Unlock()
 		return
 	}
-	var given *held
+	var given *ownedGroup
 	owners := n.rightfulOwners()
 	for _, g := range n.ownedGroups() {
-		if g.handing {
+		if g.handingOver {
 			n.mu.Unlock()
 			return // one at a time
 		}
 		to := owners[g.Name]
-		if given == nil && to != "" && to != n.in.Name && clock.Since(g.since) > handBackAfter && (n.isForeign(g.Name) || n.betterOwner(to, owners)) {
+		if given == nil && to != "" && to != n.settings.Name && clock.Since(g.takenAt) > handBackAfter && (n.isForeign(g.Name) || n.betterOwner(to, owners)) {
 			given = g
 		}
 	}
 	if given != nil {
-		given.handing = true
+		given.handingOver = true
 		event.GroupHanded.Log(n.log, slog.String("group", given.Name), slog.Uint64("token", given.Token), slog.String("to", owners[given.Name]))
 	}
 	n.mu.Unlock()
@@ -138,17 +138,17 @@
 // betterOwner reports whether handing a group to a peer is worth the change. The
 // lock is held.
 func (n *Node) betterOwner(peer string, owners map[string]string) bool {
-	if !n.around.IsHub || n.heard[peer].GetShare() >= muchLarger*n.in.CPUShare {
+	if !n.neighbours.IsHub || n.lastHeartbeat[peer].GetShare() >= muchLarger*n.settings.CPUShare {
 		return true
 	}
 	fair := 0
 	for _, o := range owners {
-		if o == n.in.Name {
+		if o == n.settings.Name {
 			fair++
 		}
 	}
 	// It must leave the two more even than they are.
-	return len(n.groups) > fair && len(n.heard[peer].GetClaims())+1 < len(n.groups)
+	return len(n.groups) > fair && len(n.lastHeartbeat[peer].GetClaims())+1 < len(n.groups)
 }
 
 // keepShare is the part of a planned stop in which groups are kept while no
@@ -159,14 +159,14 @@
 // handOver begins to hand over the groups in a planned stop that lasts until
 // limit at most and has taken a while.
 func (n *Node) handOver(took, limit time.Duration) {
-	var given []*held
+	var given []*ownedGroup
 	n.mu.Lock()
 	late := took > time.Duration(keepShare*float64(limit))
 	for _, g := range n.ownedGroups() {
-		if g.handing || !late && !n.isForeign(g.Name) && !n.hasSuccessor() {
+		if g.handingOver || !late && !n.isForeign(g.Name) && !n.hasSuccessor() {
 			continue
 		}
-		g.handing = true
+		g.handingOver = true
 		given = append(given, g)
 		event.GroupHanded.Log(n.log, slog.String("group", g.Name), slog.Uint64("token", g.Token), slog.String("to", ""), slog.Duration("stopping_for", took))
 	}
@@ -182,7 +182,7 @@
 // hasSuccessor reports whether another instance may own the groups of this
 // availability zone. The lock is held.
 func (n *Node) hasSuccessor() bool {
-	return slices.ContainsFunc(n.candidates(), func(c membership.Candidate) bool { return c.Name != n.in.Name })
+	return slices.ContainsFunc(n.candidates(), func(c membership.Candidate) bool { return c.Name != n.settings.Name })
 }
 
 // release lets go of upstreams in a planned stop, and tells peers at once.
@@ -198,7 +198,7 @@
 	count := 0
 	for _, g := range n.owned() {
 		n.mu.Lock()
-		handing := g.handing
+		handing := g.handingOver
 		n.mu.Unlock()
 		if !handing {
 			continue
@@ -223,12 +223,12 @@
 // takeGroups takes the groups that nobody owns and that this instance should own:
 // of its own availability zone, and of those without any instance.
 func (n *Node) takeGroups() {
-	if n.leaving.Load() || n.stop.Err() != nil {
+	if n.leaving.Load() || n.ctx.Err() != nil {
 		return
 	}
 	n.mu.Lock()
 	taken := false
-	if n.around.IsHub && n.settled() && !n.isolated() {
+	if n.neighbours.IsHub && n.settled() && !n.isolated() {
 		taken = n.takeOwn(membership.Assign(n.zoneGroups(), n.candidates()))
 		if orphaned := n.orphaned(); len(orphaned) > 0 {
 			taken = n.takeOwn(membership.Assign(orphaned, n.foreignCandidates())) || taken
@@ -246,7 +246,7 @@
 func (n *Node) takeOwn(owners map[string]string) bool {
 	taken := false
 	for group, name := range owners {
-		if name == n.in.Name && n.canTake(group) {
+		if name == n.settings.Name && n.canTake(group) {
 			n.take(group)
 			taken = true
 		}
@@ -256,13 +256,13 @@
 
 // take begins to own a group. The lock is held.
 func (n *Node) take(group string) {
-	n.highest = membership.NextToken(clock.WallClock().UnixMilli(), n.highest, string(n.self))
-	cfg := schedule.ConfigForMaxLease(n.in.Timing.MaxTaskLease)
-	cfg.RemoteFactor = n.in.Timing.RemoteFactor
-	cfg.LinkRate = n.in.LinkRate // counted in full by each group of an owner of several
-	n.groups[group] = &held{Group: owner.NewGroup(group, cfg, n.highest, n.calls, n), since: clock.Now()}
-	n.taken = clock.Now()
-	event.GroupTaken.Log(n.log, slog.String("group", group), slog.Uint64("token", n.highest),
+	n.highestToken = membership.NextToken(clock.WallClock().UnixMilli(), n.highestToken, string(n.self))
+	cfg := schedule.ConfigForMaxLease(n.settings.Timing.MaxTaskLease)
+	cfg.RemoteFactor = n.settings.Timing.RemoteFactor
+	cfg.LinkRate = n.settings.LinkRate // counted in full by each group of an owner of several
+	n.groups[group] = &ownedGroup{Group: owner.NewGroup(group, cfg, n.highestToken, n.upstreamClient, n), takenAt: clock.Now()}
+	n.lastTakenAt = clock.Now()
+	event.GroupTaken.Log(n.log, slog.String("group", group), slog.Uint64("token", n.highestToken),
 		slog.Int("upstreams", len(n.membersOf(group))), slog.Int("candidates", len(n.candidates())))
 }
 
@@ -270,16 +270,16 @@
 // every instance of its availability zone that is listed and runs. One that
 // accepts no connection does not. The lock is held.
 func (n *Node) settled() bool {
-	age := clock.Since(n.began)
+	age := clock.Since(n.startedAt)
 	if age >= busySettleTime {
 		return true
 	}
 	for _, p := range n.hubPeers() {
-		if p.State == membership.Listed && !n.isAbsent(p.Instance) && (age < settleTime || n.dials[p.Address] != dialFailed) {
+		if p.State == membership.Listed && !n.isAbsent(p.Instance) && (age < settleTime || n.dialOutcomes[p.Address] != dialFailed) {
 			return false
 		}
 	}
-	return n.peersRead && (age >= settleTime || n.table.Len() > 0)
+	return n.peerListRead && (age >= settleTime || n.peers.Len() > 0)
 }
 
 // canTake reports whether a group is free. The lock is held.
@@ -301,30 +301,30 @@
 // an owner that works. The lock is held.
 func (n *Node) isolated() bool {
 	listed := false
-	for p := range n.table.All() {
+	for p := range n.peers.All() {
 		switch {
 		case p.State == membership.Alive || p.State == membership.Suspect || p.State == membership.Leaving:
-			n.alone = time.Time{}
+			n.isolatedSince = time.Time{}
 			return false
-		case p.Zone == n.in.Zone && n.registered[p.Instance] != "" && !n.isAbsent(p.Instance):
+		case p.Zone == n.settings.Zone && n.registeredZones[p.Instance] != "" && !n.isAbsent(p.Instance):
 			listed = true
 		}
 	}
-	if !listed || clock.Since(n.began) < isolatedLimit {
+	if !listed || clock.Since(n.startedAt) < isolatedLimit {
 		return false // after a restart of all, the list is older than the loss
 	}
-	if n.alone.IsZero() {
-		n.alone = clock.Now()
+	if n.isolatedSince.IsZero() {
+		n.isolatedSince = clock.Now()
 	}
-	return clock.Since(n.alone) < isolatedLimit
+	return clock.Since(n.isolatedSince) < isolatedLimit
 }
 
 // candidates returns the instances of the own availability zone that may own
 // groups: its hubs. The lock is held.
 func (n *Node) candidates() []membership.Candidate {
 	var list []membership.Candidate
-	if n.around.IsHub {
-		list = append(list, membership.Candidate{Name: n.in.Name, CPUShare: n.in.CPUShare})
+	if n.neighbours.IsHub {
+		list = append(list, membership.Candidate{Name: n.settings.Name, CPUShare: n.settings.CPUShare})
 	}
 	return append(list, n.candidatesOf(n.hubPeers())...)
 }
@@ -332,6 +332,6 @@
 // candidatesOf returns those of some peers that live. The lock is held.
 func (n *Node) candidatesOf(peers []membership.Peer) []membership.Candidate {
 	return lo.FilterMap(peers, func(p membership.Peer, _ int) (membership.Candidate, bool) {
-		return membership.Candidate{Name: p.Instance, CPUShare: n.heard[p.Instance].GetShare()}, p.State == membership.Alive
+		return membership.Candidate{Name: p.Instance, CPUShare: n.lastHeartbeat[p.Instance].GetShare()}, p.State == membership.Alive
 	})
 }
--- a/node/ownership_test.go
+++ b/node/ownership_test.go
@@ -27,9 +27,9 @@
 		"fewer than its fair part already":  {0.4, 0, 2, 2, false},
 		"much larger, and owns many itself": {0.8, 3, 1, 0, true},
 	} {
-		n := &Node{in: fleet.Instance{Name: "self", CPUShare: 0.4}, around: &membership.Neighbours{IsHub: true}, groups: map[string]*held{}, heard: map[string]*inner.Presence{}}
+		n := &Node{settings: fleet.Instance{Name: "self", CPUShare: 0.4}, neighbours: &membership.Neighbours{IsHub: true}, groups: map[string]*ownedGroup{}, lastHeartbeat: map[string]*inner.Presence{}}
 		for i := range c.own {
-			n.groups[groupName("a", i)] = &held{}
+			n.groups[groupName("a", i)] = &ownedGroup{}
 		}
 		owners := map[string]string{}
 		for i := range c.fair {
@@ -39,7 +39,7 @@
 		for range c.claims {
 			p.Claims = append(p.Claims, &inner.Claim{})
 		}
-		n.heard["peer"] = p
+		n.lastHeartbeat["peer"] = p
 		if got := n.betterOwner("peer", owners); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
--- a/node/peers.go
+++ b/node/peers.go
@@ -20,9 +20,9 @@
 // beat tells peers of this instance, and lets time pass for what it believes
 // of them.
 func (n *Node) beat() {
-	for n.stop.Err() == nil {
+	for n.ctx.Err() == nil {
 		n.mu.Lock()
-		joining := clock.Since(n.taken) < joinTime
+		joining := clock.Since(n.lastTakenAt) < joinTime
 		n.mu.Unlock()
 		if joining {
 			n.pause(joinEvery)
@@ -37,7 +37,7 @@
 	n.noticeSuspension()
 	n.renewOwn()
 	n.mu.Lock()
-	changes := n.table.Tick(n.nowMs())
+	changes := n.peers.Tick(n.nowMs())
 	n.mu.Unlock()
 	n.changed(changes)
 	n.updateNeighbours()
@@ -46,14 +46,14 @@
 }
 
 // nowMs is a steady clock, in milliseconds.
-func (n *Node) nowMs() int64 { return clock.Since(n.began).Milliseconds() }
+func (n *Node) nowMs() int64 { return clock.Since(n.startedAt).Milliseconds() }
 
 // presence is what peers hear of this instance.
 func (n *Node) presence() *inner.Presence {
 	n.mu.Lock()
 	groups := n.ownedGroups()
 	p := &inner.Presence{
-		Leaving: n.leaving.Load(), HighestToken: n.highest, Share: n.in.CPUShare,
+		Leaving: n.leaving.Load(), HighestToken: n.highestToken, Share: n.settings.CPUShare,
 		GroupCounts: lo.MapValues(n.groupCounts, func(count int, _ string) uint32 { return uint32(count) }),
 	}
 	n.mu.Unlock()
@@ -67,7 +67,7 @@
 	for _, g := range groups {
 		c := claimFor(g.Group, g.Load())
 		n.mu.Lock()
-		c.Leaving = g.handing
+		c.Leaving = g.handingOver
 		c.Released = slices.Clone(g.released)
 		n.mu.Unlock()
 		p.Claims = append(p.Claims, c)
@@ -86,7 +86,7 @@
 		return
 	}
 	go func() {
-		if n.in.Name > instance {
+		if n.settings.Name > instance {
 			n.pause(yieldDial) // seeds, which have an address for a name, sort first
 		}
 		err := n.mesh.Send(fate.Incarnation(instance), n.presenceFor(instance)) // it is tried again with the next beat
@@ -99,8 +99,8 @@
 
 // trySeeds looks for peers where the settings say that some were.
 func (n *Node) trySeeds() {
-	for _, seed := range n.in.SeedPeers {
-		if seed != n.in.PeerAddress {
+	for _, seed := range n.settings.SeedPeers {
+		if seed != n.settings.PeerAddress {
 			n.introduce(string(inner.AtAddress(seed)))
 		}
 	}
@@ -124,7 +124,7 @@
 		outcome = dialFailed
 	}
 	n.mu.Lock()
-	n.dials[address] = outcome
+	n.dialOutcomes[address] = outcome
 	n.mu.Unlock()
 	return conn, err
 }
@@ -142,7 +142,7 @@
 // isAbsent reports whether nothing listens where an instance should. The lock is
 // held.
 func (n *Node) isAbsent(instance string) bool {
-	at, refused := n.absent[instance]
+	at, refused := n.refusedAt[instance]
 	return refused && clock.Since(at) < absentFor
 }
 
@@ -151,10 +151,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if failure.Is(err, failure.Gone) {
-		n.absent[instance] = clock.Now()
+		n.refusedAt[instance] = clock.Now()
 		return
 	}
-	delete(n.absent, instance)
+	delete(n.refusedAt, instance)
 }
 
 // Frame implements inner.Handler; LinkFrame takes all frames.
@@ -198,7 +198,7 @@
 // dropped; whether the peer is gone is found out at once.
 func (n *Node) LinkClosed(link inner.Link, from fate.Incarnation) {
 	n.router.linkClosed(link, from)
-	if n.stop.Err() != nil || !n.wants(from.Instance()) {
+	if n.ctx.Err() != nil || !n.wants(from.Instance()) {
 		return
 	}
 	go n.probe(from)
@@ -212,7 +212,7 @@
 		return
 	}
 	n.mu.Lock()
-	changes := n.table.MarkEnded(peer)
+	changes := n.peers.MarkEnded(peer)
 	n.mu.Unlock()
 	n.changed(changes)
 	if len(changes) > 0 {
@@ -224,10 +224,10 @@
 func (n *Node) hear(link inner.Link, from fate.Incarnation, p *inner.Presence) {
 	n.mu.Lock()
 	load := membership.Heartbeat{Leaving: p.GetLeaving(), Revision: p.GetConfigVersion(), Unwanted: p.GetUnwanted()}
-	changes := n.table.RecordHeartbeat(from, load, n.nowMs())
-	before := n.heard[from.Instance()]
-	n.heard[from.Instance()] = p
-	n.highest = max(n.highest, p.GetHighestToken())
+	changes := n.peers.RecordHeartbeat(from, load, n.nowMs())
+	before := n.lastHeartbeat[from.Instance()]
+	n.lastHeartbeat[from.Instance()] = p
+	n.highestToken = max(n.highestToken, p.GetHighestToken())
 	for zone, count := range p.GetGroupCounts() {
 		if n.groupCounts[zone] == 0 && count > 0 && count <= mostGroups {
 			n.groupCounts[zone] = int(count)
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -24,7 +24,7 @@
 	var fleet []*Node
 	for name, l := range known {
 		n := bareNode(name, l.Zone)
-		n.in.CPUShare = l.CPUShare
+		n.settings.CPUShare = l.CPUShare
 		for i := range zones {
 			n.groupCounts[fmt.Sprintf("%c", 'a'+i)] = 4
 		}
@@ -43,7 +43,7 @@
 	for _, instances := range []int{100, 300, 1000} {
 		readers, rare := 0, 0
 		for _, n := range startingFleet(zones, instances) {
-			n.began = clock.Now()
+			n.startedAt = clock.Now()
 			if n.upstreamNeed() != needNothing {
 				readers++
 			}
--- a/node/registration.go
+++ b/node/registration.go
@@ -82,31 +82,31 @@
 func (n *Node) setPeers(known map[string]membership.Listing) {
 	list := make([]membership.Listing, 0, len(known))
 	for name, l := range known {
-		if name != n.in.Name {
+		if name != n.settings.Name {
 			list = append(list, l)
 		}
 	}
 	used := n.router.inUse()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.peersRead {
-		n.peersRead = true
-		close(n.listed)
+	if !n.peerListRead {
+		n.peerListRead = true
+		close(n.peerListReady)
 	}
-	n.registered = lo.MapValues(known, func(l membership.Listing, _ string) string { return l.Zone })
-	n.table.SetListed(list)
+	n.registeredZones = lo.MapValues(known, func(l membership.Listing, _ string) string { return l.Zone })
+	n.peers.SetListed(list)
 	n.setNeighbours(used)
 }
 
 // register keeps this instance's entry in the store.
 func (n *Node) register() {
-	value, err := platform.EncodeInstance(fleet.InstanceEntry{Address: n.in.PeerAddress, Region: n.in.Region, Zone: n.in.Zone, Share: n.in.CPUShare})
+	value, err := platform.EncodeInstance(fleet.InstanceEntry{Address: n.settings.PeerAddress, Region: n.settings.Region, Zone: n.settings.Zone, Share: n.settings.CPUShare})
 	if err != nil {
 		event.ServeFailed.Log(n.log, slog.String("error", err.Error())) // cannot happen: plain fields
 		return
 	}
 	lease := uint64(0)
-	for n.stop.Err() == nil {
+	for n.ctx.Err() == nil {
 		if lease == 0 {
 			lease = n.registerOnce(value)
 		} else if failure.Is(n.store.Renew(lease), failure.NotFound) {
@@ -123,9 +123,9 @@
 
 // registerOnce returns the lease of the new entry, or 0.
 func (n *Node) registerOnce(value []byte) uint64 {
-	lease, err := n.store.Grant(max(registrationTTL, n.in.MinLeaseTTL))
+	lease, err := n.store.Grant(max(registrationTTL, n.settings.MinLeaseTTL))
 	if err == nil {
-		err = n.store.Put(platform.PeerPrefix+n.in.Name, value, lease)
+		err = n.store.Put(platform.PeerPrefix+n.settings.Name, value, lease)
 	}
 	if err != nil {
 		event.RegisterFailed.Log(n.log, slog.String("error", err.Error()))
@@ -141,5 +141,5 @@
 func (n *Node) peerRest() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Duration(len(n.registered)) * restPerPeer
+	return time.Duration(len(n.registeredZones)) * restPerPeer
 }
--- a/node/relay.go
+++ b/node/relay.go
@@ -17,10 +17,10 @@
 // others: each hub tells a part.
 func (n *Node) relays() []*inner.RemoteOwner {
 	n.mu.Lock()
-	around := n.around
-	due := len(around.Spokes) > 0 && clock.Since(n.relayed) >= relayEvery
+	around := n.neighbours
+	due := len(around.Spokes) > 0 && clock.Since(n.lastRelay) >= relayEvery
 	if due {
-		n.relayed = clock.Now()
+		n.lastRelay = clock.Now()
 	}
 	n.mu.Unlock()
 	if !due {
@@ -43,7 +43,7 @@
 	var list []*inner.RemoteOwner
 	for _, group := range slices.Sorted(maps.Keys(r.views)) {
 		v := r.views[group]
-		if v.relayed || zoneOf(group) == r.n.in.Zone {
+		if v.relayed || zoneOf(group) == r.n.settings.Zone {
 			continue
 		}
 		list = append(list, &inner.RemoteOwner{
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, name := range names {
 		in.until(name+" is ready", func() bool {
-			return in.status("GET", in.nodes[name].in.ReadinessAddress, "/readiness") == http.StatusOK
+			return in.status("GET", in.nodes[name].settings.ReadinessAddress, "/readiness") == http.StatusOK
 		})
 		in.until(name+" serves", func() bool { status, _ := in.submit(name, in.newID(), 1, 10); return status == http.StatusOK })
 	}
--- a/node/router.go
+++ b/node/router.go
@@ -86,13 +86,13 @@
 	if h == nil {
 		return nil, false
 	}
-	return h.Group, !h.handing
+	return h.Group, !h.handingOver
 }
 
 // Loads implements ingress.Owners.
 func (r *router) Loads() []ingress.OwnerLoad {
 	r.n.mu.Lock()
-	own := slices.DeleteFunc(r.n.ownedGroups(), func(g *held) bool { return g.handing })
+	own := slices.DeleteFunc(r.n.ownedGroups(), func(g *ownedGroup) bool { return g.handingOver })
 	r.n.mu.Unlock()
 	var fresh, stale []ingress.OwnerLoad
 	for _, g := range own {
@@ -101,7 +101,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for group, v := range r.views {
-		if slices.ContainsFunc(own, func(g *held) bool { return g.Name == group }) {
+		if slices.ContainsFunc(own, func(g *ownedGroup) bool { return g.Name == group }) {
 			continue
 		}
 		l := v.load
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -86,20 +86,20 @@
 	a, b := in.nodes["a-1"], in.nodes["b-1"]
 	lost := func(n *Node, peer string) {
 		n.mu.Lock()
-		p := n.heard[peer]
+		p := n.lastHeartbeat[peer]
 		n.mu.Unlock()
 		if p == nil {
-			t.Fatalf("%s has never heard %s", n.in.Name, peer)
+			t.Fatalf("%s has never heard %s", n.settings.Name, peer)
 		}
 		n.mu.Lock()
-		n.table.Tick(n.nowMs() + time.Hour.Milliseconds())
+		n.peers.Tick(n.nowMs() + time.Hour.Milliseconds())
 		n.mu.Unlock()
 		n.mesh.Sever(in.nodes[peer].self)
 	}
 	lost(a, "b-1")
 	lost(b, "a-1")
 	for _, n := range []*Node{a, b} {
-		in.until(n.in.Name+" hears every owner", func() bool { return len(n.router.Loads()) == 2 })
+		in.until(n.settings.Name+" hears every owner", func() bool { return len(n.router.Loads()) == 2 })
 	}
 	in.until("they are neighbours", func() bool { return a.wants("b-1") && b.wants("a-1") })
 }
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -17,7 +17,7 @@
 func TestStopWithoutSuccessor(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 2, "a-1")
 	n := in.nodes["a-1"]
-	n.in.Timing.Grace = time.Minute // the test may be slow, and groups are kept for a part of it
+	n.settings.Timing.Grace = time.Minute // the test may be slow, and groups are kept for a part of it
 	stopped := make(chan bool, 1)
 	go func() { stopped <- n.Stop() }()
 	in.until("it is stopping", n.leaving.Load)
@@ -27,7 +27,7 @@
 	n.mu.Lock()
 	g := n.groups["a/0"]
 	n.mu.Unlock()
-	if g == nil || g.handing {
+	if g == nil || g.handingOver {
 		t.Fatal("it has let go of its group with nobody there to take it")
 	}
 	in.start("a-2")
@@ -48,13 +48,13 @@
 func TestStopHandsOverInTime(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 1, "a-1")
 	n := in.nodes["a-1"]
-	limit := n.in.Timing.Grace - graceMargin
+	limit := n.settings.Timing.Grace - graceMargin
 	handing := func(took time.Duration) bool {
 		n.handOver(took, limit)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		g := n.groups["a/0"]
-		return g == nil || g.handing
+		return g == nil || g.handingOver
 	}
 	if handing(0) {
 		t.Error("the group is handed over at once")
@@ -83,13 +83,13 @@
 		"the list has not been read":   {age: settleTime, unread: true, dial: dialFailed, want: false},
 	} {
 		n := &Node{
-			table: membership.NewTable(silence), around: &membership.Neighbours{Near: map[string]bool{"a-2": true}},
-			absent: map[string]time.Time{}, dials: map[string]dialOutcome{"there": c.dial},
-			began: clock.Now().Add(-c.age), peersRead: !c.unread,
+			peers: membership.NewTable(silence), neighbours: &membership.Neighbours{Near: map[string]bool{"a-2": true}},
+			refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{"there": c.dial},
+			startedAt: clock.Now().Add(-c.age), peerListRead: !c.unread,
 		}
-		n.table.ApplyHello(membership.Listing{Instance: "a-2", Zone: "a", Address: "there"})
+		n.peers.ApplyHello(membership.Listing{Instance: "a-2", Zone: "a", Address: "there"})
 		if c.absent {
-			n.absent["a-2"] = clock.Now()
+			n.refusedAt["a-2"] = clock.Now()
 		}
 		if got := n.settled(); got != c.want {
 			t.Errorf("%s: settled %v, want %v", name, got, c.want)
@@ -100,11 +100,11 @@
 // bareNode returns an instance that has just begun and knows nobody. It does not run.
 func bareNode(name, zone string) *Node {
 	n := &Node{
-		table: membership.NewTable(silence), around: &membership.Neighbours{IsHub: true, HubCount: 1}, sought: &membership.Neighbours{},
-		absent: map[string]time.Time{}, dials: map[string]dialOutcome{}, groupCounts: map[string]int{}, began: clock.Now(), log: slog.New(slog.DiscardHandler),
-		listed: make(chan struct{}), stop: context.Background(), directory: directory.New(),
+		peers: membership.NewTable(silence), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{},
+		refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{}, groupCounts: map[string]int{}, startedAt: clock.Now(), log: slog.New(slog.DiscardHandler),
+		peerListReady: make(chan struct{}), ctx: context.Background(), directory: directory.New(),
 	}
-	n.in.Name, n.in.Zone = name, zone
+	n.settings.Name, n.settings.Zone = name, zone
 	n.router = newRouter(n)
 	return n
 }
--- a/node/suspension.go
+++ b/node/suspension.go
@@ -17,9 +17,9 @@
 func (n *Node) noticeSuspension() {
 	total := clock.Suspended()
 	n.mu.Lock()
-	length := total - n.suspended
+	length := total - n.suspendedTotal
 	if length >= shortestSuspension {
-		n.suspended = total
+		n.suspendedTotal = total
 	}
 	n.mu.Unlock()
 	if length < shortestSuspension {
--- a/node/upstreamask.go
+++ b/node/upstreamask.go
@@ -31,7 +31,7 @@
 		return
 	}
 	n.metrics.CountSent("upstreams_request")
-	request := &inner.Frame{Body: &inner.Frame_UpstreamsRequest{UpstreamsRequest: &inner.UpstreamsRequest{Zone: n.in.Zone}}}
+	request := &inner.Frame{Body: &inner.Frame_UpstreamsRequest{UpstreamsRequest: &inner.UpstreamsRequest{Zone: n.settings.Zone}}}
 	_, err := n.mesh.Ask(peer, request, func(f *inner.Frame, err error) { n.takeUpstreams(peer, f, err) })
 	if err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "upstreams request"), slog.String("error", err.Error()))
@@ -43,18 +43,18 @@
 func (n *Node) nextToAsk() (fate.Incarnation, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	peers := n.table.Filter(func(p membership.Peer) bool {
+	peers := n.peers.Filter(func(p membership.Peer) bool {
 		lives := p.State == membership.Alive || p.State == membership.Leaving
-		return lives && p.Zone == n.in.Zone && n.around.Has(p.Instance) && !n.around.Spokes[p.Instance]
+		return lives && p.Zone == n.settings.Zone && n.neighbours.Has(p.Instance) && !n.neighbours.Spokes[p.Instance]
 	})
 	if len(peers) == 0 {
 		return "", false
 	}
 	slices.SortStableFunc(peers, func(a, b membership.Peer) int {
-		return cmp.Compare(len(n.heard[b.Instance].GetClaims()), len(n.heard[a.Instance].GetClaims()))
+		return cmp.Compare(len(n.lastHeartbeat[b.Instance].GetClaims()), len(n.lastHeartbeat[a.Instance].GetClaims()))
 	})
-	asked := n.upstreamAsks % len(peers)
-	n.upstreamAsks++
+	asked := n.upstreamRequests % len(peers)
+	n.upstreamRequests++
 	return peers[asked].Incarnation, true
 }
 
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -118,9 +118,9 @@
 	timer := time.NewTimer(listFirst)
 	defer timer.Stop()
 	select {
-	case <-n.listed:
+	case <-n.peerListReady:
 	case <-timer.C:
-	case <-n.stop.Done():
+	case <-n.ctx.Done():
 	}
 }
 
@@ -139,15 +139,15 @@
 // those of them that are small beside others only once the larger ones are lost: what they
 // have read is for the case that the store does not answer then. The lock is held.
 func (n *Node) upstreamNeedNow() need {
-	counted := n.groupCounts[n.in.Zone] > 0 // the number of groups follows from that of upstreams
+	counted := n.groupCounts[n.settings.Zone] > 0 // the number of groups follows from that of upstreams
 	switch {
 	case len(n.groups) > 0:
 		return needClosely
-	case !n.around.IsHub:
+	case !n.neighbours.IsHub:
 		return needNothing
-	case counted && clock.Since(n.began) < standbyFirst && !membership.IsLarge(n.in.CPUShare, n.listedCandidates()):
+	case counted && clock.Since(n.startedAt) < standbyFirst && !membership.IsLarge(n.settings.CPUShare, n.listedCandidates()):
 		return needNothing // the larger ones start as well, and read them at this moment
-	case counted && !membership.IsLarge(n.in.CPUShare, n.candidates()):
+	case counted && !membership.IsLarge(n.settings.CPUShare, n.candidates()):
 		return needRoughly
 	default:
 		return needClosely
