--- a/client/client.go
+++ b/client/client.go
@@ -90,7 +90,7 @@
 		cfg.MaxConns = DefaultMaxConns
 	}
 	if cfg.Tracer == nil {
-		cfg.Tracer = tracing.Off()
+		cfg.Tracer = tracing.Disabled()
 	}
 	if cfg.Dial == nil {
 		cfg.Dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, time.Second) }
@@ -188,7 +188,7 @@
 	span := s.c.cfg.Tracer.Start("", "caller")
 	defer span.End()
 	var answer api.Answer
-	err := s.c.call(ctx, entry, http.MethodPost, api.PathJobs, &request, span.Parent(), s.deadline+s.c.cfg.CallTimeout, &answer)
+	err := s.c.call(ctx, entry, http.MethodPost, api.PathJobs, &request, span.Traceparent(), s.deadline+s.c.cfg.CallTimeout, &answer)
 	return answer, err
 }
 
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -124,7 +124,7 @@
 		c.Metrics = metrics.NewSet()
 	}
 	if c.Tracer == nil {
-		c.Tracer = tracing.Off()
+		c.Tracer = tracing.Disabled()
 	}
 }
 
--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -150,7 +150,7 @@
 
 func (l *homeLog) traceOf(key fate.Key) string {
 	if r := l.runs[key]; r != nil {
-		return r.span.Parent()
+		return r.span.Traceparent()
 	}
 	return ""
 }
--- a/dispatch/starter.go
+++ b/dispatch/starter.go
@@ -36,7 +36,7 @@
 	task := &o.job.Tasks[o.Lease.Task]
 	span := l.d.cfg.Tracer.Start(o.trace, "upstream", attribute.String("upstream", o.Upstream))
 	began := time.Now()
-	reply, err := l.send(o, task, span.Parent())
+	reply, err := l.send(o, task, span.Traceparent())
 	span.End() // before the caller is answered, who may look at the trace
 	usage := placement.Usage{Upstream: o.Upstream, Needs: needsOf(task), Service: o.job.Service, Count: 1}
 	switch {
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -101,7 +101,7 @@
 	defer cancel()
 	reply, err := d.peers.Call(ctx, to, &inner.Frame{Body: &inner.Frame_Submit{Submit: &inner.Submit{
 		Key: inner.FromKey(c.Key), Job: inner.FromJob(c.Job), Attempt: c.Attempt,
-		WaitMs: uint32(c.Wait.Milliseconds()), AsWitness: asWitness, Trace: span.Parent(),
+		WaitMs: uint32(c.Wait.Milliseconds()), AsWitness: asWitness, Trace: span.Traceparent(),
 	}}})
 	if err != nil {
 		return Result{}, err
--- a/entry/http.go
+++ b/entry/http.go
@@ -135,13 +135,13 @@
 	job := s.Job(now.UnixMilli(), defaultDeadlineMs)
 	span := n.tracer.Start(traceOf(c, traceRatio), "entry")
 	defer span.End()
-	job.Trace = span.Parent()
+	job.Trace = span.Traceparent()
 	wait := time.UnixMilli(job.DeadlineMs).Sub(now) + answerGrace
 	if s.WaitMs != nil {
 		wait = min(wait, time.Duration(*s.WaitMs)*time.Millisecond)
 	}
 	r, err := n.dispatch.Submit(n.stop, dispatch.Call{
-		Key: s.Key(), Job: job, Attempt: s.Attempt, Wait: wait, Trace: span.Parent(),
+		Key: s.Key(), Job: job, Attempt: s.Attempt, Wait: wait, Trace: span.Traceparent(),
 	})
 	if err != nil {
 		return err
--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -37,9 +37,9 @@
 
 // Timing holds the bounds that an installation sets.
 type Timing struct {
-	MaxTaskLease time.Duration // that upstreams grant
-	Grace        time.Duration // from SIGTERM to SIGKILL
-	FenceSettle  time.Duration // in which two holders must not take turns
+	MaxTaskLease         time.Duration // that upstreams grant
+	Grace                time.Duration // from SIGTERM to SIGKILL
+	MinOwnershipInterval time.Duration // in which two holders must not take turns
 	// RemoteFactor is how many times longer a task takes away from its data.
 	RemoteFactor float64
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -111,7 +111,7 @@
 		CustomerAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0", MetricsAddress: "127.0.0.1:0",
 		StoreAddress: in.store.Address,
 		Timing: fleet.Timing{
-			MaxTaskLease: time.Second, Grace: 6 * time.Second, FenceSettle: 3 * time.Second,
+			MaxTaskLease: time.Second, Grace: 6 * time.Second, MinOwnershipInterval: 3 * time.Second,
 		},
 	}
 }
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -67,7 +67,7 @@
 		since, joined := g.FencedAt()
 		wait := staleFence
 		if joined {
-			wait = n.settings.Timing.FenceSettle + fenceMargin
+			wait = n.settings.Timing.MinOwnershipInterval + fenceMargin
 			n.incrementDoublings = 0
 		}
 		if since.IsZero() || clock.Since(since) < wait {
--- a/tracing/tracing.go
+++ b/tracing/tracing.go
@@ -34,8 +34,8 @@
 	flush  func(context.Context) error
 }
 
-// Off returns a tracer that makes no spans.
-func Off() *Tracer {
+// Disabled returns a tracer that makes no spans.
+func Disabled() *Tracer {
 	return &Tracer{tracer: noop.NewTracerProvider().Tracer(""), stop: func(context.Context) error { return nil }}
 }
 
@@ -43,7 +43,7 @@
 // opened or the endpoint is no address.
 func New(ctx context.Context, cfg Config) (*Tracer, error) {
 	if cfg.File == "" && cfg.Endpoint == "" {
-		return Off(), nil
+		return Disabled(), nil
 	}
 	exporter, err := exporter(ctx, cfg)
 	if err != nil {
@@ -111,8 +111,8 @@
 	return &Span{span: span, parent: parent}
 }
 
-// Parent returns the traceparent for what is done within the span.
-func (s *Span) Parent() string {
+// Traceparent returns the traceparent for what is done within the span.
+func (s *Span) Traceparent() string {
 	if s.span == nil || !s.span.SpanContext().IsSampled() {
 		return s.parent
 	}
--- a/tracing/tracing_test.go
+++ b/tracing/tracing_test.go
@@ -32,8 +32,8 @@
 			t.Fatal(err)
 		}
 		parent := tracer.Start("", "caller")
-		child := tracer.Start(parent.Parent(), "entry")
-		if a, b := parent.Parent(), child.Parent(); len(a) != 55 || a[:36] != b[:36] {
+		child := tracer.Start(parent.Traceparent(), "entry")
+		if a, b := parent.Traceparent(), child.Traceparent(); len(a) != 55 || a[:36] != b[:36] {
 			t.Errorf("traces %q and %q", a, b)
 		}
 		child.End()
@@ -53,7 +53,7 @@
 
 func TestOffAndWrong(t *testing.T) {
 	const given = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-	if got := Off().Start(given, "entry").Parent(); got != given {
+	if got := Disabled().Start(given, "entry").Traceparent(); got != given {
 		t.Errorf("a trace that is not recorded here became %q", got)
 	}
 	_, err := New(context.Background(), Config{File: t.TempDir()})
