--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,7 +1,6 @@
-// Package directory holds what an instance knows of the upstreams that the platform
-// lists, and of the availability zones that operators have evacuated: one place that
-// tells whether anything new may start on an upstream. It does no I/O and is safe for
-// concurrent use.
+// Package directory stores the upstreams that the platform lists and the availability
+// zones that operators have evacuated. From these it determines whether new tasks may
+// start on an upstream. It does no I/O and is safe for concurrent use.
 package directory
 
 import (
@@ -16,68 +15,69 @@
 	"github.com/samber/lo"
 )
 
-// Entry is what the platform's list says of one upstream.
+// Entry is one upstream's entry in the platform's list.
 type Entry struct {
 	ID       string
 	Upstream fleet.Upstream
-	// Deleted is set where the entry was removed, Invalid where it cannot be read:
-	// somebody else wrote it. It then names no upstream to use.
+	// Deleted is set if the entry was removed from the list, Invalid if it cannot be
+	// read because some other program overwrote it. In both cases Upstream is not used.
 	Deleted bool
 	Invalid bool
 }
 
-// Directory is one such place. Use New.
+// Directory holds the upstreams and the evacuation state of the zones as one instance
+// knows them. Create it with New.
 type Directory struct {
-	mu          sync.Mutex // guards what follows
-	upstreams   map[string]fleet.Upstream
-	listed      bool                                    // the upstreams have been read
-	drainedAt   map[fleet.UpstreamIncarnation]time.Time // when an upstream was first known to drain
-	resizedAt   map[fleet.UpstreamIncarnation]time.Time // when the capacity of an upstream was first known to have changed
-	tellsBirths bool                                    // some entry has told when its upstream was born
-	services    map[string]bool                         // that the configuration names; nil before there is one
-	zones       zones
+	mu                sync.Mutex // guards the fields below
+	upstreams         map[string]fleet.Upstream
+	synced            bool                                    // the list of upstreams has been read, see Synced
+	drainingSince     map[fleet.UpstreamIncarnation]time.Time // when this instance first learned that an upstream is draining
+	capacityChangedAt map[fleet.UpstreamIncarnation]time.Time // when this instance last learned of a change of an upstream's capacity
+	hasStartTimes     bool                                    // at least one entry contained the start time of its upstream
+	services          map[string]bool                         // services named in the configuration; nil means any service
+	zones             zoneTable
 }
 
-// New returns a directory that knows nothing.
+// New returns an empty directory.
 func New() *Directory {
-	return &Directory{upstreams: map[string]fleet.Upstream{}, drainedAt: map[fleet.UpstreamIncarnation]time.Time{}, resizedAt: map[fleet.UpstreamIncarnation]time.Time{}, zones: zones{rows: map[string]zoneRow{}}}
+	return &Directory{upstreams: map[string]fleet.Upstream{}, drainingSince: map[fleet.UpstreamIncarnation]time.Time{}, capacityChangedAt: map[fleet.UpstreamIncarnation]time.Time{}, zones: zoneTable{byName: map[string]zoneEntry{}}}
 }
 
-// Replace takes the whole list of upstreams. It returns those that are newly known to
-// drain.
+// Replace applies a complete list of upstreams. Upstreams that are not in it are removed.
+// It returns those that were not known to be draining before and are now.
 func (d *Directory) Replace(now time.Time, entries []Entry) (draining []fleet.UpstreamIncarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	before := d.upstreams
+	previous := d.upstreams
 	d.upstreams = make(map[string]fleet.Upstream, len(entries))
-	d.listed = true
+	d.synced = true
 	for _, e := range entries {
-		if u, known := before[e.ID]; known {
+		if u, found := previous[e.ID]; found {
 			d.upstreams[e.ID] = u
 		}
 	}
-	return d.take(now, entries)
+	return d.apply(now, entries)
 }
 
-// Update takes the entries that have changed. It returns those that are newly known to
-// drain.
+// Update applies entries that have changed. It returns the upstreams that were not known
+// to be draining before and are now.
 func (d *Directory) Update(now time.Time, entries []Entry) (draining []fleet.UpstreamIncarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.take(now, entries)
+	return d.apply(now, entries)
 }
 
-// take is Update. The lock is held.
-func (d *Directory) take(now time.Time, entries []Entry) (draining []fleet.UpstreamIncarnation) {
+// apply implements Update. The caller must hold d.mu.
+func (d *Directory) apply(now time.Time, entries []Entry) (draining []fleet.UpstreamIncarnation) {
 	for _, e := range entries {
 		switch {
 		case e.Deleted:
-			d.forget(d.upstreams[e.ID].Incarnation())
+			d.dropTimes(d.upstreams[e.ID].Incarnation())
 			delete(d.upstreams, e.ID)
 		case e.Invalid:
-			d.close(e.ID)
-		case d.enter(now, e.Upstream):
-			if e.Upstream.Draining && d.drains(now, e.Upstream.Incarnation()) {
+			d.markClosed(e.ID)
+		case d.upsert(now, e.Upstream):
+			if e.Upstream.Draining && d.noteDraining(now, e.Upstream.Incarnation()) {
 				draining = append(draining, e.Upstream.Incarnation())
 			}
 		}
@@ -85,176 +85,186 @@
 	return draining
 }
 
-// enter takes an entry that can be read, unless a newer one of its upstream is known: a
-// write may be carried out late. It reports whether it did. The lock is held.
-func (d *Directory) enter(now time.Time, u fleet.Upstream) bool {
-	known := d.upstreams[u.ID]
+// upsert stores an upstream, unless a newer entry of it is stored already: the store may
+// carry out a delayed write after a later one. It reports whether u was stored. The caller
+// must hold d.mu.
+func (d *Directory) upsert(now time.Time, u fleet.Upstream) bool {
+	current := d.upstreams[u.ID]
 	switch {
-	case u.StartedUnixMs < known.StartedUnixMs:
+	case u.StartedUnixMs < current.StartedUnixMs:
 		return false
-	case u.StartedUnixMs > known.StartedUnixMs:
-		d.forget(known.Incarnation())
+	case u.StartedUnixMs > current.StartedUnixMs:
+		d.dropTimes(current.Incarnation())
 		u.LargestCapacity = u.Capacity
-	case u.Sequence < known.Sequence:
+	case u.Sequence < current.Sequence:
 		return false
 	default:
-		u.LargestCapacity = u.Capacity.Max(known.LargestCapacity)
-		if known.ID != "" && u.Capacity != known.Capacity {
-			d.resizedAt[u.Incarnation()] = now
+		u.LargestCapacity = u.Capacity.Max(current.LargestCapacity)
+		if current.ID != "" && u.Capacity != current.Capacity {
+			d.capacityChangedAt[u.Incarnation()] = now
 		}
 	}
 	d.upstreams[u.ID] = u
 	return true
 }
 
-// forget drops what was known of a life beside its entry. The lock is held.
-func (d *Directory) forget(life fleet.UpstreamIncarnation) {
-	delete(d.drainedAt, life)
-	delete(d.resizedAt, life)
+// dropTimes deletes the times recorded for an incarnation. The caller must hold d.mu.
+func (d *Directory) dropTimes(incarnation fleet.UpstreamIncarnation) {
+	delete(d.drainingSince, incarnation)
+	delete(d.capacityChangedAt, incarnation)
 }
 
-// RecordStartTimes notes whether some of the entries tell when their upstreams were born, and
-// reports whether any ever did: on such a platform each entry of an upstream does.
+// RecordStartTimes records whether any of the entries contains the start time of its
+// upstream, and reports whether any entry so far did. If one does, all valid entries on
+// this platform do.
 func (d *Directory) RecordStartTimes(entries []Entry) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tellsBirths = d.tellsBirths || slices.ContainsFunc(entries, func(e Entry) bool { return e.Upstream.StartedUnixMs > 0 })
-	return d.tellsBirths
+	d.hasStartTimes = d.hasStartTimes || slices.ContainsFunc(entries, func(e Entry) bool { return e.Upstream.StartedUnixMs > 0 })
+	return d.hasStartTimes
 }
 
-// close keeps an upstream whose entry was overwritten by one that cannot be read:
-// what runs there is still looked after, and nothing new starts until a good entry
-// is back. One that was not known stays unknown. The lock is held.
-func (d *Directory) close(id string) {
-	if u, known := d.upstreams[id]; known {
+// markClosed keeps an upstream whose entry was overwritten by an invalid one: the tasks
+// that run there are still monitored, but no new ones start until a valid entry is
+// written. If the upstream is not in the directory, markClosed does nothing. The caller
+// must hold d.mu.
+func (d *Directory) markClosed(id string) {
+	if u, found := d.upstreams[id]; found {
 		u.Closed = true
 		d.upstreams[id] = u
 	}
 }
 
-// drains notes that an upstream is leaving, and reports whether that is news. The lock
-// is held.
-func (d *Directory) drains(now time.Time, life fleet.UpstreamIncarnation) bool {
-	if _, known := d.drainedAt[life]; known {
+// noteDraining records that an upstream is draining, and reports whether that was not
+// recorded before. The caller must hold d.mu.
+func (d *Directory) noteDraining(now time.Time, incarnation fleet.UpstreamIncarnation) bool {
+	if _, found := d.drainingSince[incarnation]; found {
 		return false
 	}
-	d.drainedAt[life] = now
+	d.drainingSince[incarnation] = now
 	return true
 }
 
-// Merge takes what a peer has read of upstreams, as far as it is newer than what is known
-// here. They count as listed then. It returns those that are newly known to drain.
+// Merge adds upstreams that a peer has read from the platform's list, except those of
+// which a newer entry is stored already. The directory counts as synced afterwards. Merge
+// returns the upstreams that were not known to be draining before and are now.
 func (d *Directory) Merge(now time.Time, list []fleet.Upstream) (draining []fleet.UpstreamIncarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.listed = true
-	return d.take(now, lo.Map(list, func(u fleet.Upstream, _ int) Entry { return Entry{ID: u.ID, Upstream: u} }))
+	d.synced = true
+	return d.apply(now, lo.Map(list, func(u fleet.Upstream, _ int) Entry { return Entry{ID: u.ID, Upstream: u} }))
 }
 
-// MarkDraining notes what a peer says: that upstreams are leaving. It returns those of
-// which that is news. They stay so for the rest of their lives.
-func (d *Directory) MarkDraining(now time.Time, lives []fleet.UpstreamIncarnation) []fleet.UpstreamIncarnation {
+// MarkDraining records upstreams that a peer reports as draining, and returns those that
+// were not known to be draining before. An incarnation never stops draining.
+func (d *Directory) MarkDraining(now time.Time, incarnations []fleet.UpstreamIncarnation) []fleet.UpstreamIncarnation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return lo.Filter(lives, func(life fleet.UpstreamIncarnation, _ int) bool { return d.drains(now, life) })
+	return lo.Filter(incarnations, func(incarnation fleet.UpstreamIncarnation, _ int) bool { return d.noteDraining(now, incarnation) })
 }
 
-// DrainingSince returns the upstreams that were first known to drain after a moment.
+// DrainingSince returns the upstreams of which this instance learned after a given time
+// that they are draining.
 func (d *Directory) DrainingSince(since time.Time) []fleet.UpstreamIncarnation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	recent := maps.Keys(lo.PickBy(d.drainedAt, func(_ fleet.UpstreamIncarnation, at time.Time) bool { return at.After(since) }))
+	recent := maps.Keys(lo.PickBy(d.drainingSince, func(_ fleet.UpstreamIncarnation, at time.Time) bool { return at.After(since) }))
 	return slices.SortedFunc(recent, fleet.CompareIncarnations)
 }
 
-// MarkUnsynced notes that the list is not followed any more.
+// MarkUnsynced records that the list of upstreams is no longer watched.
 func (d *Directory) MarkUnsynced() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.listed = false
+	d.synced = false
 }
 
-// SetServices takes the services that the configuration names. An upstream of
-// another service is not used. A configuration that names none says nothing of them.
-func (d *Directory) SetServices(names []string) {
+// SetServices sets the services that the configuration names. Select leaves out upstreams
+// of other services. If services is empty, upstreams of all services are used.
+func (d *Directory) SetServices(services []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.services = nil
-	if len(names) == 0 {
+	if len(services) == 0 {
 		return
 	}
-	d.services = lo.SliceToMap(names, func(name string) (string, bool) { return name, true })
+	d.services = lo.SliceToMap(services, func(name string) (string, bool) { return name, true })
 }
 
-// Ready reports whether groups may be taken: the upstreams are listed, and it is
-// known which availability zones are evacuated.
+// Ready reports whether this instance may take ownership of groups: the list of upstreams
+// is synced, and it is known which availability zones are evacuated.
 func (d *Directory) Ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.listed && d.zones.asOf > 0
+	return d.synced && d.zones.listedRevision > 0
 }
 
-// Synced reports whether the upstreams have been read.
+// Synced reports whether the list of upstreams has been read from the store or received
+// from a peer, and MarkUnsynced was not called since.
 func (d *Directory) Synced() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.listed
+	return d.synced
 }
 
-// CountInZone returns how many upstreams an availability zone has.
+// CountInZone returns the number of upstreams in an availability zone.
 func (d *Directory) CountInZone(zone string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return lo.CountBy(slices.Collect(maps.Values(d.upstreams)), func(u fleet.Upstream) bool { return u.Zone == zone })
 }
 
-// Lookup returns an upstream that is listed.
+// Lookup returns the upstream with the given ID, and whether it is in the directory.
 func (d *Directory) Lookup(id string) (fleet.Upstream, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	u, known := d.upstreams[id]
-	return d.marked(u), known
+	u, found := d.upstreams[id]
+	return d.withStatus(u), found
 }
 
-// ListForPeer returns the upstreams that a caller chooses as the list told them, but for those
-// whose entry cannot be read, by id. Draining tells what is known from all sides.
-func (d *Directory) ListForPeer(chosen func(fleet.Upstream) bool) []fleet.Upstream {
+// ListForPeer returns the upstreams that match, sorted by ID, as they are sent to a peer.
+// It leaves out upstreams whose entry is invalid. Closed does not reflect evacuations;
+// Draining is set if the list or any peer reports the upstream as draining.
+func (d *Directory) ListForPeer(match func(fleet.Upstream) bool) []fleet.Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.pick(func(u fleet.Upstream) bool { return !u.Closed && chosen(u) }, d.drained)
+	return d.filter(func(u fleet.Upstream) bool { return !u.Closed && match(u) }, d.withDraining)
 }
 
-// Select returns the upstreams of the configured services that a caller chooses, by
-// id. Draining and Closed tell what is known from all sides.
-func (d *Directory) Select(chosen func(fleet.Upstream) bool) []fleet.Upstream {
+// Select returns the upstreams of the configured services that match, sorted by ID.
+// Draining is set if the list or any peer reports the upstream as draining, and Closed if
+// its entry is invalid or its availability zone is evacuated.
+func (d *Directory) Select(match func(fleet.Upstream) bool) []fleet.Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.pick(func(u fleet.Upstream) bool { return (d.services == nil || d.services[u.Service]) && chosen(u) }, d.marked)
+	return d.filter(func(u fleet.Upstream) bool { return (d.services == nil || d.services[u.Service]) && match(u) }, d.withStatus)
 }
 
-// pick returns the upstreams that are chosen, by id, each as it is shown. The lock is held.
-func (d *Directory) pick(chosen func(fleet.Upstream) bool, shown func(fleet.Upstream) fleet.Upstream) []fleet.Upstream {
+// filter returns the upstreams that match, sorted by ID and converted by view. The caller
+// must hold d.mu.
+func (d *Directory) filter(match func(fleet.Upstream) bool, view func(fleet.Upstream) fleet.Upstream) []fleet.Upstream {
 	var list []fleet.Upstream
 	for _, u := range d.upstreams {
-		if chosen(u) {
-			list = append(list, shown(u))
+		if match(u) {
+			list = append(list, view(u))
 		}
 	}
 	slices.SortFunc(list, func(a, b fleet.Upstream) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
-// drained returns an upstream with what is known of its drain from all sides. The lock is
-// held.
-func (d *Directory) drained(u fleet.Upstream) fleet.Upstream {
-	_, draining := d.drainedAt[u.Incarnation()]
+// withDraining returns u with Draining also set if a peer reported it as draining. The
+// caller must hold d.mu.
+func (d *Directory) withDraining(u fleet.Upstream) fleet.Upstream {
+	_, draining := d.drainingSince[u.Incarnation()]
 	u.Draining = u.Draining || draining
 	return u
 }
 
-// marked returns an upstream with what is known of it from all sides. The lock is held.
-func (d *Directory) marked(u fleet.Upstream) fleet.Upstream {
-	u = d.drained(u)
-	u.Closed = u.Closed || d.zones.rows[u.Zone].evacuated
+// withStatus returns u with Draining set as by withDraining, and Closed also set if its
+// availability zone is evacuated. The caller must hold d.mu.
+func (d *Directory) withStatus(u fleet.Upstream) fleet.Upstream {
+	u = d.withDraining(u)
+	u.Closed = u.Closed || d.zones.byName[u.Zone].evacuated
 	return u
 }
--- a/directory/zones.go
+++ b/directory/zones.go
@@ -5,91 +5,92 @@
 	"slices"
 )
 
-// ZoneState says whether an availability zone is evacuated: nothing new may start on
-// its upstreams until the operators take that back.
+// ZoneState is the evacuation state of an availability zone. No new tasks may start on the
+// upstreams of an evacuated zone until operators end the evacuation.
 type ZoneState struct {
 	Zone      string
 	Evacuated bool
-	Revision  uint64 // of the platform's store, at which that was so
+	Revision  uint64 // revision of the platform's store to which the state belongs
 }
 
-// zones holds the newest that is known of each availability zone. What is known of a
-// zone never goes back to an older revision of the store, whoever tells it.
-type zones struct {
-	rows map[string]zoneRow
-	// asOf is the revision at which all evacuations were listed: a zone without a row
-	// was not evacuated then. It is 0 before anybody has told.
-	asOf uint64
+// zoneTable holds the latest known state of each availability zone. A state is never
+// replaced by that of an older revision of the store, whether the store or a peer sent it.
+type zoneTable struct {
+	byName map[string]zoneEntry
+	// listedRevision is the revision of the newest complete list of evacuations received:
+	// a zone without an entry was not evacuated at that revision. It is 0 before the first
+	// complete list.
+	listedRevision uint64
 }
 
-type zoneRow struct {
+type zoneEntry struct {
 	evacuated bool
 	revision  uint64
 }
 
-// mostZones bounds how many zones are remembered. The largest fleet that is planned
-// for has 14.
-const mostZones = 1024
+// maxZones bounds the number of zones in the table. The largest planned fleet has 14.
+const maxZones = 1024
 
-// set takes one state, and reports whether it changes what may start.
-func (z *zones) set(s ZoneState) bool {
-	row, known := z.rows[s.Zone]
-	newer := s.Revision > row.revision
-	if !known {
-		newer = s.Revision > z.asOf || z.asOf == 0
+// update stores one state unless it is outdated, and reports whether the zone's evacuation
+// began or ended by it.
+func (z *zoneTable) update(s ZoneState) bool {
+	current, found := z.byName[s.Zone]
+	newer := s.Revision > current.revision
+	if !found {
+		newer = s.Revision > z.listedRevision || z.listedRevision == 0
 	}
-	if !newer || !known && len(z.rows) >= mostZones {
+	if !newer || !found && len(z.byName) >= maxZones {
 		return false
 	}
-	z.rows[s.Zone] = zoneRow{s.Evacuated, s.Revision}
-	return row.evacuated != s.Evacuated
+	z.byName[s.Zone] = zoneEntry{s.Evacuated, s.Revision}
+	return current.evacuated != s.Evacuated
 }
 
-// ReplaceZones takes all that the store, or a peer, knew of evacuations at a revision
-// of the store, and returns the zones whose state changes. Zones that are not named
-// were not evacuated then.
+// ReplaceZones applies the complete list of evacuations at a revision of the store,
+// received from the store or from a peer, and returns the zones whose state changed. Zones
+// that are not listed were not evacuated at that revision.
 func (d *Directory) ReplaceZones(revision uint64, states []ZoneState) []ZoneState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	states = slices.Clone(states)
-	for zone := range d.zones.rows {
+	for zone := range d.zones.byName {
 		if !slices.ContainsFunc(states, func(s ZoneState) bool { return s.Zone == zone }) {
 			states = append(states, ZoneState{Zone: zone, Revision: revision})
 		}
 	}
 	changed := d.setZones(states)
-	d.zones.asOf = max(d.zones.asOf, revision)
+	d.zones.listedRevision = max(d.zones.listedRevision, revision)
 	return changed
 }
 
-// UpdateZones takes evacuations that began or were taken back, and returns the zones
-// whose state changes.
+// UpdateZones applies evacuations that began or ended, and returns the zones whose state
+// changed.
 func (d *Directory) UpdateZones(states []ZoneState) []ZoneState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.setZones(states)
 }
 
-// setZones is UpdateZones. The lock is held.
+// setZones implements UpdateZones. The caller must hold d.mu.
 func (d *Directory) setZones(states []ZoneState) []ZoneState {
 	var changed []ZoneState
 	for _, s := range states {
-		if d.zones.set(s) {
+		if d.zones.update(s) {
 			changed = append(changed, s)
 		}
 	}
 	return changed
 }
 
-// Zones returns what is known of the zones that are or were evacuated, by name, and
-// the revision at which all were listed last: 0 before it is known which those are.
+// Zones returns the states of all zones that are or were evacuated, sorted by name, and the
+// revision of the newest complete list of evacuations, which is 0 before the first one.
 func (d *Directory) Zones() ([]ZoneState, uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	list := make([]ZoneState, 0, len(d.zones.rows))
-	for _, zone := range slices.Sorted(maps.Keys(d.zones.rows)) {
-		row := d.zones.rows[zone]
-		list = append(list, ZoneState{zone, row.evacuated, row.revision})
+	list := make([]ZoneState, 0, len(d.zones.byName))
+	for _, zone := range slices.Sorted(maps.Keys(d.zones.byName)) {
+		entry := d.zones.byName[zone]
+		list = append(list, ZoneState{zone, entry.evacuated, entry.revision})
 	}
-	return list, d.zones.asOf
+	return list, d.zones.listedRevision
 }
