--- a/membership/neighbours.go
+++ b/membership/neighbours.go
@@ -8,61 +8,63 @@
 	"github.com/samber/lo"
 )
 
-// In a small availability zone every instance exchanges heartbeats with each
-// other. A larger one has hubs: they may own groups, hear all instances of the
-// zone and the hubs of other zones, and pass on what they know. The others hear
-// only the hubs of their zone, so that what an instance sends does not grow with
-// the square of the fleet.
+// In a small availability zone every instance exchanges heartbeats with every other
+// instance. In a larger zone some instances are hubs. Only hubs may own groups. A hub
+// exchanges heartbeats with all instances of its zone and with the hubs of other zones, and
+// relays what it has received. The other instances, the spokes, exchange heartbeats only
+// with the hubs of their zone, so that the number of heartbeats does not grow with the
+// square of the number of instances.
 
 const (
-	// smallZone is how many instances a zone may have in which all are hubs.
-	smallZone = 12
-	// minHubs is how many hubs a larger zone has at least: several may be lost
-	// at once.
+	// maxFullMeshZone is the largest number of instances in a zone for which all of them
+	// are hubs.
+	maxFullMeshZone = 12
+	// minHubs is the smallest number of hubs of a larger zone. Several hubs may fail at
+	// the same time.
 	minHubs = 8
-	// groupsPerHub is how many groups a hub is expected to own: about as many as
-	// the large instances of the grown sites do.
+	// groupsPerHub is the number of groups that a hub is expected to own: about as many
+	// as the large instances own in installations that have grown.
 	groupsPerHub = 2
 )
 
-// Member is an instance that may be a neighbour.
+// Member is an instance that NeighboursOf considers.
 type Member struct {
 	Name     string
 	Zone     string
-	CPUShare float64 // of a processor; 0 if not known
+	CPUShare float64 // fraction of a core; 0 if unknown
 }
 
-// Neighbours are the instances that one exchanges heartbeats with.
+// Neighbours are the instances with which an instance exchanges heartbeats.
 type Neighbours struct {
-	IsHub bool            // the instance itself is a hub
-	Near  map[string]bool // hubs of the same zone, for a hub
-	Far   map[string]bool // the others
-	// Spokes are the instances of the own zone that are no hubs, for a hub.
+	IsHub bool            // whether the instance itself is a hub
+	Near  map[string]bool // if the instance is a hub, the other hubs of its zone
+	Far   map[string]bool // all other neighbours
+	// Spokes are the instances of a hub's zone that are not hubs. They are also in Far.
 	Spokes map[string]bool
-	// Rank is the place of a hub among those of its zone, from 0, and HubCount how
-	// many there are.
+	// Rank is the position of a hub among the hubs of its zone, from 0; it is -1 for
+	// other instances. HubCount is the number of hubs of the zone.
 	Rank, HubCount int
 }
 
 // Has reports whether an instance is a neighbour.
 func (n *Neighbours) Has(name string) bool { return n.Near[name] || n.Far[name] }
 
-// NeighboursOf returns the neighbours of an instance among others. Groups is how many
-// groups each zone has.
+// NeighboursOf returns the neighbours of self among others. The map groups holds the number
+// of groups of each zone.
 func NeighboursOf(self Member, others []Member, groups map[string]int) Neighbours {
 	zones := lo.GroupBy(append(slices.Clone(others), self), func(m Member) string { return m.Zone })
 	n := Neighbours{Near: map[string]bool{}, Far: map[string]bool{}, Spokes: map[string]bool{}}
-	own := hubsOf(zones[self.Zone], groups[self.Zone])
-	n.HubCount = len(own)
-	n.Rank = slices.IndexFunc(own, func(m Member) bool { return m.Name == self.Name })
+	ownHubs := hubsOf(zones[self.Zone], groups[self.Zone])
+	n.HubCount = len(ownHubs)
+	n.Rank = slices.IndexFunc(ownHubs, func(m Member) bool { return m.Name == self.Name })
 	n.IsHub = n.Rank >= 0
 	if !n.IsHub {
-		for _, m := range own {
+		for _, m := range ownHubs {
 			n.Far[m.Name] = true
 		}
 		return n
 	}
-	n.addZone(self, own, zones[self.Zone])
+	n.addOwnZone(self, ownHubs, zones[self.Zone])
 	for zone, members := range zones {
 		if zone == self.Zone {
 			continue
@@ -74,8 +76,8 @@
 	return n
 }
 
-// addZone adds the instances of a hub's own zone.
-func (n *Neighbours) addZone(self Member, hubs, members []Member) {
+// addOwnZone adds the instances in the zone of a hub.
+func (n *Neighbours) addOwnZone(self Member, hubs, members []Member) {
 	for _, m := range hubs {
 		if m.Name != self.Name {
 			n.Near[m.Name] = true
@@ -89,13 +91,13 @@
 	}
 }
 
-// hubsOf returns the hubs of a zone: the largest instances, those of one size in
-// an order that hardly changes as instances come and go.
+// hubsOf returns the hubs of a zone: the instances with the largest CPU shares. Among equal
+// ones a hash of the name decides, so that few hubs change as instances join and leave.
 func hubsOf(members []Member, groups int) []Member {
 	ranked := slices.SortedFunc(slices.Values(members), func(a, b Member) int {
 		return cmp.Or(cmp.Compare(b.CPUShare, a.CPUShare), cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name)), cmp.Compare(a.Name, b.Name))
 	})
-	if len(ranked) <= smallZone {
+	if len(ranked) <= maxFullMeshZone {
 		return ranked
 	}
 	needed := (groups + groupsPerHub - 1) / groupsPerHub
--- a/membership/neighbours_test.go
+++ b/membership/neighbours_test.go
@@ -7,7 +7,8 @@
 	"github.com/sedgehatch/sedgehatch/fate"
 )
 
-// zoneOf makes the members of a zone, the first few of them large.
+// zoneOf returns the members of a zone. The first few of them, as many as large, have a
+// large CPU share.
 func zoneOf(zone string, count, large int) []Member {
 	var list []Member
 	for i := range count {
@@ -30,7 +31,8 @@
 	return rest
 }
 
-// TestNeighboursSmall: while zones are small, each instance hears each.
+// TestNeighboursSmall checks that in small zones all instances exchange heartbeats with each
+// other.
 func TestNeighboursSmall(t *testing.T) {
 	all := append(zoneOf("a", 12, 2), zoneOf("b", 3, 0)...)
 	for _, m := range all {
@@ -40,14 +42,15 @@
 		}
 		for name := range n.Near {
 			if name[0] != m.Name[0] {
-				t.Errorf("%s is near %s of another zone", name, m.Name)
+				t.Errorf("%s is a near neighbour of %s in another zone", name, m.Name)
 			}
 		}
 	}
 }
 
-// TestNeighboursLarge: in a fleet of 300 the hubs are the largest instances,
-// enough of them for the groups, and both sides of each pair agree.
+// TestNeighboursLarge checks in a fleet of 300 instances that the hubs are the largest
+// instances, that there are enough of them for the groups, and that being neighbours is
+// symmetric.
 func TestNeighboursLarge(t *testing.T) {
 	var all []Member
 	groups := map[string]int{}
@@ -55,20 +58,20 @@
 		all = append(all, zoneOf(zone, 75, 20)...)
 		groups[zone] = 34
 	}
-	around := map[string]Neighbours{}
+	neighbours := map[string]Neighbours{}
 	for _, m := range all {
-		around[m.Name] = NeighboursOf(m, without(all, m.Name), groups)
+		neighbours[m.Name] = NeighboursOf(m, without(all, m.Name), groups)
 	}
 	hubs := 0
 	for _, m := range all {
-		n := around[m.Name]
+		n := neighbours[m.Name]
 		if n.HubCount != 17 {
 			t.Fatalf("zone %s has %d hubs", m.Zone, n.HubCount)
 		}
 		if n.IsHub {
 			hubs++
 			if m.CPUShare < 0.8 {
-				t.Errorf("%s is a hub, and small", m.Name)
+				t.Errorf("%s is a hub although it is small", m.Name)
 			}
 			if len(n.Near) != 16 || len(n.Spokes) != 75-17 || len(n.Far) != 75-17+3*17 {
 				t.Errorf("hub %s has %d near, %d far", m.Name, len(n.Near), len(n.Far))
@@ -77,9 +80,9 @@
 			t.Errorf("%s has %d neighbours", m.Name, len(n.Near)+len(n.Far))
 		}
 		for _, o := range all {
-			other := around[o.Name]
+			other := neighbours[o.Name]
 			if n.Has(o.Name) != other.Has(m.Name) || n.Near[o.Name] != other.Near[m.Name] {
-				t.Errorf("%s and %s do not agree", m.Name, o.Name)
+				t.Errorf("%s and %s disagree on being neighbours", m.Name, o.Name)
 			}
 		}
 	}
@@ -88,7 +91,7 @@
 	}
 }
 
-// TestHubLost: without one hub the others stay, and one more comes.
+// TestHubLost checks that when a hub is lost, the others remain hubs and one is added.
 func TestHubLost(t *testing.T) {
 	all := zoneOf("a", 40, 0)
 	before := hubsOf(all, 0)
@@ -106,14 +109,15 @@
 	}
 }
 
-// TestParting: a peer that neither side needs is not lost when it falls silent,
-// and one that was lost counts as listed again once nobody listens for it.
-func TestParting(t *testing.T) {
+// TestMutuallyUnneededPeers checks that a peer that stops sending heartbeats is not considered
+// dead if neither side needs the other's heartbeats, and that a dead peer that is not a
+// neighbour becomes Listed again.
+func TestMutuallyUnneededPeers(t *testing.T) {
 	table := NewTable(Config{SuspectMs: 100, DeadMs: 300, FarFactor: 2})
 	table.SetListed([]Listing{{Instance: "near"}, {Instance: "far"}, {Instance: "parted"}, {Instance: "wanting"}})
 	table.SetNeighbours(&Neighbours{Near: map[string]bool{"near": true}, Far: map[string]bool{"far": true}})
-	for _, who := range []string{"near.1", "far.1", "parted.1", "wanting.1"} {
-		table.RecordHeartbeat(fate.Incarnation(who), Heartbeat{Unwanted: who == "parted.1"}, 0)
+	for _, incarnation := range []string{"near.1", "far.1", "parted.1", "wanting.1"} {
+		table.RecordHeartbeat(fate.Incarnation(incarnation), Heartbeat{Unwanted: incarnation == "parted.1"}, 0)
 	}
 	for _, step := range []struct {
 		at   int64
@@ -123,7 +127,7 @@
 		{250, map[string]State{"near": Suspect, "far": Suspect, "parted": Listed, "wanting": Suspect}},
 		{350, map[string]State{"near": Dead, "far": Suspect, "parted": Listed, "wanting": Suspect}},
 		{650, map[string]State{"near": Dead, "far": Dead, "parted": Listed, "wanting": Dead}},
-		{forgetDeadMs, map[string]State{"near": Dead, "far": Dead, "parted": Listed, "wanting": Listed}},
+		{relistDeadMs, map[string]State{"near": Dead, "far": Dead, "parted": Listed, "wanting": Listed}},
 	} {
 		table.Tick(step.at)
 		for name, want := range step.want {
--- a/membership/ownership.go
+++ b/membership/ownership.go
@@ -12,16 +12,17 @@
 // Candidate is an instance that may own groups of upstreams.
 type Candidate struct {
 	Name     string
-	CPUShare float64 // of a processor
+	CPUShare float64 // fraction of a core
 }
 
-// largeEnough is the part of the largest candidate's share that an owner must
-// have: owning is most of the work, and one that cannot keep up loses leases.
-const largeEnough = 0.5
+// minCPUFraction is the smallest CPU share of an owner, as a fraction of the largest
+// candidate's share. Owning groups is most of an instance's work, and an owner that cannot
+// keep up fails to renew leases in time.
+const minCPUFraction = 0.5
 
-// Assign spreads groups over the candidates that are large enough, evenly and
-// by rendezvous hashing: when one candidate goes, few other groups move. It
-// returns the owner of each group, nothing without candidates.
+// Assign distributes groups evenly over the candidates that are large enough. It uses
+// rendezvous hashing, so that few other groups change their owner when a candidate leaves.
+// It returns the owner of each group, or nil if there are no candidates.
 func Assign(groups []string, candidates []Candidate) map[string]string {
 	if len(candidates) == 0 {
 		return nil
@@ -31,80 +32,85 @@
 	owners := map[string]string{}
 	count := map[string]int{}
 	for _, group := range slices.Sorted(slices.Values(groups)) {
-		owner := preferred(group, lo.Filter(large, func(c Candidate, _ int) bool { return count[c.Name] < limit }))
+		owner := highestScore(group, lo.Filter(large, func(c Candidate, _ int) bool { return count[c.Name] < limit }))
 		owners[group] = owner
 		count[owner]++
 	}
 	return owners
 }
 
-// IsLarge reports whether an instance with a share of a processor is large enough to
-// own groups beside the candidates.
+// IsLarge reports whether an instance with the given CPU share is large enough to own groups
+// in comparison with the candidates.
 func IsLarge(share float64, candidates []Candidate) bool {
 	for _, c := range candidates {
-		if share < largeEnough*c.CPUShare {
+		if share < minCPUFraction*c.CPUShare {
 			return false
 		}
 	}
 	return true
 }
 
-// preferred returns the candidate with the highest score for a group.
-func preferred(group string, candidates []Candidate) string {
+// highestScore returns the candidate with the highest score for a group.
+func highestScore(group string, candidates []Candidate) string {
 	return slices.MaxFunc(candidates, func(a, b Candidate) int {
 		return cmp.Or(cmp.Compare(score(group, a), score(group, b)), cmp.Compare(b.Name, a.Name))
 	}).Name
 }
 
+// score returns the weighted rendezvous score of a candidate for a group. The weight is the
+// candidate's CPU share.
 func score(group string, c Candidate) float64 {
-	const spread = 1 << 53 // what a float64 tells apart
-	unit := (float64(xxhash.Sum64String(group+"\x00"+c.Name)>>11) + 0.5) / spread
+	const distinctValues = 1 << 53 // number of 53-bit integers, since a float64 has a precision of 53 bits
+	unit := (float64(xxhash.Sum64String(group+"\x00"+c.Name)>>11) + 0.5) / distinctValues
 	return -max(c.CPUShare, math.SmallestNonzeroFloat64) / math.Log(unit)
 }
 
-// TokenNameBits is how many bits of a fencing token hold the rank of its maker. The
-// others hold a time in milliseconds, so that tokens rise with each takeover and
-// two instances never make the same one.
+// TokenNameBits is the number of low bits of a fencing token that hold a hash of the name of
+// the instance that created it. They make it unlikely that two instances create the same
+// token. The other bits hold a time in milliseconds, so that tokens rise with each takeover.
 const TokenNameBits = 12
 
-// NextToken returns a fencing token above every one that was heard of. The time
-// only makes it likely that tokens that were not heard of are lower too: where
-// one is not, upstreams refuse it.
+// NextToken returns a fencing token that is higher than highest, the highest one known to
+// this instance. Because it contains the time, it is probably also higher than tokens that
+// this instance does not know. If it is not, upstreams refuse it.
 func NextToken(unixMs int64, highest uint64, name string) uint64 {
 	term := max(uint64(max(unixMs, 0)), highest>>TokenNameBits+1)
 	return term<<TokenNameBits | xxhash.Sum64String(name)&(1<<TokenNameBits-1)
 }
 
-// GroupSize is how many upstreams a group has at most when groups are made. An
-// owner of 88 that start 8.6 tasks a second each was measured to use 0.12 of a
-// core, coordinating its part of the jobs included (docs/CAPACITY.md); the smallest
-// instances have 0.19. Larger groups find room for a job with fewer messages.
+// GroupSize is the intended maximum number of upstreams in a group when the number of groups
+// is chosen. The owner of 88 upstreams that each start 8.6 tasks per second uses 0.12 of a
+// core, including the coordination of its part of the jobs (docs/CAPACITY.md); the smallest
+// instances have 0.19. With larger groups fewer messages are needed to place a job.
 const GroupSize = 96
 
 const (
-	// upstreamBytes is what an owner sends to an upstream at full load, bytes a
-	// second: 11 starts and 13 reports, which were measured to take 1,460 and 210
-	// bytes, for tasks of .2 s that take half of an upstream. Other work only makes
-	// groups smaller or larger than they need to be: what a link carries is
-	// counted when tasks start.
-	upstreamBytes = 19_000
-	// ownedShare is the part of an owner's link that this may take.
-	ownedShare = 0.7
+	// bytesPerUpstream is the traffic from an owner to one upstream at full load, in bytes
+	// per second: 11 start orders of 1,460 bytes and 13 report requests of 210 bytes, for
+	// tasks that take 0.2 s and half of an upstream. With other workloads, groups are merely
+	// smaller or larger than necessary, because the limit of the link is also enforced
+	// when tasks start.
+	bytesPerUpstream = 19_000
+	// linkFraction is the fraction of an owner's network link that this traffic may use.
+	linkFraction = 0.7
 )
 
-// GroupCount returns how many groups the upstreams of an availability zone are
-// split into: of GroupSize, and where the links of its instances carry less, of
-// what these carry, but no more groups than instances.
-func GroupCount(upstreams, instances int, linkRate float64) int {
+// GroupCount returns the number of groups into which the upstreams of an availability zone
+// are divided: as many as GroupSize requires, or more if the network links of the zone's
+// instances cannot carry the traffic of such groups. The limit of the links never leads to
+// more groups than instances. If linkBytesPerSecond is 0, the limit is unknown and is not
+// considered.
+func GroupCount(upstreams, instances int, linkBytesPerSecond float64) int {
 	count := (upstreams + GroupSize - 1) / GroupSize
-	if linkRate > 0 {
-		carried := int(math.Ceil(float64(upstreams) * upstreamBytes / (ownedShare * linkRate)))
-		count = max(count, min(carried, instances))
+	if linkBytesPerSecond > 0 {
+		neededByLinks := int(math.Ceil(float64(upstreams) * bytesPerUpstream / (linkFraction * linkBytesPerSecond)))
+		count = max(count, min(neededByLinks, instances))
 	}
 	return max(count, 1)
 }
 
-// GroupIndex returns which of some groups an upstream belongs to.
+// GroupIndex returns the index of the group to which an upstream belongs, given the number of
+// groups of its zone.
 func GroupIndex(upstream string, groups int) int {
 	return int(xxhash.Sum64String(upstream) % uint64(max(groups, 1)))
 }
--- a/membership/ownership_test.go
+++ b/membership/ownership_test.go
@@ -30,20 +30,20 @@
 		}
 	}
 	if Assign(groups, nil) != nil {
-		t.Error("groups are assigned to nobody")
+		t.Error("groups are assigned although there are no candidates")
 	}
 }
 
 func TestNextToken(t *testing.T) {
 	first := NextToken(1000, 0, "a")
 	if second := NextToken(1000, first, "b"); second <= first {
-		t.Errorf("%d follows %d in the same millisecond", second, first)
+		t.Errorf("%d is not above %d in the same millisecond", second, first)
 	}
-	if back := NextToken(10, first, "a"); back <= first {
-		t.Errorf("%d follows %d after the clock went back", back, first)
+	if earlier := NextToken(10, first, "a"); earlier <= first {
+		t.Errorf("%d is not above %d after the clock was set back", earlier, first)
 	}
 	if NextToken(1000, 0, "a") == NextToken(1000, 0, "b") {
-		t.Error("two instances made the same token")
+		t.Error("two instances created the same token")
 	}
 }
 
@@ -59,7 +59,7 @@
 		megabits             float64
 		want                 int
 	}{
-		{20, 3, 2, 3}, {20, 2, 2, 2}, {20, 9, 8, 1}, {20, 9, 2, 3}, // a narrow link carries 9 upstreams
+		{20, 3, 2, 3}, {20, 2, 2, 2}, {20, 9, 8, 1}, {20, 9, 2, 3}, // a link of 2 Mbit/s carries 9 upstreams
 		{183, 24, 25, 2}, {183, 24, 1000, 2}, {48, 9, 1000, 1}, {300, 1, 2, 4},
 	} {
 		if got := GroupCount(c.upstreams, c.instances, c.megabits*megabit); got != c.want {
--- a/membership/table.go
+++ b/membership/table.go
@@ -1,5 +1,6 @@
-// Package membership decides which entries are alive. It is pure: heartbeats,
-// the platform's lagging list and the time come in; the changes come out.
+// Package membership determines which instances are alive, which of them exchange
+// heartbeats, and which own groups of upstreams. It does no I/O: its inputs are
+// heartbeats, the platform's list of instances, which may be outdated, and the time.
 package membership
 
 import (
@@ -11,60 +12,62 @@
 	"github.com/sedgehatch/sedgehatch/fate"
 )
 
-// State is what is believed of a peer.
+// State is the state of a peer as far as this instance can tell.
 type State string
 
 // The states of a peer.
 const (
-	Listed  State = "listed"  // on the platform's list; not heard, and need not be
-	Alive   State = "alive"   // heard within SuspectMs
-	Suspect State = "suspect" // silent for longer: gets no new work
-	Dead    State = "dead"    // silent for DeadMs, or replaced
-	Leaving State = "leaving" // alive, and stopping as planned
+	Listed  State = "listed"  // known, but not monitored: no heartbeat was received yet, or none is needed
+	Alive   State = "alive"   // sent a heartbeat within SuspectMs
+	Suspect State = "suspect" // sent none for SuspectMs; gets no new work
+	Dead    State = "dead"    // sent none for DeadMs, or its incarnation has ended
+	Leaving State = "leaving" // alive, in a planned shutdown
 )
 
-// Config bounds the silence of peers, in milliseconds.
+// Config holds the times, in milliseconds, after which a peer that sends no heartbeats is
+// suspected or considered dead.
 type Config struct {
 	SuspectMs int64
 	DeadMs    int64
-	// FarFactor is how many times longer a peer may be silent that is not a
-	// near neighbour; 0 is 1. It speaks less often.
+	// FarFactor multiplies both times for peers that are not near neighbours, because
+	// they send heartbeats less often. 0 means 1.
 	FarFactor int64
 }
 
-// DefaultConfig fits heartbeats every half second.
+// DefaultConfig suits heartbeats sent every half second.
 var DefaultConfig = Config{SuspectMs: 1600, DeadMs: 3000}
 
-// Listing is an entry as the platform lists it.
+// Listing describes an instance, as listed by the platform or as reported by the instance
+// itself.
 type Listing struct {
 	Instance string
-	Address  string // of its inner listener
+	Address  string // of its listener for peers
 	Region   string
 	Zone     string
 	Rack     string
 	Leaving  bool
-	CPUShare float64 // of a processor; 0 if not known
+	CPUShare float64 // fraction of a core; 0 if unknown
 }
 
-// Heartbeat is what a heartbeat carries.
+// Heartbeat is the content of a heartbeat.
 type Heartbeat struct {
-	// Unwanted is said by a peer that does not need heartbeats from here.
+	// Unwanted is set if the sender needs no heartbeats from the receiver.
 	Unwanted   bool
 	Leaving    bool
 	ActiveJobs uint64
-	Revision   uint64
-	Free       uint64
-	Queued     uint64
+	Revision   uint64 // of the settings or the configuration in force
+	Free       uint64 // free slots
+	Queued     uint64 // queued tasks
 }
 
-// Peer is what is known of one instance.
+// Peer is the known state of another instance.
 type Peer struct {
 	Listing
-	Incarnation fate.Incarnation // "" until heard
-	State       State
-	Heartbeat   Heartbeat
-	heard       int64
-	met         bool // the listing is the peer's own word, which goes before the list
+	Incarnation     fate.Incarnation // "" before the first heartbeat
+	State           State
+	Heartbeat       Heartbeat
+	lastHeartbeatMs int64
+	selfReported    bool // Listing is from the peer itself and takes precedence over the platform's list
 }
 
 // Change is a peer whose state changed.
@@ -75,162 +78,172 @@
 
 // Table holds the peers of one instance. It is not safe for concurrent use.
 type Table struct {
-	cfg   Config
-	peers map[string]*Peer
-	order []*Peer // the same, by name
-	// neighbours are those that this instance wants to hear; nil is all, and
-	// all near.
+	cfg    Config
+	peers  map[string]*Peer
+	sorted []*Peer // the peers, sorted by name
+	// neighbours are the peers from which this instance needs heartbeats; nil means all
+	// peers, as near neighbours.
 	neighbours *Neighbours
 }
 
-// NewTable returns a table without peers.
+// NewTable returns an empty table.
 func NewTable(cfg Config) *Table {
 	return &Table{cfg: cfg, peers: map[string]*Peer{}}
 }
 
-// SetNeighbours takes whom this instance wants to hear. A peer outside of them
-// that falls silent is not lost, unless it wants to hear this instance.
+// SetNeighbours sets the peers from which this instance needs heartbeats. If a peer that is
+// not among them stops sending heartbeats, it is considered dead only if it needs heartbeats
+// from this instance.
 func (t *Table) SetNeighbours(n *Neighbours) { t.neighbours = n }
 
-// allowance is how many times longer a peer may be silent.
-func (t *Table) allowance(name string) int64 {
+// silenceFactor returns the factor by which the times of the Config are multiplied for a
+// peer.
+func (t *Table) silenceFactor(name string) int64 {
 	if t.neighbours == nil || t.neighbours.Near[name] {
 		return 1
 	}
 	return max(t.cfg.FarFactor, 1)
 }
 
-// DeadAfter is how long a peer may be silent before it is dead.
+// DeadAfter returns the time without heartbeats after which a peer is considered dead.
 func (t *Table) DeadAfter(name string) time.Duration {
-	return time.Duration(t.cfg.DeadMs*t.allowance(name)) * time.Millisecond
+	return time.Duration(t.cfg.DeadMs*t.silenceFactor(name)) * time.Millisecond
 }
 
-// parted reports whether neither side of a pair needs the other.
-func (t *Table) parted(p *Peer) bool {
-	return t.unheard(p) && p.Heartbeat.Unwanted
+// mutuallyUnneeded reports whether neither this instance nor the peer needs heartbeats from
+// the other.
+func (t *Table) mutuallyUnneeded(p *Peer) bool {
+	return t.notNeighbour(p) && p.Heartbeat.Unwanted
 }
 
-// forgetDeadMs is when a dead peer that this instance does not want to hear
-// counts as listed again, in milliseconds: by then the list tells whether it
-// lives, and nobody else would.
-const forgetDeadMs = 5000
+// relistDeadMs is the time in milliseconds after its last heartbeat at which a dead peer
+// becomes Listed again, if it is not a neighbour. By then the platform's list shows whether
+// it is running, and there is no other source, as it sends no heartbeats to this instance.
+const relistDeadMs = 5000
 
-// unheard reports whether nobody listens here for a peer.
-func (t *Table) unheard(p *Peer) bool {
+// notNeighbour reports whether this instance needs no heartbeats from a peer.
+func (t *Table) notNeighbour(p *Peer) bool {
 	return t.neighbours != nil && !t.neighbours.Has(p.Instance)
 }
 
-// SetListed takes the platform's list. It only seeds and describes: a peer
-// that is heard stays though it is not listed, for the list lags.
+// SetListed applies the platform's list. It adds peers and updates their descriptions, but
+// removes only peers that are Listed or Dead: one that sends heartbeats is kept even if it
+// is not listed, because the list may be outdated. SetListed causes no changes of state and
+// returns nil.
 func (t *Table) SetListed(list []Listing) []Change {
 	listed := map[string]bool{}
 	for _, l := range list {
 		listed[l.Instance] = true
-		p := t.peer(l.Instance)
-		if !p.met || p.State == Dead {
+		p := t.getOrAdd(l.Instance)
+		if !p.selfReported || p.State == Dead {
 			p.Listing = l
-			p.met = false
+			p.selfReported = false
 		}
 		p.CPUShare = cmp.Or(l.CPUShare, p.CPUShare)
 	}
-	t.order = slices.DeleteFunc(t.order, func(p *Peer) bool {
-		gone := !listed[p.Instance] && (p.State == Dead || p.State == Listed)
-		if gone {
+	t.sorted = slices.DeleteFunc(t.sorted, func(p *Peer) bool {
+		remove := !listed[p.Instance] && (p.State == Dead || p.State == Listed)
+		if remove {
 			delete(t.peers, p.Instance)
 		}
-		return gone
+		return remove
 	})
 	return nil
 }
 
-// peer returns the peer of a name, a new one where there is none.
-func (t *Table) peer(name string) *Peer {
+// getOrAdd returns the peer with the given name. It adds one if there is none.
+func (t *Table) getOrAdd(name string) *Peer {
 	p := t.peers[name]
 	if p == nil {
 		p = &Peer{Listing: Listing{Instance: name}, State: Listed}
 		t.peers[name] = p
-		at, _ := slices.BinarySearchFunc(t.order, name, func(p *Peer, name string) int { return cmp.Compare(p.Instance, name) })
-		t.order = slices.Insert(t.order, at, p)
+		at, _ := slices.BinarySearchFunc(t.sorted, name, func(p *Peer, name string) int { return cmp.Compare(p.Instance, name) })
+		t.sorted = slices.Insert(t.sorted, at, p)
 	}
 	return p
 }
 
-// ApplyHello takes what an instance says of itself. The list lags: it may not have the
-// instance yet, or an address that it had before.
+// ApplyHello applies an instance's description of itself. It takes precedence over the
+// platform's list, which may not contain the instance yet, or may contain a former address.
 func (t *Table) ApplyHello(l Listing) {
-	p := t.peer(l.Instance)
+	p := t.getOrAdd(l.Instance)
 	l.CPUShare = cmp.Or(l.CPUShare, p.CPUShare)
 	p.Listing = l
-	p.met = true
+	p.selfReported = true
 }
 
-// RecordHeartbeat takes a heartbeat. A new incarnation of an instance ends the one
-// before it at once; a late heartbeat of one that was replaced is not taken.
-func (t *Table) RecordHeartbeat(from fate.Incarnation, load Heartbeat, now int64) []Change {
-	p := t.peer(from.Instance())
+// RecordHeartbeat records a heartbeat received at time now, in milliseconds. If it is from
+// another incarnation of the instance than the last one, the former incarnation is
+// considered dead at once.
+func (t *Table) RecordHeartbeat(incarnation fate.Incarnation, heartbeat Heartbeat, now int64) []Change {
+	p := t.getOrAdd(incarnation.Instance())
 	var changes []Change
-	if p.Incarnation != "" && p.Incarnation != from {
-		changes = append(changes, p.become(Dead))
+	if p.Incarnation != "" && p.Incarnation != incarnation {
+		changes = append(changes, p.setState(Dead))
 		p.State = Listed
 	}
-	p.Incarnation = from
-	p.Heartbeat = load
-	p.heard = now
+	p.Incarnation = incarnation
+	p.Heartbeat = heartbeat
+	p.lastHeartbeatMs = now
 	state := Alive
-	if load.Leaving {
+	if heartbeat.Leaving {
 		state = Leaving
 	}
-	return append(changes, p.changeTo(state)...)
+	return append(changes, p.transition(state)...)
 }
 
-// MarkEnded takes the certain news that an incarnation is over.
-func (t *Table) MarkEnded(who fate.Incarnation) []Change {
-	p := t.peers[who.Instance()]
-	if p == nil || p.Incarnation != who {
+// MarkEnded records that an incarnation has certainly ended.
+func (t *Table) MarkEnded(incarnation fate.Incarnation) []Change {
+	p := t.peers[incarnation.Instance()]
+	if p == nil || p.Incarnation != incarnation {
 		return nil
 	}
-	return p.changeTo(Dead)
+	return p.transition(Dead)
 }
 
-// Tick lets time pass, in Unix milliseconds.
+// Tick updates the states of all peers to time now, in milliseconds on the clock that
+// RecordHeartbeat is called with.
 func (t *Table) Tick(now int64) []Change {
 	var changes []Change
-	for _, p := range t.order {
-		if p.State == Dead && t.unheard(p) && now-p.heard >= forgetDeadMs {
+	for _, p := range t.sorted {
+		if p.State == Dead && t.notNeighbour(p) && now-p.lastHeartbeatMs >= relistDeadMs {
 			p.State = Listed
 		}
 		if p.State == Listed || p.State == Dead {
 			continue
 		}
-		switch silent := (now - p.heard) / t.allowance(p.Instance); {
-		case silent >= t.cfg.SuspectMs && t.parted(p):
-			changes = append(changes, p.changeTo(Listed)...)
-		case silent >= t.cfg.DeadMs:
-			changes = append(changes, p.changeTo(Dead)...)
-		case silent >= t.cfg.SuspectMs && p.State == Alive:
-			changes = append(changes, p.changeTo(Suspect)...)
+		switch silenceMs := (now - p.lastHeartbeatMs) / t.silenceFactor(p.Instance); {
+		case silenceMs >= t.cfg.SuspectMs && t.mutuallyUnneeded(p):
+			changes = append(changes, p.transition(Listed)...)
+		case silenceMs >= t.cfg.DeadMs:
+			changes = append(changes, p.transition(Dead)...)
+		case silenceMs >= t.cfg.SuspectMs && p.State == Alive:
+			changes = append(changes, p.transition(Suspect)...)
 		}
 	}
 	return changes
 }
 
-func (p *Peer) become(s State) Change {
-	before := p.State
-	p.State = s
-	return Change{Peer: *p, Before: before}
+// setState sets the peer's state and returns the change, even if the state is the same.
+func (p *Peer) setState(state State) Change {
+	previous := p.State
+	p.State = state
+	return Change{Peer: *p, Before: previous}
 }
 
-func (p *Peer) changeTo(s State) []Change {
-	if p.State == s {
+// transition sets the peer's state, and returns the change if the state is another one.
+func (p *Peer) transition(state State) []Change {
+	if p.State == state {
 		return nil
 	}
-	return []Change{p.become(s)}
+	return []Change{p.setState(state)}
 }
 
-// All ranges over every peer, by name. The table must not change meanwhile.
+// All returns an iterator over the peers, sorted by name. The table must not change during
+// the iteration.
 func (t *Table) All() iter.Seq[Peer] {
 	return func(yield func(Peer) bool) {
-		for _, p := range t.order {
+		for _, p := range t.sorted {
 			if !yield(*p) {
 				return
 			}
@@ -238,26 +251,26 @@
 	}
 }
 
-// Filter returns the peers of which a condition holds, by name.
-func (t *Table) Filter(holds func(Peer) bool) []Peer {
+// Filter returns the peers that match, sorted by name.
+func (t *Table) Filter(match func(Peer) bool) []Peer {
 	var list []Peer
 	for p := range t.All() {
-		if holds(p) {
+		if match(p) {
 			list = append(list, p)
 		}
 	}
 	return list
 }
 
-// Len returns how many peers there are.
-func (t *Table) Len() int { return len(t.order) }
+// Len returns the number of peers.
+func (t *Table) Len() int { return len(t.sorted) }
 
-// Peers returns every peer, by name.
+// Peers returns all peers, sorted by name.
 func (t *Table) Peers() []Peer {
 	return slices.AppendSeq(make([]Peer, 0, t.Len()), t.All())
 }
 
-// State returns what is believed of an instance; Dead of one that is unknown.
+// State returns the state of an instance. It returns Dead for an unknown one.
 func (t *Table) State(instance string) State {
 	if p := t.peers[instance]; p != nil {
 		return p.State
@@ -265,7 +278,7 @@
 	return Dead
 }
 
-// Address returns where an instance listens.
+// Address returns the address of an instance's listener for peers, and whether it is known.
 func (t *Table) Address(instance string) (string, bool) {
 	p := t.peers[instance]
 	if p == nil || p.Address == "" {
