--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Instance is what a process learns of itself and its surroundings when it
-// starts.
+// Instance holds the settings with which an instance starts.
 type Instance struct {
 	Name   string
 	Zone   string
 	Region string
-	// The listeners, hosts and ports.
+	// The addresses of its listeners, as host:port.
 	CustomerAddress  string
 	ReadinessAddress string
 	PeerAddress      string
 	MetricsAddress   string
 	// SeedPeers are the peer addresses of a few instances, which may be stale.
 	SeedPeers []string
-	// FirstStart is true at the first start of the whole system.
+	// FirstStart is set when the whole system starts for the first time.
 	FirstStart bool
 
-	CPUShare float64 // of a core
-	LinkRate float64 // bytes a second of its network link; 0 where it is not known
+	CPUShare float64 // fraction of a core
+	LinkRate float64 // of its network link, in bytes per second; 0 if unknown
 
 	StoreAddress string
-	MinLeaseTTL  time.Duration // that the store accepts
+	MinLeaseTTL  time.Duration // shortest time to live of a lease that the store accepts
 
 	Timing Timing
 }
 
-// InstanceEntry is what an instance tells the others of itself through the store.
+// InstanceEntry is the entry of an instance in the store, by which other instances find it.
 type InstanceEntry struct {
 	Address string // of the listener for peers
 	Region  string
 	Zone    string
-	Share   float64 // of a processor
+	Share   float64 // fraction of a core, as Instance.CPUShare
 }
 
-// Timing holds the bounds that an installation sets.
+// Timing holds the time limits that the operators of an installation set.
 type Timing struct {
-	MaxTaskLease         time.Duration // that upstreams grant
+	MaxTaskLease         time.Duration // longest lease that upstreams grant to a task
 	Grace                time.Duration // from SIGTERM to SIGKILL
-	MinOwnershipInterval time.Duration // in which two holders must not take turns
-	// RemoteFactor is how many times longer a task takes away from its data.
+	MinOwnershipInterval time.Duration // within this time the ownership of an upstream must not alternate between two instances
+	// RemoteFactor is the factor by which a task takes longer if it does not run in the
+	// rack of its data.
 	RemoteFactor float64
 }
--- a/fleet/job.go
+++ b/fleet/job.go
@@ -1,75 +1,77 @@
-// Package fleet holds the types that the parts of an instance share when it
-// dispatches jobs to upstreams that run tasks under leases: jobs and tasks,
-// routes, upstreams and what they report. It does no I/O.
+// Package fleet holds the types that the packages of an instance share to dispatch
+// jobs to upstreams, which run tasks under leases: jobs and tasks, routes, upstreams
+// and their reports. It does no I/O.
 package fleet
 
 import "time"
 
-// Resources is what a task takes of an upstream, and what an upstream has.
+// Resources is an amount of CPU, memory and GPUs, needed by a task or available on an
+// upstream.
 type Resources struct {
 	MilliCPU int64 // thousandths of a core
 	MemoryMB int64
 	GPUs     int64
 }
 
-// Plus returns the sum of two demands.
+// Plus returns the sum of d and o.
 func (d Resources) Plus(o Resources) Resources {
 	return Resources{d.MilliCPU + o.MilliCPU, d.MemoryMB + o.MemoryMB, d.GPUs + o.GPUs}
 }
 
-// Minus returns what is left of d without o.
+// Minus returns d less o.
 func (d Resources) Minus(o Resources) Resources {
 	return Resources{d.MilliCPU - o.MilliCPU, d.MemoryMB - o.MemoryMB, d.GPUs - o.GPUs}
 }
 
-// Max returns the larger of two demands in each respect.
+// Max returns the maximum of d and o for each resource separately.
 func (d Resources) Max(o Resources) Resources {
 	return Resources{max(d.MilliCPU, o.MilliCPU), max(d.MemoryMB, o.MemoryMB), max(d.GPUs, o.GPUs)}
 }
 
-// Within reports whether d fits into room.
-func (d Resources) Within(room Resources) bool {
-	return d.MilliCPU <= room.MilliCPU && d.MemoryMB <= room.MemoryMB && d.GPUs <= room.GPUs
+// Within reports whether d fits into the available resources.
+func (d Resources) Within(available Resources) bool {
+	return d.MilliCPU <= available.MilliCPU && d.MemoryMB <= available.MemoryMB && d.GPUs <= available.GPUs
 }
 
-// TaskRef names one task.
+// TaskRef identifies a task.
 type TaskRef struct {
 	Job        string
-	Repetition int // which time of a scheduled job; 0 without a schedule
+	Repetition int // number of the execution of a scheduled job; 0 without a schedule
 	Step       int
 	Index      int
 }
 
-// Run names one start of a task. Numbers rise from 1.
+// Run identifies one execution of a task. The runs of a task are numbered from 1.
 type Run struct {
 	Task   TaskRef
 	Number uint32
 }
 
-// Step is a set of equal tasks.
+// Step is a set of identical tasks of a job.
 type Step struct {
 	Count    int
 	Demand   Resources
-	Estimate time.Duration // of one task, as the customer declares it
-	Rack     string        // where the data of the tasks is; "" is nowhere
-	// MaxPerUpstream is how many of the tasks may be at work on one upstream; 0 is no bound.
+	Estimate time.Duration // duration of one task as declared by the customer
+	Rack     string        // rack that holds the data of the tasks; "" if there is none
+	// MaxPerUpstream is how many of the tasks may run on one upstream at a time; 0 means no
+	// limit.
 	MaxPerUpstream int
 }
 
 // Job is what a customer submits.
 type Job struct {
 	ID    string
-	Spec  string // passed to the upstreams as it is
+	Spec  string // passed to the upstreams unchanged
 	Steps []Step
-	// Ephemeral jobs are kept by nobody: they are answered when they have
-	// ended, and are lost with the instance that took them.
+	// Ephemeral jobs are not stored: the customer gets the response when the job has
+	// ended, and the job is lost if the instance that accepted it fails.
 	Ephemeral bool
-	// Unsupported names the first feature of the request that this version
-	// does not offer, or is empty.
+	// Unsupported names the first feature in the request that this version does not
+	// support. It is empty if all are supported.
 	Unsupported string
 }
 
-// State is the state of a job as its customer sees it.
+// State is the state of a job as shown to its customer.
 type State string
 
 // The states of a job.
--- a/fleet/route.go
+++ b/fleet/route.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Route is a queue: the jobs whose host and path lead here.
+// Route is a queue of jobs, selected by the host and path of their requests.
 type Route struct {
 	Name        string
 	Host        string
 	PathPrefix  string
-	Service     string // of the upstreams that run the tasks
-	Priority    int    // 0 goes first
-	MaxAttempts int    // failed runs of one task after which its job has failed
-	// The latency objective of a job is Stretch times its longest chain of
-	// work, plus Slack.
+	Service     string // service of the upstreams that run the tasks
+	Priority    int    // 0 is served first
+	MaxAttempts int    // number of failed runs of one task after which its job fails
+	// The latency objective of a job is Stretch times the duration of its critical
+	// path, plus Slack.
 	Stretch float64
 	Slack   time.Duration
-	// Advised routes let an advisory service pick the upstreams.
+	// Advised is set if an advisory service selects the upstreams for the route.
 	Advised bool
 }
 
@@ -25,17 +25,18 @@
 type Config struct {
 	Version uint64
 	Routes  []Route
-	// Services are those whose upstreams run tasks.
+	// Services are the services whose upstreams run tasks.
 	Services []string
-	// MaxBodyBytes bounds the body of a request, in bytes; 0 is no bound.
+	// MaxBodyBytes is the largest permitted size of a request's body; 0 means no limit.
 	MaxBodyBytes int
-	// Raw is the configuration as it was received, for peers.
+	// Raw is the configuration as it was received. It is sent to peers unchanged.
 	Raw []byte
 
 	byHost map[string][]*Route
 }
 
-// Index prepares Match. It must be called once, before the Config is shared.
+// Index builds the index that Match uses. It must be called once, before the Config is
+// shared between goroutines.
 func (c *Config) Index() {
 	c.byHost = make(map[string][]*Route, len(c.Routes))
 	for i := range c.Routes {
@@ -45,8 +46,8 @@
 	}
 }
 
-// Match returns the route of a request: the one of its host with the longest
-// prefix of its path, or nil.
+// Match returns the route of a request: of the routes for its host, the one with the
+// longest matching path prefix. It returns nil if there is none.
 func (c *Config) Match(host, path string) *Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
 		host = host[:at]
--- a/fleet/upstream.go
+++ b/fleet/upstream.go
@@ -5,38 +5,39 @@
 	"strings"
 )
 
-// UpstreamIncarnation names one life of an upstream. A process that starts again holds nothing from
-// before, whether it comes back under another id or under the same one.
+// UpstreamIncarnation identifies one execution of an upstream process, from its start to
+// its end. A restarted process has nothing left from before the restart, whether its ID is
+// a new one or the same.
 type UpstreamIncarnation struct {
 	ID            string
-	StartedUnixMs int64 // when it started, Unix milliseconds; 0 where the platform does not say
+	StartedUnixMs int64 // start time; 0 if the platform does not report it
 }
 
-// CompareIncarnations orders lives by id and birth.
+// CompareIncarnations orders incarnations by ID, then by start time.
 func CompareIncarnations(a, b UpstreamIncarnation) int {
 	return cmp.Or(strings.Compare(a.ID, b.ID), cmp.Compare(a.StartedUnixMs, b.StartedUnixMs))
 }
 
-// Upstream is one life of a process that runs tasks.
+// Upstream describes one incarnation of a process that runs tasks.
 type Upstream struct {
 	ID            string
 	StartedUnixMs int64 // as in UpstreamIncarnation
 	Service       string
-	Address       string // host and port
+	Address       string // host:port
 	Zone          string
-	Rack          string // "" where the platform does not say
-	Draining      bool   // it is leaving, for good
-	// Closed is set while nothing new may start there, for a reason that may
-	// pass: its availability zone is evacuated, or its entry cannot be read.
+	Rack          string // "" if the platform does not report it
+	Draining      bool   // it is shutting down for good and gets no new tasks
+	// Closed is set while no new tasks may start on the upstream for a reason that can
+	// end: its availability zone is evacuated, or its entry is invalid.
 	Closed bool
-	// Capacity is what the upstream has now, and LargestCapacity the most that it had in this
-	// life: it may shrink and grow again.
+	// Capacity is the upstream's current total capacity, which may shrink and grow.
+	// LargestCapacity is the maximum since the incarnation started.
 	Capacity        Resources
 	LargestCapacity Resources
-	Sequence        int64 // rises with what the upstream says of itself, in each life from the start
+	Sequence        int64 // version of the upstream's entry; starts over in each incarnation
 }
 
-// Incarnation returns the life that the upstream is.
+// Incarnation returns the incarnation that u describes.
 func (u Upstream) Incarnation() UpstreamIncarnation {
 	return UpstreamIncarnation{ID: u.ID, StartedUnixMs: u.StartedUnixMs}
 }
@@ -47,60 +48,60 @@
 // The ends of a run.
 const (
 	EndDone    End = "done"
-	EndFailed  End = "failed"  // by the task's or the upstream's fault
-	EndStopped End = "stopped" // by order
-	EndLapsed  End = "lapsed"  // its lease was not renewed in time
-	EndOther   End = "other"
+	EndFailed  End = "failed"  // because of the task or of the upstream
+	EndStopped End = "stopped" // by a stop order
+	EndLapsed  End = "lapsed"  // its lease expired
+	EndOther   End = "other"   // the upstream reported an unknown kind of end
 )
 
-// RunningTask is a run that an upstream reports as at work.
+// RunningTask is a run that an upstream reports as running.
 type RunningTask struct {
 	Run     Run
-	Percent int // of its work that is done
+	Percent int // progress, 0 to 100
 }
 
-// EndedRun is a run that an upstream reports as over.
+// EndedRun is a run that an upstream reports as ended.
 type EndedRun struct {
-	Sequence uint64 // counts the ends of one upstream's life from 1
+	Sequence uint64 // number of the end within the upstream's incarnation, from 1
 	Run      Run
 	End      End
 }
 
-// Report is what an upstream tells of itself.
+// Report is an upstream's report on its runs.
 type Report struct {
-	StartedUnixMs int64 // of the life that tells it, as in UpstreamIncarnation
-	ClockMs       int64 // the upstream's steady clock, milliseconds
+	StartedUnixMs int64 // start time of the reporting incarnation, as in UpstreamIncarnation
+	ClockMs       int64 // reading of the upstream's monotonic clock
 	Running       []RunningTask
 	Ended         []EndedRun
 }
 
-// Refusal is why an upstream refused a start. None of them began anything.
+// Refusal is the reason why an upstream refused to start a run. A refused run has not
+// started.
 type Refusal string
 
-// The refusals of a start.
+// The reasons for refusals.
 const (
-	NotRefused       Refusal = ""          // it was accepted
-	RefusedFence     Refusal = "fence"     // a higher fencing token was seen
-	RefusedOldRun    Refusal = "old_run"   // a run with this or a higher number was there
-	RefusedLate      Refusal = "late"      // its lease was over on arrival
-	RefusedNoRoom    Refusal = "room"      // it does not fit
-	RefusedUnhealthy Refusal = "unhealthy" // the upstream declines all work
-	RefusedInvalid   Refusal = "bad"       // the order itself is wrong
+	NotRefused       Refusal = ""          // the start was accepted
+	RefusedFence     Refusal = "fence"     // the upstream has seen a higher fencing token
+	RefusedOldRun    Refusal = "old_run"   // the upstream has already processed this run of the task or a later one
+	RefusedLate      Refusal = "late"      // the lease had expired when the order arrived
+	RefusedNoRoom    Refusal = "room"      // free capacity is insufficient
+	RefusedUnhealthy Refusal = "unhealthy" // the upstream refuses all tasks
+	RefusedInvalid   Refusal = "bad"       // the order is invalid
 )
 
-// StartOrder starts one run.
+// StartOrder orders an upstream to start a run.
 type StartOrder struct {
 	Run          Run
 	Spec         string
-	LeaseUntilMs int64 // on the upstream's clock
-	Token        uint64
+	LeaseUntilMs int64  // end of the lease, on the upstream's clock
+	Token        uint64 // fencing token
 }
 
-// HoldOrder renews the lease of all that runs at an upstream, and asks for a
-// report. Without a lease it only asks.
+// HoldOrder renews the lease of all runs on an upstream and requests a report.
 type HoldOrder struct {
-	LeaseUntilMs  int64 // on the upstream's clock; 0 renews nothing
-	Token         uint64
-	AckedSequence uint64 // ends up to this one may be forgotten
-	WaitMs        int64  // the report may wait so long for an end
+	LeaseUntilMs  int64  // new end of the lease, on the upstream's clock; 0 requests only a report
+	Token         uint64 // fencing token
+	AckedSequence uint64 // the upstream may discard ends up to this EndedRun.Sequence
+	WaitMs        int64  // how long the upstream may delay the report until a run ends
 }
