--- a/clock/boot_linux.go
+++ b/clock/boot_linux.go
@@ -8,11 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceBoot reads the clock that counts suspended time. The error is Internal.
+// sinceBoot returns the time since the machine started, including suspended time. The error
+// is Internal.
 func sinceBoot() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return 0, failure.Internal.Wrap(err, "the system has no clock that counts suspended time")
+		return 0, failure.Internal.Wrap(err, "the system has no clock that includes suspended time")
 	}
 	return time.Duration(t.Nano()), nil
 }
--- a/clock/boot_other.go
+++ b/clock/boot_other.go
@@ -8,7 +8,8 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// sinceBoot is for systems whose clock is not known here. The error is Internal.
+// sinceBoot always fails: on this system no clock that includes suspended time is supported.
+// The error is Internal.
 func sinceBoot() (time.Duration, error) {
-	return 0, failure.Internal.New("no clock that counts suspended time is known for this system")
+	return 0, failure.Internal.New("a clock that includes suspended time is not supported on this system")
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -6,71 +6,72 @@
 	"time"
 )
 
-// machine is a machine in virtual time: a steady clock that stands while it is suspended,
-// a time of day that may step, and a clock since its start.
+// machine simulates the clocks of a machine: a monotonic clock that stops while the machine
+// is suspended, a wall clock that may step, and a boot-time clock that includes suspended
+// time.
 type machine struct {
-	steady, day, boot time.Duration
-	noBoot            error
+	monotonic, wall, boot time.Duration
+	bootErr               error
 }
 
-func (m *machine) runs(d time.Duration)      { m.steady += d; m.day += d; m.boot += d }
-func (m *machine) suspended(d time.Duration) { m.day += d; m.boot += d }
-func (m *machine) stepped(d time.Duration)   { m.day += d }
+func (m *machine) run(d time.Duration)      { m.monotonic += d; m.wall += d; m.boot += d }
+func (m *machine) suspend(d time.Duration)  { m.wall += d; m.boot += d }
+func (m *machine) stepWall(d time.Duration) { m.wall += d }
 
-// TestSuspendedTimeCounts: a clock goes on while the machine is suspended, whatever the
-// time of day does.
+// TestSuspendedTimeCounts checks that the clock includes suspended time and is not affected
+// by steps of the wall clock.
 func TestSuspendedTimeCounts(t *testing.T) {
 	for _, c := range []struct {
-		what string
+		name string
 		do   func(m *machine, now func())
 		want time.Duration
 	}{
-		{"it runs", func(m *machine, _ func()) { m.runs(3 * time.Second) }, 3 * time.Second},
-		{"it is suspended", func(m *machine, _ func()) { m.runs(time.Second); m.suspended(3 * time.Second) }, 4 * time.Second},
-		{"twice", func(m *machine, now func()) {
-			m.suspended(3 * time.Second)
+		{"not suspended", func(m *machine, _ func()) { m.run(3 * time.Second) }, 3 * time.Second},
+		{"suspended once", func(m *machine, _ func()) { m.run(time.Second); m.suspend(3 * time.Second) }, 4 * time.Second},
+		{"suspended twice", func(m *machine, now func()) {
+			m.suspend(3 * time.Second)
 			now()
-			m.runs(time.Millisecond)
-			m.suspended(2 * time.Second)
+			m.run(time.Millisecond)
+			m.suspend(2 * time.Second)
 		}, 5*time.Second + time.Millisecond},
-		{"for as little as matters", func(m *machine, _ func()) { m.suspended(50 * time.Millisecond) }, 50 * time.Millisecond},
-		{"the time of day steps ahead", func(m *machine, _ func()) { m.runs(time.Second); m.stepped(2 * time.Second) }, time.Second},
-		{"it steps back", func(m *machine, _ func()) { m.runs(time.Second); m.stepped(-2 * time.Second) }, time.Second},
-		{"a step hides a suspension for a second at most", func(m *machine, now func()) {
-			m.suspended(2 * time.Second)
-			m.stepped(-2 * time.Second)
+		{"shortest suspension that matters", func(m *machine, _ func()) { m.suspend(50 * time.Millisecond) }, 50 * time.Millisecond},
+		{"wall clock steps forward", func(m *machine, _ func()) { m.run(time.Second); m.stepWall(2 * time.Second) }, time.Second},
+		{"wall clock steps back", func(m *machine, _ func()) { m.run(time.Second); m.stepWall(-2 * time.Second) }, time.Second},
+		{"a step hides a suspension for at most checkInterval", func(m *machine, now func()) {
+			m.suspend(2 * time.Second)
+			m.stepWall(-2 * time.Second)
 			now()
-			m.runs(askEvery + time.Millisecond)
+			m.run(checkInterval + time.Millisecond)
 		}, 3*time.Second + time.Millisecond},
 	} {
 		m := &machine{}
-		clock := newOn(m)
+		clock := newClock(m)
 		before := clock.Now()
 		c.do(m, func() { clock.Now() })
 		if got := clock.Now().Sub(before); got != c.want {
-			t.Errorf("%s: %v, want %v", c.what, got, c.want)
+			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// newOn returns the clock of a machine.
-func newOn(m *machine) *Clock {
-	return New(time.Unix(1000, 0), func() Reading { return Reading{m.steady, m.day} }, func() (time.Duration, error) { return m.boot, m.noBoot })
+// newClock returns a Clock that reads the clocks of m.
+func newClock(m *machine) *Clock {
+	return New(time.Unix(1000, 0), func() Reading { return Reading{m.monotonic, m.wall} }, func() (time.Duration, error) { return m.boot, m.bootErr })
 }
 
-// TestNoBootClock: without a clock that counts suspended time the steady clock is used,
-// and the error is told.
+// TestNoBootClock checks that if the boot-time clock cannot be read, the monotonic clock is
+// used and Err returns the error.
 func TestNoBootClock(t *testing.T) {
-	m := &machine{noBoot: errors.New("none")}
-	clock := newOn(m)
+	m := &machine{bootErr: errors.New("none")}
+	clock := newClock(m)
 	before := clock.Now()
-	m.runs(2 * time.Second)
+	m.run(2 * time.Second)
 	if got := clock.Now().Sub(before); got != 2*time.Second || clock.Err() == nil {
 		t.Errorf("%v, error %v", got, clock.Err())
 	}
 }
 
-// TestSystem: this machine tells suspended time.
+// TestSystem checks that the boot-time clock of this machine can be read.
 func TestSystem(t *testing.T) {
 	before := Now()
 	if System.Err() != nil || Since(before) < 0 || Until(before) > 0 {
--- a/clock/uses_test.go
+++ b/clock/uses_test.go
@@ -9,13 +9,15 @@
 	"testing"
 )
 
-// deciding are the packages that grant, hold or doubt something for a time.
-var deciding = []string{"directory", "ingress", "inner", "membership", "node", "owner", "schedule"}
+// leasePackages are the packages in which leases, timeouts and similar decisions depend on
+// elapsed time.
+var leasePackages = []string{"directory", "ingress", "inner", "membership", "node", "owner", "schedule"}
 
-// TestUses: packages that decide ask this package for the time. Deadlines of connections are
-// the exception: the system takes them on its own clock.
+// TestUses checks that these packages use this package's clock and not that of package time.
+// Deadlines of connections are excepted, because the operating system applies them on its own
+// clock.
 func TestUses(t *testing.T) {
-	for _, dir := range deciding {
+	for _, dir := range leasePackages {
 		files, err := filepath.Glob("../" + dir + "/*.go")
 		if err != nil || len(files) == 0 {
 			t.Fatal(dir, err)
@@ -35,28 +37,29 @@
 		t.Fatal(err)
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
-		call, is := n.(*ast.CallExpr)
-		if !is {
+		call, ok := n.(*ast.CallExpr)
+		if !ok {
 			return true
 		}
-		if s, is := call.Fun.(*ast.SelectorExpr); is && strings.HasSuffix(s.Sel.Name, "Deadline") {
+		if s, ok := call.Fun.(*ast.SelectorExpr); ok && strings.HasSuffix(s.Sel.Name, "Deadline") {
 			return false
 		}
-		if name := calledTime(call); name != "" {
-			t.Errorf("%s: time.%s does not count suspended time", fset.Position(call.Pos()), name)
+		if name := clockFunction(call); name != "" {
+			t.Errorf("%s: time.%s does not include suspended time", fset.Position(call.Pos()), name)
 		}
 		return true
 	})
 }
 
-// calledTime returns which function of package time that reads a clock a call is of, or "".
-func calledTime(call *ast.CallExpr) string {
-	s, is := call.Fun.(*ast.SelectorExpr)
-	if !is {
+// clockFunction returns the name of the called function if the call is of a function of
+// package time that reads the clock, and "" otherwise.
+func clockFunction(call *ast.CallExpr) string {
+	s, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok {
 		return ""
 	}
-	pkg, is := s.X.(*ast.Ident)
-	if !is || pkg.Name != "time" {
+	pkg, ok := s.X.(*ast.Ident)
+	if !ok || pkg.Name != "time" {
 		return ""
 	}
 	switch s.Sel.Name {
