--- a/connset/connset.go
+++ b/connset/connset.go
@@ -1,5 +1,6 @@
-// Package connset closes many connections at once: those that wait for
-// something would otherwise outlive their owner.
+// Package connset tracks open connections so that their owner can close all of
+// them at once. Connections that are blocked in a read or write would otherwise
+// outlive it.
 package connset
 
 import (
@@ -13,13 +14,14 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// Set knows open connections until they close. The zero value is ready.
+// Set is a set of open connections. A connection leaves it on Close. The zero value
+// is ready to use.
 type Set struct {
-	mu     sync.Mutex
-	open   map[*conn]struct{}
-	closed bool
-	read   atomic.Int64 // bytes
-	wrote  atomic.Int64
+	mu           sync.Mutex
+	open         map[*conn]struct{}
+	closed       bool
+	bytesRead    atomic.Int64
+	bytesWritten atomic.Int64
 }
 
 type conn struct {
@@ -27,37 +29,38 @@
 	set *Set
 }
 
-// Bytes returns how many bytes all connections of the set have read and written.
-func (s *Set) Bytes() (read, wrote int64) { return s.read.Load(), s.wrote.Load() }
+// Bytes returns the numbers of bytes that all connections ever in the set have read
+// and written.
+func (s *Set) Bytes() (read, written int64) { return s.bytesRead.Load(), s.bytesWritten.Load() }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.set.read.Add(int64(n))
+	c.set.bytesRead.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.set.wrote.Add(int64(n))
+	c.set.bytesWritten.Add(int64(n))
 	return n, err
 }
 
-// SyscallConn implements syscall.Conn. The error is that of Socket.
+// SyscallConn implements syscall.Conn. It returns the errors of Socket.
 func (c *conn) SyscallConn() (syscall.RawConn, error) { return Socket(c.Conn) }
 
-// Socket returns the socket of a connection or listener as the operating system knows it.
-// The error is Internal where it has none, such as behind a wrapper of another library.
-func Socket(of any) (syscall.RawConn, error) {
-	sys, is := of.(syscall.Conn)
-	if !is {
-		return nil, failure.Internal.New("%T has no socket of the system", of)
+// Socket returns the operating system's socket of a connection or listener. The error is
+// Internal if v gives no access to one, for example because another library wraps it.
+func Socket(v any) (syscall.RawConn, error) {
+	sys, ok := v.(syscall.Conn)
+	if !ok {
+		return nil, failure.Internal.New("%T gives no access to its socket", v)
 	}
 	return sys.SyscallConn()
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and removes it from the set.
 func (c *conn) Close() error {
 	c.set.mu.Lock()
 	delete(c.set.open, c)
@@ -65,24 +68,24 @@
 	return c.Conn.Close()
 }
 
-// Add returns c as a member of the set. The error is Unreachable once the set
-// is closed; c is closed then.
+// Add adds c to the set and returns the connection to use in its place. If the set
+// is closed, Add closes c and returns an Unreachable error.
 func (s *Set) Add(c net.Conn) (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		_ = c.Close()
-		return nil, failure.Unreachable.New("the connections are closed")
+		return nil, failure.Unreachable.New("the connection set is closed")
 	}
 	if s.open == nil {
 		s.open = map[*conn]struct{}{}
 	}
-	member := &conn{c, s}
-	s.open[member] = struct{}{}
-	return member, nil
+	tracked := &conn{c, s}
+	s.open[tracked] = struct{}{}
+	return tracked, nil
 }
 
-// Dial returns dial with its connections in the set.
+// Dial returns a function that calls dial and adds the connection to the set.
 func (s *Set) Dial(dial func(address string) (net.Conn, error)) func(address string) (net.Conn, error) {
 	return func(address string) (net.Conn, error) {
 		c, err := dial(address)
@@ -93,7 +96,7 @@
 	}
 }
 
-// Listener returns l with its connections in the set.
+// Listener returns a listener that adds the connections accepted by l to the set.
 func (s *Set) Listener(l net.Listener) net.Listener { return &listener{l, s} }
 
 type listener struct {
@@ -101,10 +104,10 @@
 	set *Set
 }
 
-// SyscallConn implements syscall.Conn. The error is that of Socket.
+// SyscallConn implements syscall.Conn. It returns the errors of Socket.
 func (l *listener) SyscallConn() (syscall.RawConn, error) { return Socket(l.Listener) }
 
-// Accept returns the next connection, in the set.
+// Accept waits for the next connection and adds it to the set.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -113,7 +116,7 @@
 	return l.set.Add(c)
 }
 
-// Close closes every connection, and each that would be added.
+// Close closes all connections in the set. Connections added later are closed at once.
 func (s *Set) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/failure/failure.go
+++ b/failure/failure.go
@@ -1,8 +1,8 @@
-// Package failure is the closed set of error types that sedgehatch returns.
+// Package failure defines the error types that sedgehatch returns.
 //
-// Every error that leaves a package has one of these types, so that a caller
-// can decide by type and never by text. The types are errorx types; test them
-// with Is, and read the offending field with FieldOf.
+// Every error that a package returns to another has one of these types, so that
+// callers handle errors by type and not by text. The types are errorx types; check
+// them with Is, and get the name of an invalid field with FieldOf.
 package failure
 
 import (
@@ -12,65 +12,78 @@
 
 var namespace = errorx.NewNamespace("sedgehatch")
 
-// The error types, each with the meaning that callers may rely on.
+// The error types. Callers may rely on the meanings given here.
 var (
-	// InvalidInput means that a message or a setting is wrong; FieldOf names it.
+	// InvalidInput means that a message or a setting is invalid; FieldOf returns
+	// the name of the field.
 	InvalidInput = namespace.NewType("invalid_input")
-	// TooLarge means that a limit on size or count was passed; FieldOf names it.
+	// TooLarge means that a limit on a size or count was exceeded; FieldOf returns
+	// the name of the field.
 	TooLarge = namespace.NewType("too_large")
-	// NotFound means that the named thing does not exist here.
+	// NotFound means that the requested item does not exist, or is not known to the
+	// process that was asked.
 	NotFound = namespace.NewType("not_found")
-	// Conflict means that somebody else changed the thing first.
+	// Conflict means that the request contradicts the current state, in most cases
+	// because another process has changed the state first.
 	Conflict = namespace.NewType("conflict")
-	// Overloaded means that the work was refused before any of it started.
+	// Overloaded means that the work was refused because of a load limit, before any
+	// of it started.
 	Overloaded = namespace.NewType("overloaded")
-	// Stopping means that this instance takes no new work.
+	// Stopping means that the instance is shutting down and accepts no new work.
 	Stopping = namespace.NewType("stopping")
-	// NoSettings means that this instance knows no settings yet, and serves
-	// nothing before it does.
+	// NoSettings means that the instance has not received its settings yet and
+	// serves no requests before it has.
 	NoSettings = namespace.NewType("no_settings")
-	// SessionEnded means that the session takes no more jobs; open another.
+	// SessionEnded means that the session accepts no more jobs; the caller has to
+	// open another one.
 	SessionEnded = namespace.NewType("session_ended")
-	// NeverFits means that no upstream could ever run the task.
+	// NeverFits means that no upstream is large enough to run the task, even when
+	// idle.
 	NeverFits = namespace.NewType("never_fits")
-	// Unreachable means that the peer got nothing: no byte of the message left.
+	// Unreachable means that the peer did not receive the message: no byte of it
+	// was sent.
 	Unreachable = namespace.NewType("unreachable")
-	// Lost means that the message may or may not have taken effect.
+	// Lost means that no valid answer to the message was received; the message may
+	// or may not have taken effect.
 	Lost = namespace.NewType("lost")
-	// Gone means that the incarnation that was meant has ended.
+	// Gone means that the incarnation to which the message is addressed has ended.
 	Gone = namespace.NewType("gone")
-	// Refused means that the peer answered with a typed refusal.
+	// Refused means that the peer received the request and refused it.
 	Refused = namespace.NewType("refused")
-	// Timeout means that the wait ended first; the effect is not known.
+	// Timeout means that no answer arrived in time; it is unknown whether the
+	// message has taken effect.
 	Timeout = namespace.NewType("timeout", errorx.Timeout())
-	// Protocol means that a peer sent something that the protocol forbids.
+	// Protocol means that a peer sent a message that violates the protocol.
 	Protocol = namespace.NewType("protocol")
-	// Internal means a fault of sedgehatch itself.
+	// Internal means an error in sedgehatch itself.
 	Internal = namespace.NewType("internal")
-	// Invariant means that one of the product's promises was seen broken.
+	// Invariant means that a violation of one of the product's guarantees was
+	// detected.
 	Invariant = namespace.NewType("invariant")
 )
 
-// portable are the types that pass between processes unchanged.
+// portable holds the types that keep their identity when sent to another process, by
+// short name.
 var portable = lo.KeyBy([]*errorx.Type{
 	InvalidInput, TooLarge, NotFound, Conflict, Overloaded, Stopping, NoSettings, SessionEnded,
 	NeverFits, Unreachable, Lost, Gone, Refused, Timeout, Protocol,
 }, func(t *errorx.Type) string { return shortName(t.FullName()) })
 
-// ByCode returns the type with the short name code, as Code gives it.
+// ByCode returns the type with the given short name, as returned by Code, and whether
+// there is one that can be sent to another process.
 func ByCode(code string) (*errorx.Type, bool) {
-	t, known := portable[code]
-	return t, known
+	t, ok := portable[code]
+	return t, ok
 }
 
 var fieldProperty = errorx.RegisterPrintableProperty("field")
 
-// Field returns an error of type t about the named field.
+// Field returns an error of type t that concerns the named field.
 func Field(t *errorx.Type, field, format string, args ...any) *errorx.Error {
 	return t.New(format, args...).WithProperty(fieldProperty, field)
 }
 
-// FieldOf returns the name of the field that err is about, or "".
+// FieldOf returns the name of the field that err concerns, or "".
 func FieldOf(err error) string {
 	value, ok := errorx.ExtractProperty(err, fieldProperty)
 	if !ok {
@@ -84,7 +97,8 @@
 	return errorx.IsOfType(err, t)
 }
 
-// Code returns the short name of err's type, such as "invalid_input".
+// Code returns the short name of err's type, such as "invalid_input". It returns
+// "internal" for errors of other packages.
 func Code(err error) string {
 	typed := errorx.Cast(err)
 	if typed == nil {
