--- a/event/event.go
+++ b/event/event.go
@@ -1,5 +1,6 @@
-// Package event numbers the log events of sedgehatch. docs/EVENTS.md is the
-// catalogue for operators; a test keeps the two alike.
+// Package event defines the log events of sedgehatch and their numbers.
+// docs/EVENTS.md is the catalogue for operators; a test checks that it matches
+// this package.
 package event
 
 import (
@@ -7,18 +8,19 @@
 	"log/slog"
 )
 
-// Event is one kind of log event. Its number never changes and is never used
-// again for another.
+// Event is one kind of log event. Its number never changes and is never reused
+// for another event.
 type Event struct {
 	Number int
 	Name   string
 	Level  slog.Level
-	// Meaning is what operators read in the catalogue.
+	// Meaning is the description in the operators' catalogue.
 	Meaning string
 }
 
-// The events. 1xx: the instance; 2xx: logs and fates; 3xx: upstreams and
-// brokers; 4xx: membership; 5xx: settings and platform.
+// The events. Numbers 1xx concern the instance, 2xx permit logs and the outcomes
+// of jobs, 3xx upstreams and brokers, 4xx membership, 5xx settings and the
+// platform.
 var (
 	LogDropped        = add(1, "log_dropped", slog.LevelWarn, "Lines were dropped because the output stalled: so many of each class since the last such line.")
 	Started           = add(101, "started", slog.LevelInfo, "The instance takes callers.")
@@ -43,8 +45,8 @@
 	SettingsApplied   = add(503, "settings_applied", slog.LevelInfo, "A newer revision of the settings is in force here.")
 	SettingsRefused   = add(504, "settings_refused", slog.LevelError, "A revision of the settings cannot be read here and was not applied.")
 
-	// On the users' platform. 6xx: the instance; 7xx: jobs and tasks; 8xx:
-	// upstreams and groups; 9xx: the store and the configuration.
+	// Events on the users' platform. Numbers 6xx concern the instance, 7xx jobs
+	// and tasks, 8xx upstreams and groups, 9xx the store and the configuration.
 	NodeStarted     = add(601, "node_started", slog.LevelInfo, "The instance takes customers.")
 	NodeDraining    = add(602, "node_draining", slog.LevelInfo, "A planned stop began: customers are sent elsewhere, groups go to others.")
 	NodeStopped     = add(603, "node_stopped", slog.LevelInfo, "A planned stop ended; drained tells whether everything was finished.")
@@ -93,10 +95,11 @@
 	return e
 }
 
-// Catalogue returns every event, in the order of their numbers.
+// Catalogue returns all events, sorted by number.
 func Catalogue() []Event { return catalogue }
 
-// Log writes the event with its number and attributes.
+// Log writes the event to l with its number and attributes. It does nothing if l is
+// nil or not enabled for the event's level.
 func (e Event) Log(l *slog.Logger, attrs ...slog.Attr) {
 	if l == nil || !l.Enabled(context.Background(), e.Level) {
 		return
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestCatalogue holds docs/EVENTS.md against the code, both ways.
+// TestCatalogue checks that docs/EVENTS.md lists exactly the events of this package, and
+// that their numbers increase.
 func TestCatalogue(t *testing.T) {
 	raw, err := os.ReadFile("../docs/EVENTS.md")
 	if err != nil {
