--- a/logging/sink.go
+++ b/logging/sink.go
@@ -1,7 +1,7 @@
-// Package logging writes structured log lines without ever holding up who logs:
-// lines wait in a bounded buffer for a writer of their own. When the output
-// stalls, ordinary lines are dropped first and failures last, and how many were
-// dropped is told once there is room again.
+// Package logging writes structured log lines without ever blocking the code that
+// logs: lines are queued in a bounded buffer, which a separate goroutine writes out.
+// If the output stalls, routine lines are dropped first and failures last. The number
+// of dropped lines is logged when the output accepts lines again.
 package logging
 
 import (
@@ -15,148 +15,153 @@
 	"github.com/sedgehatch/sedgehatch/event"
 )
 
-// Class is how much a line matters when not all can be kept.
+// Class is the importance of a line. It determines which lines are dropped when the
+// buffer fills up.
 type Class int
 
 // The classes, least important first.
 const (
-	Routine  Class = iota // ordinary successes
-	Decision              // everything else below a warning
+	Routine  Class = iota // successes in regular operation
+	Decision              // other lines below the warning level
 	Failure               // warnings and errors
 	classes  = 3
 )
 
 func (c Class) String() string { return [classes]string{"routine", "decision", "failure"}[c] }
 
-// DefaultBuffer holds some seconds of lines at the highest load, in bytes.
+// DefaultBuffer is a size of the buffer in bytes that holds the lines of several
+// seconds at the highest load.
 const DefaultBuffer = 1 << 20
 
-// share is the part of the buffer that a class and those below it may fill.
-var share = [classes]float64{0.5, 0.75, 1}
+// maxFill is the fraction of the buffer up to which lines of each class are queued.
+var maxFill = [classes]float64{0.5, 0.75, 1}
 
-// Sink is the buffer and its writer.
+// Sink is a bounded buffer of log lines and the goroutine that writes them out.
 type Sink struct {
-	out   io.Writer
-	limit int
-
-	mu      sync.Mutex
-	wake    *sync.Cond
-	queued  bytes.Buffer
-	dropped [classes]uint64 // not told yet
-	total   [classes]uint64
-	failed  uint64 // writes that the output refused
-	closed  bool
-	idle    bool // the writer waits
+	out      io.Writer
+	maxBytes int
+
+	mu              sync.Mutex
+	stateChanged    *sync.Cond
+	queued          bytes.Buffer
+	unreportedDrops [classes]uint64 // not logged yet
+	totalDropped    [classes]uint64
+	failedWrites    uint64 // writes to the output that returned an error
+	closed          bool
+	idle            bool // the writing goroutine waits or has ended
 }
 
-// NewSink returns a sink that writes to out. Close ends it.
-func NewSink(out io.Writer, limit int) *Sink {
-	s := &Sink{out: out, limit: limit}
-	s.wake = sync.NewCond(&s.mu)
-	go s.write()
+// NewSink returns a sink that writes to out and buffers at most maxBytes. It must be
+// closed after use.
+func NewSink(out io.Writer, maxBytes int) *Sink {
+	s := &Sink{out: out, maxBytes: maxBytes}
+	s.stateChanged = sync.NewCond(&s.mu)
+	go s.run()
 	return s
 }
 
-// Put queues a line, which ends with a newline, or drops it.
+// Put queues a line, which must end with a newline. It drops the line if the buffer is
+// too full for its class or the sink is closed.
 func (s *Sink) Put(class Class, line []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || s.queued.Len()+len(line) > int(share[class]*float64(s.limit)) {
-		s.dropped[class]++
-		s.total[class]++
+	if s.closed || s.queued.Len()+len(line) > int(maxFill[class]*float64(s.maxBytes)) {
+		s.unreportedDrops[class]++
+		s.totalDropped[class]++
 		return
 	}
 	s.queued.Write(line)
 	if s.idle {
-		s.wake.Broadcast()
+		s.stateChanged.Broadcast()
 	}
 }
 
-// write passes the buffer on until the sink is closed.
-func (s *Sink) write() {
+// run writes the queued lines to the output until the sink is closed.
+func (s *Sink) run() {
 	var batch bytes.Buffer
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
 		for s.queued.Len() == 0 && !s.closed {
 			s.idle = true
-			s.wake.Broadcast()
-			s.wake.Wait()
+			s.stateChanged.Broadcast()
+			s.stateChanged.Wait()
 		}
 		s.idle = false
 		if s.queued.Len() == 0 {
 			s.idle = true
-			s.wake.Broadcast()
+			s.stateChanged.Broadcast()
 			return
 		}
 		batch.Reset()
 		batch, s.queued = s.queued, batch
-		s.tellDropped(&batch)
+		s.reportDropped(&batch)
 		s.mu.Unlock()
 		_, err := s.out.Write(batch.Bytes())
 		s.mu.Lock()
 		if err != nil {
-			s.failed++ // there is nowhere to tell it but the metrics
+			s.failedWrites++ // cannot be logged; shown in the metrics
 		}
 	}
 }
 
-// tellDropped adds a line on what was dropped. The lock is held.
-func (s *Sink) tellDropped(batch *bytes.Buffer) {
-	if s.dropped == [classes]uint64{} {
+// reportDropped adds a line with the numbers of dropped lines to batch, if there are any.
+// The caller must hold s.mu.
+func (s *Sink) reportDropped(batch *bytes.Buffer) {
+	if s.unreportedDrops == [classes]uint64{} {
 		return
 	}
 	event.LogDropped.Log(slog.New(slog.NewJSONHandler(batch, nil)),
-		slog.Uint64("routine", s.dropped[Routine]), slog.Uint64("decision", s.dropped[Decision]), slog.Uint64("failure", s.dropped[Failure]))
-	s.dropped = [classes]uint64{}
+		slog.Uint64("routine", s.unreportedDrops[Routine]), slog.Uint64("decision", s.unreportedDrops[Decision]), slog.Uint64("failure", s.unreportedDrops[Failure]))
+	s.unreportedDrops = [classes]uint64{}
 }
 
-// Dropped returns how many lines of each class were dropped, and how often the
-// output refused to take some.
-func (s *Sink) Dropped() (byClass map[string]uint64, refused uint64) {
+// Dropped returns the number of dropped lines of each class, and the number of failed
+// writes to the output.
+func (s *Sink) Dropped() (byClass map[string]uint64, failedWrites uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	byClass = map[string]uint64{}
 	for c := range Class(classes) {
-		byClass[c.String()] = s.total[c]
+		byClass[c.String()] = s.totalDropped[c]
 	}
-	return byClass, s.failed
+	return byClass, s.failedWrites
 }
 
-// Close writes what is queued, for as long as the output takes it within a
-// limit, and ends the sink.
-func (s *Sink) Close(limit time.Duration) {
-	timer := time.AfterFunc(limit, func() {
+// Close writes the queued lines and stops the sink. If that takes longer than timeout, the
+// remaining lines are discarded.
+func (s *Sink) Close(timeout time.Duration) {
+	timer := time.AfterFunc(timeout, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.queued.Reset()
-		s.idle = true // a stalled write is left to itself
-		s.wake.Broadcast()
+		s.idle = true // do not wait for a stalled write
+		s.stateChanged.Broadcast()
 	})
 	defer timer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.wake.Broadcast()
+	s.stateChanged.Broadcast()
 	for !s.idle || s.queued.Len() > 0 {
-		s.wake.Wait()
+		s.stateChanged.Wait()
 	}
 }
 
-// Handler returns a handler of JSON lines for slog that queues them here.
-// Warnings and errors are failures, all else is decisions; RoutineKey makes a
-// line routine.
+// Handler returns an slog handler that queues records as JSON lines. A record
+// with an attribute RoutineKey is of class Routine. Other records are of class Failure from
+// the warning level up, and of class Decision below.
 func (s *Sink) Handler(level slog.Leveler) slog.Handler {
 	buffer := &bytes.Buffer{}
-	return &handler{sink: s, shared: &shared{buffer: buffer}, json: slog.NewJSONHandler(buffer, &slog.HandlerOptions{Level: level, ReplaceAttr: replace})}
+	return &handler{sink: s, line: &lineBuffer{buffer: buffer}, json: slog.NewJSONHandler(buffer, &slog.HandlerOptions{Level: level, ReplaceAttr: replaceAttr})}
 }
 
-// RoutineKey is the key of an attribute that marks a line as routine. It is not
-// written.
+// RoutineKey is the key of an attribute that marks a record as routine. The attribute is
+// not written.
 const RoutineKey = "-routine"
 
-// replace writes durations as milliseconds, and leaves the mark out.
-func replace(groups []string, a slog.Attr) slog.Attr {
+// replaceAttr converts durations to milliseconds and removes the RoutineKey attribute.
+func replaceAttr(groups []string, a slog.Attr) slog.Attr {
 	switch {
 	case a.Key == RoutineKey:
 		return slog.Attr{}
@@ -167,16 +172,16 @@
 	}
 }
 
-// shared is the buffer in which one line at a time is encoded.
-type shared struct {
+// lineBuffer is the buffer in which the handlers of a sink encode one line at a time.
+type lineBuffer struct {
 	mu     sync.Mutex
 	buffer *bytes.Buffer
 }
 
 type handler struct {
-	sink   *Sink
-	shared *shared
-	json   slog.Handler
+	sink *Sink
+	line *lineBuffer
+	json slog.Handler
 }
 
 // Enabled implements slog.Handler.
@@ -194,22 +199,22 @@
 		}
 		return class != Routine
 	})
-	h.shared.mu.Lock()
-	defer h.shared.mu.Unlock()
-	h.shared.buffer.Reset()
+	h.line.mu.Lock()
+	defer h.line.mu.Unlock()
+	h.line.buffer.Reset()
 	if err := h.json.Handle(ctx, r); err != nil {
 		return err
 	}
-	h.sink.Put(class, h.shared.buffer.Bytes())
+	h.sink.Put(class, h.line.buffer.Bytes())
 	return nil
 }
 
 // WithAttrs implements slog.Handler.
 func (h *handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &handler{h.sink, h.shared, h.json.WithAttrs(attrs)}
+	return &handler{h.sink, h.line, h.json.WithAttrs(attrs)}
 }
 
 // WithGroup implements slog.Handler.
 func (h *handler) WithGroup(name string) slog.Handler {
-	return &handler{h.sink, h.shared, h.json.WithGroup(name)}
+	return &handler{h.sink, h.line, h.json.WithGroup(name)}
 }
--- a/logging/sink_test.go
+++ b/logging/sink_test.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// stalled is an output that takes nothing until it is opened.
-type stalled struct {
-	gate chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
+// stalledWriter is an output whose writes block until gate is closed.
+type stalledWriter struct {
+	gate    chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	<-s.gate
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
-// TestStalledOutput logs far more than the buffer holds while the output takes
-// nothing: nobody waits, ordinary lines go first, failures stay, and the drops
-// are told.
+// TestStalledOutput logs far more than the buffer holds while the output is blocked. It
+// checks that logging does not block, that routine lines are dropped first and failures
+// are kept, and that the numbers of dropped lines are logged.
 func TestStalledOutput(t *testing.T) {
-	out := &stalled{gate: make(chan struct{})}
+	out := &stalledWriter{gate: make(chan struct{})}
 	sink := NewSink(out, 20_000)
 	log := slog.New(sink.Handler(slog.LevelInfo))
 	for range 1000 {
@@ -46,28 +46,29 @@
 	close(out.gate)
 	sink.Close(10 * time.Second)
 	log.Warn("after the end")
-	text := out.got.String()
+	text := out.written.String()
 	if n := strings.Count(text, `"failure"`); n < 20 {
-		t.Errorf("%d of 20 failures are left", n)
+		t.Errorf("only %d of 20 failures were written", n)
 	}
 	if !strings.Contains(text, `"log_dropped"`) {
-		t.Error("the drops are not told")
+		t.Error("the dropped lines are not reported")
 	}
 	if strings.Contains(text, RoutineKey) {
-		t.Error("the mark of routine lines was written")
+		t.Error("the attribute that marks routine lines was written")
 	}
 }
 
-// TestCloseOnStalledOutput ends a sink whose output never takes anything.
+// TestCloseOnStalledOutput checks that Close returns although the output is blocked.
 func TestCloseOnStalledOutput(t *testing.T) {
-	out := &stalled{gate: make(chan struct{})}
+	out := &stalledWriter{gate: make(chan struct{})}
 	defer close(out.gate)
 	sink := NewSink(out, 1000)
 	sink.Put(Failure, []byte("line\n"))
 	sink.Close(time.Millisecond)
 }
 
-// TestMilliseconds writes durations with their unit.
+// TestMilliseconds checks that durations are written in milliseconds, with the unit in the
+// key.
 func TestMilliseconds(t *testing.T) {
 	var out bytes.Buffer
 	sink := NewSink(&out, DefaultBuffer)
