--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,43 +1,47 @@
-// Package metrics counts what one instance does, as expvar variables.
+// Package metrics holds the counters and latency histograms of an instance. The
+// counters are expvar variables.
 package metrics
 
 import "expvar"
 
-// Set is the counters of one instance. Several instances may live in one
-// process, so a Set is published only when the daemon asks for it.
+// Set is the set of metrics of one instance. A process may run several instances,
+// while expvar names are global, so a Set is published only when the daemon calls
+// Publish.
 type Set struct {
-	// Messages counts every message that this instance sent, by kind.
+	// Messages counts the messages that the instance sent, by kind.
 	Messages *expvar.Map
-	// Wasted counts those that led to no task's only start, result or answer.
+	// Wasted counts, by kind, the sent messages that turned out to be useless: those that
+	// led neither to the only start of a task nor to a result or an answer.
 	Wasted *expvar.Map
-	// Counts holds everything else that is counted.
+	// Counts holds all other counters.
 	Counts *expvar.Map
-	// Latencies holds how long things took.
+	// Latencies holds the histograms of durations.
 	Latencies Latencies
 }
 
-// NewSet returns counters at zero.
+// NewSet returns a Set with all counters at zero.
 func NewSet() *Set {
 	return &Set{Messages: new(expvar.Map).Init(), Wasted: new(expvar.Map).Init(), Counts: new(expvar.Map).Init()}
 }
 
-// Publish makes the counters visible at /debug/vars under prefix.
+// Publish publishes the counters through expvar, at /debug/vars, with names that
+// start with prefix.
 func (s *Set) Publish(prefix string) {
 	expvar.Publish(prefix+"_messages", s.Messages)
 	expvar.Publish(prefix+"_wasted", s.Wasted)
 	expvar.Publish(prefix+"_counts", s.Counts)
 }
 
-// CountSent counts a message.
+// CountSent counts a message as sent.
 func (s *Set) CountSent(kind string) { s.Messages.Add(kind, 1) }
 
-// CountWasted counts a message, sent already, that led to nothing.
+// CountWasted counts a message, already counted as sent, as wasted.
 func (s *Set) CountWasted(kind string) { s.Wasted.Add(kind, 1) }
 
-// Add counts anything else.
+// Add adds n to the counter with the given name in Counts.
 func (s *Set) Add(name string, n int64) { s.Counts.Add(name, n) }
 
-// Values returns the counters of m by name.
+// Values returns the values of the counters in m, by name.
 func Values(m *expvar.Map) map[string]int64 {
 	values := map[string]int64{}
 	m.Do(func(kv expvar.KeyValue) {
@@ -48,7 +52,7 @@
 	return values
 }
 
-// AddMessagesTo adds the message counters of s to sent and wasted.
+// AddMessagesTo adds the counters of sent and wasted messages to the given maps.
 func (s *Set) AddMessagesTo(sent, wasted map[string]int64) {
 	for kind, n := range Values(s.Messages) {
 		sent[kind] += n
--- a/metrics/text.go
+++ b/metrics/text.go
@@ -12,21 +12,21 @@
 	"github.com/samber/lo"
 )
 
-// Latencies holds histograms of how long things took, by name.
+// Latencies holds histograms of durations, by name.
 type Latencies struct {
 	mu     sync.Mutex
 	byName map[string]*hdrhistogram.Histogram
 }
 
 const (
-	// longestMicros is the longest time that a histogram tells apart, and
-	// digits how many significant digits it keeps.
-	longestMicros = 60_000_000
-	digits        = 2
+	// maxMicros is the longest duration, in microseconds, that a histogram records;
+	// longer ones are recorded as maxMicros. significantDigits is its precision.
+	maxMicros         = 60_000_000
+	significantDigits = 2
 )
 
-// Observe adds one time.
-func (l *Latencies) Observe(name string, took time.Duration) {
+// Observe records a duration in the histogram with the given name.
+func (l *Latencies) Observe(name string, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byName == nil {
@@ -34,17 +34,17 @@
 	}
 	h := l.byName[name]
 	if h == nil {
-		h = hdrhistogram.New(1, longestMicros, digits)
+		h = hdrhistogram.New(1, maxMicros, significantDigits)
 		l.byName[name] = h
 	}
-	_ = h.RecordValue(min(max(took.Microseconds(), 1), longestMicros)) // within its bounds
+	_ = h.RecordValue(min(max(duration.Microseconds(), 1), maxMicros)) // cannot fail: the value is within the bounds
 }
 
-// quantiles are those that are told, in percent.
+// quantiles are the quantiles that WriteText writes, in percent.
 var quantiles = []float64{50, 90, 99, 99.9}
 
-// WriteText writes every counter and histogram as lines of text: a name, labels
-// and a number.
+// WriteText writes all counters and the quantiles of all histograms as lines of text, each
+// with a name, labels and a number.
 func (s *Set) WriteText(w io.Writer) error {
 	var b strings.Builder
 	for _, m := range []struct {
--- a/metrics/text_test.go
+++ b/metrics/text_test.go
@@ -14,7 +14,7 @@
 	for i := range 100 {
 		s.Latencies.Observe("request", time.Duration(i)*time.Millisecond)
 	}
-	s.Latencies.Observe("request", time.Hour) // beyond the longest
+	s.Latencies.Observe("request", time.Hour) // longer than maxMicros
 	var b strings.Builder
 	if err := s.WriteText(&b); err != nil {
 		t.Fatal(err)
--- a/tracing/tracing.go
+++ b/tracing/tracing.go
@@ -1,5 +1,5 @@
-// Package tracing sets OpenTelemetry up and carries trace contexts as W3C
-// traceparent text, which is how they travel on every hop.
+// Package tracing sets up OpenTelemetry. Trace contexts are passed between processes as
+// W3C traceparent strings.
 package tracing
 
 import (
@@ -18,15 +18,16 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// Config says where spans go. Without File and Endpoint none are made.
+// Config says where spans are exported. If both File and Endpoint are empty, no spans are
+// recorded.
 type Config struct {
-	File     string  // spans as JSON lines
-	Endpoint string  // host and port of an OTLP receiver over HTTP
-	Ratio    float64 // the share of traces that begin here, within 0 and 1
-	Service  string  // the name of the process in its spans
+	File     string  // receives the spans as JSON lines
+	Endpoint string  // host:port of an OTLP receiver, reached over HTTP
+	Ratio    float64 // fraction, 0 to 1, of the traces started by this process that are sampled
+	Service  string  // service name in the spans
 }
 
-// Tracer makes spans that continue the traces of other processes.
+// Tracer creates spans, which may continue traces of other processes.
 type Tracer struct {
 	tracer trace.Tracer
 	active bool
@@ -34,13 +35,13 @@
 	flush  func(context.Context) error
 }
 
-// Disabled returns a tracer that makes no spans.
+// Disabled returns a tracer that records no spans.
 func Disabled() *Tracer {
 	return &Tracer{tracer: noop.NewTracerProvider().Tracer(""), stop: func(context.Context) error { return nil }}
 }
 
-// New returns a tracer. The error is InvalidInput when the file cannot be
-// opened or the endpoint is no address.
+// New returns a tracer. The error is InvalidInput if the file cannot be opened or the
+// endpoint is not a valid address.
 func New(ctx context.Context, cfg Config) (*Tracer, error) {
 	if cfg.File == "" && cfg.Endpoint == "" {
 		return Disabled(), nil
@@ -52,7 +53,7 @@
 	return FromExporter(exporter, cfg), nil
 }
 
-// FromExporter returns a tracer that hands its spans to exporter.
+// FromExporter returns a tracer that exports its spans through exporter.
 func FromExporter(exporter sdktrace.SpanExporter, cfg Config) *Tracer {
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
@@ -82,7 +83,7 @@
 	return failure.Field(failure.InvalidInput, field, "cannot be used: %v", err)
 }
 
-// Flush writes out the spans that have ended.
+// Flush exports the spans that have ended.
 func (t *Tracer) Flush(ctx context.Context) error {
 	if t.flush == nil {
 		return nil
@@ -90,38 +91,40 @@
 	return t.flush(ctx)
 }
 
-// Close writes out what is left, and ends the tracer.
+// Close exports the remaining spans and shuts the tracer down.
 func (t *Tracer) Close(ctx context.Context) error { return t.stop(ctx) }
 
-// Span is one hop. A nil Span is one that is not recorded.
+// Span is a span of a trace, or a placeholder that only passes on the traceparent of its
+// parent if the tracer is disabled.
 type Span struct {
 	span   trace.Span
 	parent string
 }
 
-const traceparent = "traceparent"
+const traceparentKey = "traceparent"
 
-// Start begins a span named name under parent, a traceparent or "".
+// Start starts a span under parent, which is a traceparent or "".
 func (t *Tracer) Start(parent, name string, attrs ...attribute.KeyValue) *Span {
 	if !t.active {
 		return &Span{parent: parent}
 	}
-	ctx := propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{traceparent: parent})
+	ctx := propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{traceparentKey: parent})
 	_, span := t.tracer.Start(ctx, name, trace.WithAttributes(attrs...))
 	return &Span{span: span, parent: parent}
 }
 
-// Traceparent returns the traceparent for what is done within the span.
+// Traceparent returns the traceparent to pass on to other processes called within the span.
+// If the span is not sampled, that is its parent's.
 func (s *Span) Traceparent() string {
 	if s.span == nil || !s.span.SpanContext().IsSampled() {
 		return s.parent
 	}
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(trace.ContextWithSpan(context.Background(), s.span), carrier)
-	return carrier[traceparent]
+	return carrier[traceparentKey]
 }
 
-// Set adds an attribute.
+// Set sets an attribute of the span.
 func (s *Span) Set(key, value string) {
 	if s.span != nil {
 		s.span.SetAttributes(attribute.String(key, value))
--- a/tracing/tracing_test.go
+++ b/tracing/tracing_test.go
@@ -12,7 +12,7 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// TestExports holds that spans reach a file, and a receiver of OTLP over HTTP.
+// TestExports checks that spans are exported to a file and to an OTLP receiver over HTTP.
 func TestExports(t *testing.T) {
 	received := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -51,10 +51,10 @@
 	}
 }
 
-func TestOffAndWrong(t *testing.T) {
-	const given = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-	if got := Disabled().Start(given, "entry").Traceparent(); got != given {
-		t.Errorf("a trace that is not recorded here became %q", got)
+func TestDisabledAndInvalid(t *testing.T) {
+	const traceparent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
+	if got := Disabled().Start(traceparent, "entry").Traceparent(); got != traceparent {
+		t.Errorf("the traceparent changed to %q although tracing is disabled", got)
 	}
 	_, err := New(context.Background(), Config{File: t.TempDir()})
 	if failure.FieldOf(err) != "tracing.file" {
