--- a/cli/pages_test.go
+++ b/cli/pages_test.go
@@ -100,8 +100,8 @@
 	}
 	upstream, err := standin.NewUpstream(standin.UpstreamConfig{
 		ID: "u", Service: "desk", Zone: "a", Address: "127.0.0.1:0", Capacity: fleet.Resources{MilliCPU: 16000, MemoryMB: 1000},
-		Takes: standin.TakesOf, Demand: func(string) fleet.Resources { return fleet.Resources{MilliCPU: 1000} },
-	}, store, standin.NewLedger())
+		TaskDuration: standin.SpecDuration, Demand: func(string) fleet.Resources { return fleet.Resources{MilliCPU: 1000} },
+	}, store, standin.NewRunTracker())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/ingress/modelowner_test.go
+++ b/ingress/modelowner_test.go
@@ -104,7 +104,7 @@
 	pool := o.pool
 	for _, s := range e.Starts {
 		o.w.note(s.Order.Run.Task.Job, "%s starts %v on %s", o.name, s.Order.Run, s.Upstream.ID)
-		o.AfterFunc(o.w.Millis(0, 1), func() {
+		o.AfterFunc(o.w.RandMillis(0, 1), func() {
 			o.w.upstreams[s.Upstream.ID].CallStart(s.Order, modelStart, func(r fleet.Refusal, err error) {
 				o.do(func() {
 					if o.pool == pool {
@@ -116,7 +116,7 @@
 	}
 	for _, s := range e.Stops {
 		o.w.note(s.Run.Task.Job, "%s stops %v on %s", o.name, s.Run, s.Upstream.ID)
-		o.AfterFunc(o.w.Millis(0, 1), func() {
+		o.AfterFunc(o.w.RandMillis(0, 1), func() {
 			o.w.upstreams[s.Upstream.ID].CallStop(s.Run, pool.Token(), modelCall, func(err error) {
 				o.do(func() {
 					if o.pool == pool {
--- a/ingress/network_test.go
+++ b/ingress/network_test.go
@@ -144,7 +144,7 @@
 // coordinator counts them.
 func (c *modelCoordinator) stall(late func() time.Duration, send func()) {
 	c.c.sending.Add(1)
-	pause := c.w.Millis(30, 3000)
+	pause := c.w.RandMillis(30, 3000)
 	c.pause(pause)
 	sent := func() {
 		send()
@@ -170,7 +170,7 @@
 }
 
 // threadLate is how much later than others a thread goes on.
-func (c *modelCoordinator) threadLate() time.Duration { return c.w.Millis(0, modelThread) }
+func (c *modelCoordinator) threadLate() time.Duration { return c.w.RandMillis(0, modelThread) }
 
 // Loads implements Owners.
 func (c *modelCoordinator) Loads() []OwnerLoad {
--- a/ingress/tworuns_test.go
+++ b/ingress/tworuns_test.go
@@ -91,9 +91,9 @@
 		func(r fleet.Run) (time.Duration, fleet.Resources) {
 			return w.jobs[r.Task.Job].takes, fleet.Resources{MilliCPU: 3000}
 		})
-	u.Rate = 0.98 + 0.02*w.Rand.Float64()
-	u.StopTime = func() time.Duration { return w.Millis(0, 50) }
-	u.Began = func(r fleet.Run) { w.began(id, r) }
+	u.ClockRate = 0.98 + 0.02*w.Rand.Float64()
+	u.StopTime = func() time.Duration { return w.RandMillis(0, 50) }
+	u.OnStart = func(r fleet.Run) { w.began(id, r) }
 	w.upstreams[id] = u
 	w.ids = append(w.ids, id)
 }
@@ -151,7 +151,7 @@
 			w.AfterFunc(after(), func() { w.send(j, to+1) })
 		}
 	}
-	pause := func() time.Duration { return modelResend + w.Millis(0, 20) }
+	pause := func() time.Duration { return modelResend + w.RandMillis(0, 20) }
 	later := func() { again(pause) }
 	if w.faultKinds != fewFaults { // it draws the pause first, and the kept seeds with it
 		later = func() {
@@ -170,7 +170,7 @@
 	})
 	w.AfterFunc(modelDeadline, later)
 	if w.Rand.IntN(5) < 2 {
-		w.AfterFunc(w.Millis(0, 700), func() { // its connection is reset
+		w.AfterFunc(w.RandMillis(0, 700), func() { // its connection is reset
 			if conn.read || w.faultKinds == fewFaults {
 				later()
 			} else {
@@ -184,7 +184,7 @@
 func (w *fleetWorld) left(c *modelCoordinator, conn *modelConn) {
 	w.AfterFunc(conn.heard.Sub(w.Now())+modelClientHop, func() {
 		c.do(func() {
-			c.AfterFunc(w.Millis(0, modelWatch), func() {
+			c.AfterFunc(w.RandMillis(0, modelWatch), func() {
 				if conn.job != nil {
 					conn.job.drop(conn.waits, Left, reasonLeft)
 				}
@@ -226,13 +226,13 @@
 func (w *fleetWorld) fault() {
 	switch kind := w.Rand.IntN(w.faultKinds); kind {
 	case 0:
-		w.owners[w.Rand.IntN(len(w.owners))].pause(w.Millis(30, 3000))
+		w.owners[w.Rand.IntN(len(w.owners))].pause(w.RandMillis(30, 3000))
 	case 1:
-		w.coordinators[w.Rand.IntN(len(w.coordinators))].pause(w.Millis(30, 3000))
+		w.coordinators[w.Rand.IntN(len(w.coordinators))].pause(w.RandMillis(30, 3000))
 	case 4:
 		u := w.upstreams[w.ids[w.Rand.IntN(len(w.ids))]]
-		u.Cut = !u.Cut
-		w.note("", "%s cut off: %v", u.ID, u.Cut)
+		u.Partitioned = !u.Partitioned
+		w.note("", "%s cut off: %v", u.ID, u.Partitioned)
 	case 8:
 		w.coordinators[w.Rand.IntN(len(w.coordinators))].stalls = true
 	case 9:
@@ -265,7 +265,7 @@
 		l.silent = true
 		l.o.do(l.closeAtOwner)
 	case 7:
-		late := w.Millis(30, 2000)
+		late := w.RandMillis(30, 2000)
 		w.note("", "what is sent on %s arrives %v late", l.key(), late)
 		l.heldUntil = lo.Latest(l.heldUntil, w.Now().Add(late)) // nothing overtakes what was sent before
 	}
@@ -310,13 +310,13 @@
 		if w.Rand.IntN(100) < c.faults {
 			w.fault()
 		}
-		j := &modelJob{id: fmt.Sprintf("%016x", i+1), tasks: 1 + w.Rand.IntN(3), takes: w.Millis(40, 300)}
+		j := &modelJob{id: fmt.Sprintf("%016x", i+1), tasks: 1 + w.Rand.IntN(3), takes: w.RandMillis(40, 300)}
 		w.jobs[j.id] = j
 		w.send(j, w.Rand.IntN(2))
-		w.Run(w.Now().Add(w.Millis(1, 80)))
+		w.Run(w.Now().Add(w.RandMillis(1, 80)))
 	}
 	for _, u := range w.upstreams {
-		u.Cut, u.LossShare, u.LateShare = false, 0, 0
+		u.Partitioned, u.LossShare, u.LateShare = false, 0, 0
 	}
 	w.Run(w.Now().Add(10 * time.Second))
 	return w
--- a/ingress/watch_test.go
+++ b/ingress/watch_test.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	body := standin.Job{Tasks: 1, MilliCPU: 100, Takes: 50 * time.Millisecond}.Body()
+	body := standin.Job{Tasks: 1, MilliCPU: 100, TaskDuration: 50 * time.Millisecond}.Body()
 	if _, err := fmt.Fprintf(customer, "POST /checks/0000000000000001 HTTP/1.1\r\nHost: desk.example\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
 		s.t.Fatal(err)
 	}
--- a/lab/world.go
+++ b/lab/world.go
@@ -112,11 +112,11 @@
 		j := byID[r.Task.Job]
 		return j.works[r.Task.Index], j.demand
 	})
-	s.StopTime = func() time.Duration { return w.Millis(0, stopTime) }
-	s.Began = func(r fleet.Run) { starts[r] = w.Now() }
-	s.FailsTask = func(r fleet.Run) bool { return byID[r.Task.Job].ownFault }
-	freed := s.Ended
-	s.Ended = func(r fleet.Run, end fleet.End) {
+	s.StopTime = func() time.Duration { return w.RandMillis(0, stopTime) }
+	s.OnStart = func(r fleet.Run) { starts[r] = w.Now() }
+	s.ShouldFail = func(r fleet.Run) bool { return byID[r.Task.Job].ownFault }
+	freed := s.OnEnd
+	s.OnEnd = func(r fleet.Run, end fleet.End) {
 		if end != fleet.EndDone {
 			w.wasted += w.Now().Sub(starts[r]).Seconds() * float64(byID[r.Task.Job].demand.MilliCPU) / 1000
 		}
@@ -133,16 +133,16 @@
 		struck := on && w.d.strikes(i)
 		switch w.d.trouble {
 		case Failing:
-			s.Fails = struck
+			s.Failing = struck
 		case Slow:
-			s.Slow = 1
+			s.SlowdownFactor = 1
 			if struck {
-				s.Slow = w.d.slowness
+				s.SlowdownFactor = w.d.slowness
 			}
 		case Stalled:
-			s.Stalls = struck
+			s.Stalled = struck
 		case Cut:
-			s.Cut = struck
+			s.Partitioned = struck
 		case Unanswered:
 			s.LateShare = 0
 			if on {
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -33,7 +33,7 @@
 func (in *installation) startedSince(zone string, since time.Time) []string {
 	var list []string
 	for _, u := range in.upstreams {
-		if strings.HasPrefix(u.ID, "u-"+zone+"-") && in.ledger.LastStart(u.ID).After(since) {
+		if strings.HasPrefix(u.ID, "u-"+zone+"-") && in.ledger.LastUpstreamStart(u.ID).After(since) {
 			list = append(list, u.ID)
 		}
 	}
@@ -69,7 +69,7 @@
 		in.until("also with wide jobs", served("a-2", 4))
 	}
 	in.noStarts("a", since)
-	in.store.TakeBack("a")
+	in.store.EndEvacuation("a")
 	in.until("the zone works again", func() bool {
 		served("a-1", 2)()
 		return len(in.startedSince("a", since)) > 0
@@ -96,7 +96,7 @@
 	in.quietFrom("a/0")
 	for range 3 {
 		before := in.evacuatedAt(in.owner("a/0"), "a")
-		in.store.TakeBack("a")
+		in.store.EndEvacuation("a")
 		in.store.Evacuate("a")
 		for name := range in.nodes {
 			in.until(name+" knows the later one", func() bool { return in.evacuatedAt(name, "a") > before })
@@ -154,7 +154,7 @@
 		})
 	}
 	in.noStarts("a", since)
-	in.store.TakeBack("b")
+	in.store.EndEvacuation("b")
 	in.until("a customer of the other zone is served", func() bool { status, _ := in.submit("a-1", in.newID(), 1, 10); return status == http.StatusOK })
 	in.noStarts("a", since)
 }
@@ -184,20 +184,20 @@
 // another zone: what stands in the end is known.
 func TestEvacuationWhileStoreForgets(t *testing.T) {
 	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "b-1")
-	in.store.SetTrouble(standin.Reset, 0)
+	in.store.SetFault(standin.ConnectionReset, 0)
 	in.store.Evacuate("a")
-	in.store.TakeBack("a")
+	in.store.EndEvacuation("a")
 	in.store.Evacuate("a")
 	in.store.Forget()
-	in.store.SetTrouble(standin.Fine, 0)
+	in.store.SetFault(standin.NoFault, 0)
 	since := in.quietFrom("a/0")
 	in.want("a-1", 3, 20)
 	in.noStarts("a", since)
-	in.store.SetTrouble(standin.Reset, 0)
-	in.store.TakeBack("a")
+	in.store.SetFault(standin.ConnectionReset, 0)
+	in.store.EndEvacuation("a")
 	in.store.Evacuate("b")
 	in.store.Forget()
-	in.store.SetTrouble(standin.Fine, 0)
+	in.store.SetFault(standin.NoFault, 0)
 	since = in.quietFrom("b/0")
 	in.want("b-1", 3, 20)
 	in.noStarts("b", since)
@@ -224,7 +224,7 @@
 	if !evacuated() {
 		t.Error("it has not heard of the evacuation")
 	}
-	in.store.TakeBack("a")
+	in.store.EndEvacuation("a")
 	in.until("the peer knows the end", func() bool { return !teller.presence().GetZones()[0].GetEvacuated() })
 	hear(teller.presence())
 	hear(during)
@@ -246,9 +246,9 @@
 		"address":   `{"Service":"desk","Zone":"a","State":"ready","Capacity":{"Cpu":16000,"MemoryLimitMb":1000}}`,
 		"capacity":  `{"Service":"desk","Address":"127.0.0.1:1","Zone":"a","State":"ready","Capacity":{"Cpu":-1}}`,
 	} {
-		in.store.Overwrite("x-"+name, []byte(raw))
+		in.store.OverwriteEntry("x-"+name, []byte(raw))
 	}
-	in.store.Overwrite("u-a-0", []byte(`{"Service":5}`))
+	in.store.OverwriteEntry("u-a-0", []byte(`{"Service":5}`))
 	n := in.nodes["a-1"]
 	members := func() (open []string) {
 		n.mu.Lock()
@@ -265,10 +265,10 @@
 	since := time.Now()
 	in.want("a-1", 2, 20)
 	in.want("a-1", 2, 20)
-	if in.ledger.LastStart("u-a-0").After(since) {
+	if in.ledger.LastUpstreamStart("u-a-0").After(since) {
 		t.Error("an upstream was used whose entry cannot be read")
 	}
-	in.upstreams[0].Show(in.upstreams[0].Address)
+	in.upstreams[0].RegisterAt(in.upstreams[0].Address)
 	in.until("both are used again", func() bool { return len(members()) == 2 })
 	in.want("a-1", 4, 20)
 }
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -20,7 +20,7 @@
 	owner := in.owner("a/0")
 	id := in.newID()
 	lost := in.background(in.other(owner), id, 4, 500)
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	in.kill(owner)
 	if status := <-lost; status != http.StatusGatewayTimeout {
 		t.Errorf("the job of the lost owner was answered %d", status)
@@ -39,10 +39,10 @@
 	coordinator := in.other(owner)
 	id := in.newID()
 	cut := in.background(coordinator, id, 4, 5000)
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	in.kill(coordinator)
 	<-cut
-	in.until("its tasks are stopped", func() bool { return !in.ledger.Runs(id) })
+	in.until("its tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
 	if status, body := in.submit(owner, id, 4, 20); status != http.StatusOK {
 		t.Errorf("the same job again: %d %q", status, body)
 	}
@@ -60,11 +60,11 @@
 	if _, err := fmt.Fprintf(conn, "POST /checks/%s HTTP/1.1\r\nHost: desk.example\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body); err != nil {
 		t.Fatal(err)
 	}
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	if err := conn.Close(); err != nil {
 		t.Fatal(err)
 	}
-	in.until("its tasks are stopped", func() bool { return !in.ledger.Runs(id) })
+	in.until("its tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
 }
 
 // TestSentAgain sends a job again to the same and to another instance while it
@@ -73,7 +73,7 @@
 	in := newInstallation(t, []string{"a"}, 2, "a-1", "a-2")
 	id := in.newID()
 	first := in.background("a-1", id, 2, 400)
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	again := in.background("a-1", id, 2, 400)
 	if a, b := <-first, <-again; a != http.StatusOK || b != http.StatusOK {
 		t.Errorf("the same job twice at one instance: %d, %d", a, b)
@@ -83,7 +83,7 @@
 	}
 	id = in.newID()
 	first = in.background("a-1", id, 2, 400)
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	again = in.background("a-2", id, 2, 100)
 	if a, b := <-first, <-again; a != http.StatusGatewayTimeout || b != http.StatusOK {
 		t.Errorf("the same job at two instances: %d, %d", a, b)
@@ -93,13 +93,13 @@
 // TestUpstreamTroubles lets upstreams fail in each way; jobs go elsewhere.
 func TestUpstreamTroubles(t *testing.T) {
 	for name, trouble := range map[string]func(*standin.Upstream){
-		"silent": func(u *standin.Upstream) { u.SetTrouble(standin.Silent) },
-		"busy":   func(u *standin.Upstream) { u.SetTrouble(standin.Busy) },
-		"reset":  func(u *standin.Upstream) { u.SetTrouble(standin.Reset) },
-		"stalls": func(u *standin.Upstream) { u.Change(func(c *standin.Core) { c.Stalls = true }) },
-		"slow":   func(u *standin.Upstream) { u.Change(func(c *standin.Core) { c.Slow = 20 }) },
-		"fails":  func(u *standin.Upstream) { u.Change(func(c *standin.Core) { c.Fails = true }) },
-		"late":   func(u *standin.Upstream) { u.Delay(0.3, 2*time.Second) },
+		"silent": func(u *standin.Upstream) { u.SetFault(standin.NoAnswer) },
+		"busy":   func(u *standin.Upstream) { u.SetFault(standin.Unavailable) },
+		"reset":  func(u *standin.Upstream) { u.SetFault(standin.ConnectionReset) },
+		"stalls": func(u *standin.Upstream) { u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = true }) },
+		"slow":   func(u *standin.Upstream) { u.WithModel(func(c *standin.UpstreamModel) { c.SlowdownFactor = 20 }) },
+		"fails":  func(u *standin.Upstream) { u.WithModel(func(c *standin.UpstreamModel) { c.Failing = true }) },
+		"late":   func(u *standin.Upstream) { u.DelayOrders(0.3, 2*time.Second) },
 		"gone":   func(u *standin.Upstream) { u.Close() },
 		"drains": func(u *standin.Upstream) { u.Drain() },
 	} {
@@ -117,15 +117,15 @@
 // TestStoreAway serves without the store, and takes a configuration from a peer
 // that still reaches it.
 func TestStoreAway(t *testing.T) {
-	for name, trouble := range map[string]standin.Trouble{"silent": standin.Silent, "busy": standin.Busy, "reset": standin.Reset} {
+	for name, trouble := range map[string]standin.Fault{"silent": standin.NoAnswer, "busy": standin.Unavailable, "reset": standin.ConnectionReset} {
 		t.Run(name, func(t *testing.T) {
 			in := newInstallation(t, []string{"a"}, 2, "a-1", "a-2")
-			in.store.SetTrouble(trouble, 0)
+			in.store.SetFault(trouble, 0)
 			in.want("a-1", 2, 20)
 			in.kill(in.owner("a/0"))
 			left := in.owner("a/0")
 			in.want(left, 2, 20)
-			in.store.SetTrouble(standin.Fine, 0)
+			in.store.SetFault(standin.NoFault, 0)
 			in.configure(2, "/checks/", "/more/")
 			in.until("the new route is there", func() bool {
 				return in.status("GET", in.nodes[left].settings.CustomerAddress, "/more/") == http.StatusOK
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(dead.Close)
-	dead.SetTrouble(standin.Busy, 0)
+	dead.SetFault(standin.Unavailable, 0)
 	settings := in.settings("a-2")
 	settings.StoreAddress = dead.Address
 	settings.SeedPeers = []string{in.nodes["a-1"].settings.PeerAddress}
@@ -170,11 +170,11 @@
 // again, and what was removed meanwhile is gone.
 func TestHistoryForgotten(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 2, "a-1")
-	in.store.SetTrouble(standin.Busy, 0)
+	in.store.SetFault(standin.Unavailable, 0)
 	in.upstreams[0].Close()
 	in.store.Forget()
 	in.configure(5, "/checks/")
-	in.store.SetTrouble(standin.Fine, 0)
+	in.store.SetFault(standin.NoFault, 0)
 	n := in.nodes["a-1"]
 	in.until("the configuration is read again", func() bool { return n.config.Load().Version == 5 })
 	in.until("the upstream is gone", func() bool {
@@ -220,7 +220,7 @@
 	n.mu.Lock()
 	token := n.groups["a/0"].Token
 	n.mu.Unlock()
-	in.upstreams[0].Change(func(c *standin.Core) { c.Hold(time.Now(), fleet.HoldOrder{Token: token + 1}) })
+	in.upstreams[0].WithModel(func(c *standin.UpstreamModel) { c.Hold(time.Now(), fleet.HoldOrder{Token: token + 1}) })
 	in.until("the group is owned under a higher token", func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -261,7 +261,7 @@
 	in := newInstallation(t, []string{"a"}, 1, "a-1")
 	in.kill("a-1")
 	ahead := membership.NextToken(time.Now().Add(100*time.Second).UnixMilli(), 0, "gone")
-	in.upstreams[0].Change(func(c *standin.Core) { c.Hold(time.Now(), fleet.HoldOrder{Token: ahead}) })
+	in.upstreams[0].WithModel(func(c *standin.UpstreamModel) { c.Hold(time.Now(), fleet.HoldOrder{Token: ahead}) })
 	in.start("a-1")
 	in.until("work is done again", func() bool { status, _ := in.submit("a-1", in.newID(), 1, 10); return status == http.StatusOK })
 }
--- a/node/giveup_test.go
+++ b/node/giveup_test.go
@@ -38,14 +38,14 @@
 // upstreams, and checks that no task of the first has begun since.
 func (in *installation) nothingRuns(id, through string) {
 	in.t.Helper()
-	in.until("nothing of the job runs", func() bool { return !in.ledger.Runs(id) })
-	last := in.ledger.LastBegun(id)
+	in.until("nothing of the job runs", func() bool { return !in.ledger.IsRunning(id) })
+	last := in.ledger.LastJobStart(id)
 	in.until("the group has room", func() bool {
 		loads := in.nodes[through].router.Loads()
 		return len(loads) == 1 && loads[0].Capacity > 0
 	})
 	in.want(through, 2, 20)
-	if in.ledger.Runs(id) || in.ledger.LastBegun(id).After(last) {
+	if in.ledger.IsRunning(id) || in.ledger.LastJobStart(id).After(last) {
 		in.t.Error("a task of it has begun after its customer had left")
 	}
 }
@@ -63,7 +63,7 @@
 		in, _, coordinator := twoInstances(t)
 		id := in.newID()
 		leave := in.handIn(coordinator, id, 2)
-		in.until("it runs", func() bool { return in.ledger.Runs(id) })
+		in.until("it runs", func() bool { return in.ledger.IsRunning(id) })
 		in.silencePeers()
 		leave()
 		in.nothingRuns(id, coordinator)
@@ -72,7 +72,7 @@
 		in, owner, coordinator := twoInstances(t)
 		id := in.newID()
 		leave := in.handIn(coordinator, id, 2)
-		in.until("it runs", func() bool { return in.ledger.Runs(id) })
+		in.until("it runs", func() bool { return in.ledger.IsRunning(id) })
 		in.kill(owner)
 		leave()
 		in.until("another owns the group", func() bool { return in.owner("a/0") == coordinator })
@@ -82,7 +82,7 @@
 		in, owner, other := twoInstances(t)
 		id := in.newID()
 		leave := in.handIn(owner, id, 2)
-		in.until("it runs", func() bool { return in.ledger.Runs(id) })
+		in.until("it runs", func() bool { return in.ledger.IsRunning(id) })
 		in.kill(owner)
 		leave()
 		in.until("another owns the group", func() bool { return in.owner("a/0") == other })
@@ -93,7 +93,7 @@
 		in.delayOrders(1, 300*time.Millisecond)
 		id := in.newID()
 		leave := in.handIn(coordinator, id, 2)
-		in.until("it runs", func() bool { return in.ledger.Runs(id) })
+		in.until("it runs", func() bool { return in.ledger.IsRunning(id) })
 		leave()
 		in.delayOrders(0, 0)
 		in.nothingRuns(id, coordinator)
@@ -116,6 +116,6 @@
 // not answered.
 func (in *installation) delayOrders(share float64, late time.Duration) {
 	for _, u := range in.upstreams {
-		u.Delay(share, late)
+		u.DelayOrders(share, late)
 	}
 }
--- a/node/groups.go
+++ b/node/groups.go
@@ -157,7 +157,7 @@
 }
 
 func (n *Node) createCount(groups int) {
-	err := n.store.Create(platform.GroupPrefix+n.settings.Zone, []byte(strconv.Itoa(groups)))
+	err := n.store.Create(platform.GroupCountPrefix+n.settings.Zone, []byte(strconv.Itoa(groups)))
 	if err == nil {
 		n.takeCount(n.settings.Zone, groups)
 	} else if !failure.Is(err, failure.Conflict) { // where it is there already, the watch tells
--- a/node/lives_test.go
+++ b/node/lives_test.go
@@ -23,7 +23,7 @@
 				u.Drain()
 			}
 			u.Crash()
-			u.Revive()
+			u.Restart()
 			if status := <-served; status != http.StatusOK {
 				t.Fatalf("round %d, upstream %d: the job is answered %d", round, i, status)
 			}
@@ -63,8 +63,8 @@
 	bad := in.newID()
 	var crashes atomic.Int32
 	for _, u := range in.upstreams {
-		u.Change(func(c *standin.Core) {
-			c.Crashes = func(r fleet.Run) bool {
+		u.WithModel(func(c *standin.UpstreamModel) {
+			c.ShouldCrash = func(r fleet.Run) bool {
 				if r.Task.Job != bad {
 					return false
 				}
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -77,22 +77,22 @@
 	})
 	id := in.newID()
 	lost := in.background(spokes[0], id, 2, 5000) // its own zone goes first
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	in.kill(owner)
 	if status := <-lost; status != http.StatusGatewayTimeout {
 		t.Errorf("the job of the lost owner was answered %d", status)
 	}
-	in.until("the job's tasks are stopped", func() bool { return !in.ledger.Runs(id) })
+	in.until("the job's tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
 	in.until("work is done again", func() bool {
 		status, _ := in.submit(spokes[0], in.newID(), 2, 10)
 		return status == http.StatusOK
 	})
 	id = in.newID()
 	cut := in.background(spokes[1], id, 4, 5000) // some of it in the other zone
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	in.kill(spokes[1])
 	<-cut
-	in.until("its tasks are stopped", func() bool { return !in.ledger.Runs(id) })
+	in.until("its tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
 }
 
 // TestLargeZoneConfig: an instance that is no hub and does not reach the store
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -22,7 +22,7 @@
 type installation struct {
 	t         *testing.T
 	store     *standin.Store
-	ledger    *standin.Ledger
+	ledger    *standin.RunTracker
 	upstreams []*standin.Upstream
 	nodes     map[string]*Node
 	// describe tells more where a test waits in vain; it may be nil.
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := &installation{t: t, store: store, ledger: standin.NewLedger(), nodes: map[string]*Node{}}
+	in := &installation{t: t, store: store, ledger: standin.NewRunTracker(), nodes: map[string]*Node{}}
 	t.Cleanup(in.close)
 	in.configure(1, "/checks/")
 	for _, zone := range zones {
@@ -70,7 +70,7 @@
 		u.Close()
 	}
 	in.store.Close()
-	for _, b := range in.ledger.Broken() {
+	for _, b := range in.ledger.Violations() {
 		in.t.Error(b)
 	}
 }
@@ -92,8 +92,8 @@
 func (in *installation) addUpstream(id, zone string) *standin.Upstream {
 	u, err := standin.NewUpstream(standin.UpstreamConfig{
 		ID: id, Service: "desk", Zone: zone, Address: "127.0.0.1:0", Capacity: fleet.Resources{MilliCPU: 16000, MemoryMB: 1000},
-		Takes:  standin.TakesOf,
-		Demand: func(string) fleet.Resources { return fleet.Resources{MilliCPU: taskSize} }, TellsBirth: true,
+		TaskDuration: standin.SpecDuration,
+		Demand:       func(string) fleet.Resources { return fleet.Resources{MilliCPU: taskSize} }, ReportsStartTime: true,
 	}, in.store, in.ledger)
 	if err != nil {
 		in.t.Fatal(err)
@@ -148,7 +148,7 @@
 	if err != nil {
 		in.t.Fatal(err)
 	}
-	n.peerListener = standin.NewSilencer(n.peerListener)
+	n.peerListener = standin.NewBlackholeListener(n.peerListener)
 	in.nodes[name] = n
 	n.Run()
 	return n
@@ -158,7 +158,7 @@
 // new ones work.
 func (in *installation) silencePeers() {
 	for _, n := range in.nodes {
-		n.peerListener.(*standin.Silencer).SilenceOpen()
+		n.peerListener.(*standin.BlackholeListener).BlackholeOpen()
 	}
 }
 
@@ -246,7 +246,7 @@
 }
 
 func jobBody(tasks, ms int) []byte {
-	return standin.Job{Tasks: tasks, MilliCPU: taskSize, Takes: time.Duration(ms) * time.Millisecond}.Body()
+	return standin.Job{Tasks: tasks, MilliCPU: taskSize, TaskDuration: time.Duration(ms) * time.Millisecond}.Body()
 }
 
 // submit hands a job to an instance and returns the answer.
@@ -286,8 +286,8 @@
 func TestAnswers(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 1, "a-1")
 	address := in.nodes["a-1"].settings.CustomerAddress
-	kept := standin.Job{Tasks: 1, MilliCPU: 100, Takes: time.Millisecond, Kept: true}.Body()
-	huge := standin.Job{Tasks: 1, MilliCPU: 99000, Takes: 10 * time.Millisecond}.Body()
+	kept := standin.Job{Tasks: 1, MilliCPU: 100, TaskDuration: time.Millisecond, Durable: true}.Body()
+	huge := standin.Job{Tasks: 1, MilliCPU: 99000, TaskDuration: 10 * time.Millisecond}.Body()
 	for _, c := range []struct {
 		method, path string
 		body         []byte
--- a/node/orphans_test.go
+++ b/node/orphans_test.go
@@ -46,7 +46,7 @@
 func TestOrphanedZoneUnreachable(t *testing.T) {
 	in := newInstallation(t, []string{"a", "b"}, 1, "a-1", "b-1")
 	a := in.nodes["a-1"]
-	in.upstreams[1].SetTrouble(standin.Silent)
+	in.upstreams[1].SetFault(standin.NoAnswer)
 	in.kill("b-1")
 	in.until("the group is tried", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.groups["b/0"] != nil })
 	in.want("a-1", 2, 20)
--- a/node/registration.go
+++ b/node/registration.go
@@ -20,11 +20,11 @@
 	known := map[string]membership.Listing{}
 	update := func(items []platform.Item) {
 		for _, item := range items {
-			if zone, isCount := strings.CutPrefix(item.Key, platform.GroupPrefix); isCount {
+			if zone, isCount := strings.CutPrefix(item.Key, platform.GroupCountPrefix); isCount {
 				n.readCount(zone, item)
 				continue
 			}
-			name, isPeer := strings.CutPrefix(item.Key, platform.PeerPrefix)
+			name, isPeer := strings.CutPrefix(item.Key, platform.InstancePrefix)
 			if !isPeer {
 				continue
 			}
@@ -42,7 +42,7 @@
 		n.listPeers(known)
 	}
 	n.follow(follower{
-		prefix: platform.OwnPrefix, wait: n.peerWait, rest: n.peerRest,
+		prefix: platform.SedgehatchPrefix, wait: n.peerWait, rest: n.peerRest,
 		replace: func(items []platform.Item, _ uint64) { clear(known); update(items) },
 		update:  update,
 	})
@@ -125,7 +125,7 @@
 func (n *Node) registerOnce(value []byte) uint64 {
 	lease, err := n.store.Grant(max(registrationTTL, n.settings.MinLeaseTTL))
 	if err == nil {
-		err = n.store.Put(platform.PeerPrefix+n.settings.Name, value, lease)
+		err = n.store.Put(platform.InstancePrefix+n.settings.Name, value, lease)
 	}
 	if err != nil {
 		event.RegisterFailed.Log(n.log, slog.String("error", err.Error()))
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -22,7 +22,7 @@
 	for _, name := range names {
 		in.kill(name)
 	}
-	in.store.SetTrouble(standin.Fine, 400*time.Millisecond)
+	in.store.SetFault(standin.NoFault, 400*time.Millisecond)
 	for _, name := range names {
 		in.start(name)
 	}
@@ -41,7 +41,7 @@
 func (in *installation) running() int {
 	count := 0
 	for _, u := range in.upstreams {
-		u.Change(func(c *standin.Core) { count += len(c.Running()) })
+		u.WithModel(func(c *standin.UpstreamModel) { count += len(c.Running()) })
 	}
 	return count
 }
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -31,7 +31,7 @@
 	id := in.newID()
 	began := time.Now()
 	lost := in.background(coordinator, id, 2, 5000)
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	in.silencePeers()
 	if status := <-lost; status != http.StatusGatewayTimeout {
 		t.Errorf("a job over a silent connection was answered %d", status)
@@ -39,7 +39,7 @@
 	if took := time.Since(began); took > 4*time.Second {
 		t.Errorf("a job over a silent connection was answered after %v", took)
 	}
-	in.until("its tasks are stopped", func() bool { return !in.ledger.Runs(id) })
+	in.until("its tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
 	for name := range in.nodes {
 		in.until(name+" hears every owner", func() bool {
 			loads := in.nodes[name].router.Loads()
@@ -57,7 +57,7 @@
 // connection to the store has gone silent.
 func TestStoreConnectionsGoSilent(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 2, "a-1")
-	in.store.SilenceOpen()
+	in.store.BlackholeOpen()
 	in.configure(2, "/checks/", "/more/")
 	began := time.Now()
 	in.until("the next version is in force", func() bool { return in.nodes["a-1"].config.Load().Version == 2 })
@@ -74,7 +74,7 @@
 		in.want("a-1", 2, 20)
 	}
 	for range 3 {
-		in.upstreams[0].SilenceOpen()
+		in.upstreams[0].BlackholeOpen()
 		in.want("a-1", 2, 20)
 	}
 }
--- a/node/upstreamask_test.go
+++ b/node/upstreamask_test.go
@@ -12,7 +12,7 @@
 // that has read them, and the zone is served all the while.
 func TestReplacedWithoutStore(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 2, "a-1", "a-2")
-	in.store.SetTrouble(standin.Reset, 0)
+	in.store.SetFault(standin.ConnectionReset, 0)
 	for _, name := range []string{"a-1", "a-2"} {
 		other := map[string]string{"a-1": "a-2", "a-2": "a-1"}[name]
 		old := in.nodes[name]
--- a/owner/await.go
+++ b/owner/await.go
@@ -68,7 +68,7 @@
 func (g *Group) unanswered(kind string, u fleet.Upstream) {
 	g.seen.Overdue(kind)
 	if g.distrust.Allow() {
-		g.calls.Distrust(u)
+		g.calls.CloseIdleConnections(u)
 	}
 }
 
--- a/owner/group.go
+++ b/owner/group.go
@@ -22,9 +22,9 @@
 	Start(to fleet.Upstream, o fleet.StartOrder, timeout time.Duration) (fleet.Refusal, error)
 	Stop(to fleet.Upstream, run fleet.Run, token uint64, timeout time.Duration) error
 	Hold(to fleet.Upstream, o fleet.HoldOrder, timeout time.Duration) (fleet.Report, error)
-	// Distrust closes the connections to an upstream that no call is on: they may
+	// CloseIdleConnections closes the connections to an upstream that no call is on: they may
 	// have gone silent.
-	Distrust(to fleet.Upstream)
+	CloseIdleConnections(to fleet.Upstream)
 }
 
 // Observer is told what a group decides and how its calls went.
--- a/owner/link_test.go
+++ b/owner/link_test.go
@@ -43,15 +43,15 @@
 
 	mu     sync.Mutex
 	free   time.Time // when the link has carried what was handed to it
-	cores  map[string]*standin.Core
+	cores  map[string]*standin.UpstreamModel
 	idle   map[string]int // connections that no call is on
 	opened int            // connections
 }
 
 func newLinked(rate float64, upstreams []fleet.Upstream) *linked {
-	l := &linked{rate: rate, cores: map[string]*standin.Core{}, idle: map[string]int{}}
+	l := &linked{rate: rate, cores: map[string]*standin.UpstreamModel{}, idle: map[string]int{}}
 	for _, u := range upstreams {
-		l.cores[u.ID] = standin.NewCore(time.Now(), u.Capacity, func(fleet.Run) (time.Duration, fleet.Resources) {
+		l.cores[u.ID] = standin.NewUpstreamModel(time.Now(), u.Capacity, func(fleet.Run) (time.Duration, fleet.Resources) {
 			return taskTime, fleet.Resources{MilliCPU: 32_000}
 		})
 	}
@@ -60,7 +60,7 @@
 
 // call carries an order over the link and has it carried out, on a connection of
 // its own. It is Lost after the timeout; what is on the link arrives all the same.
-func (l *linked) call(to fleet.Upstream, bytes int, timeout time.Duration, carryOut func(*standin.Core)) error {
+func (l *linked) call(to fleet.Upstream, bytes int, timeout time.Duration, carryOut func(*standin.UpstreamModel)) error {
 	answered := make(chan struct{})
 	go func() {
 		if !l.take(to) {
@@ -79,7 +79,7 @@
 		l.idle[to.ID]++
 		return nil
 	case <-time.After(timeout):
-		l.Distrust(to)
+		l.CloseIdleConnections(to)
 		return failure.Lost.New("no answer")
 	}
 }
@@ -115,8 +115,8 @@
 	time.Sleep(time.Until(arrives))
 }
 
-// Distrust implements Upstreams.
-func (l *linked) Distrust(to fleet.Upstream) {
+// CloseIdleConnections implements Upstreams.
+func (l *linked) CloseIdleConnections(to fleet.Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.idle[to.ID] = 0
@@ -124,7 +124,7 @@
 
 func (l *linked) Start(to fleet.Upstream, o fleet.StartOrder, timeout time.Duration) (fleet.Refusal, error) {
 	refusal := fleet.NotRefused
-	err := l.call(to, headBytes+len(o.Spec), timeout, func(c *standin.Core) {
+	err := l.call(to, headBytes+len(o.Spec), timeout, func(c *standin.UpstreamModel) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		refusal = c.Start(time.Now(), o)
@@ -136,7 +136,7 @@
 }
 
 func (l *linked) Stop(to fleet.Upstream, run fleet.Run, token uint64, timeout time.Duration) error {
-	return l.call(to, headBytes, timeout, func(c *standin.Core) {
+	return l.call(to, headBytes, timeout, func(c *standin.UpstreamModel) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		c.Stop(time.Now(), run, token)
@@ -145,7 +145,7 @@
 
 func (l *linked) Hold(to fleet.Upstream, o fleet.HoldOrder, timeout time.Duration) (fleet.Report, error) {
 	var report fleet.Report
-	err := l.call(to, headBytes, timeout+time.Duration(o.WaitMs)*time.Millisecond, func(c *standin.Core) {
+	err := l.call(to, headBytes, timeout+time.Duration(o.WaitMs)*time.Millisecond, func(c *standin.UpstreamModel) {
 		until := time.Now().Add(time.Duration(o.WaitMs) * time.Millisecond)
 		for l.holds(c, o) && time.Now().Before(until) {
 			time.Sleep(time.Millisecond)
@@ -161,11 +161,11 @@
 }
 
 // holds carries a hold out, and reports whether there is no end to tell of.
-func (l *linked) holds(c *standin.Core, o fleet.HoldOrder) bool {
+func (l *linked) holds(c *standin.UpstreamModel, o fleet.HoldOrder) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.Hold(time.Now(), o)
-	return !c.HasEnds(time.Now(), o.AckedSequence)
+	return !c.HasEndsAfter(time.Now(), o.AckedSequence)
 }
 
 // silentObserver is told nothing of interest.
--- a/schedule/model_test.go
+++ b/schedule/model_test.go
@@ -171,7 +171,7 @@
 func (w *world) drain() {
 	w.apply(w.pool.Drain(w.Now()))
 	epoch := w.epoch
-	w.AfterFunc(w.Millis(100, 800), func() {
+	w.AfterFunc(w.RandMillis(100, 800), func() {
 		if epoch == w.epoch {
 			w.takeOver()
 		}
@@ -189,9 +189,9 @@
 
 // restart starts an upstream again under its id. Its entry tells that some time later.
 func (w *world) restart(u *standin.SimulatedUpstream) {
-	down := w.Millis(1000, 3000)
+	down := w.RandMillis(1000, 3000)
 	u.Crash(down)
-	w.AfterFunc(down+w.Millis(0, 1500), w.listUpstreams)
+	w.AfterFunc(down+w.RandMillis(0, 1500), w.listUpstreams)
 }
 
 // latestEntry is how long after a change of room the entry of an upstream tells it at most,
@@ -201,9 +201,9 @@
 // resize changes the room of an upstream. Its entry tells that some time later.
 func (w *world) resize(u *standin.SimulatedUpstream) {
 	room := fleet.Resources{MilliCPU: int64(1000 * (1 + w.Rand.IntN(8)))}
-	u.Core.Capacity = room
-	w.AfterFunc(w.Millis(0, latestEntry), func() {
-		if u.Core.Capacity != room {
+	u.UpstreamModel.Capacity = room
+	w.AfterFunc(w.RandMillis(0, latestEntry), func() {
+		if u.UpstreamModel.Capacity != room {
 			return // another change has been told since, or is about to be
 		}
 		u.Upstream.Capacity = room
@@ -317,14 +317,14 @@
 	}
 	w.setFaults(0, 0)
 	for _, u := range w.upstreams {
-		u.Cut, u.Stalls, u.Fails = false, false, false
+		u.Partitioned, u.Stalled, u.Failing = false, false, false
 	}
 	if w.evacuated {
 		w.evacuate()
 	}
 	if w.resizes {
 		for _, u := range w.upstreams {
-			u.Core.Capacity, u.Upstream.Capacity = fleet.Resources{MilliCPU: 8000}, fleet.Resources{MilliCPU: 8000}
+			u.UpstreamModel.Capacity, u.Upstream.Capacity = fleet.Resources{MilliCPU: 8000}, fleet.Resources{MilliCPU: 8000}
 		}
 		w.listUpstreams()
 	}
@@ -339,11 +339,11 @@
 	u := w.upstreams[w.Rand.IntN(len(w.upstreams))]
 	switch w.Rand.IntN(12) {
 	case 0:
-		u.Cut = !u.Cut
+		u.Partitioned = !u.Partitioned
 	case 1:
-		u.Stalls = !u.Stalls
+		u.Stalled = !u.Stalled
 	case 2:
-		u.Fails = !u.Fails
+		u.Failing = !u.Failing
 	case 3:
 		w.takeOver()
 	case 5:
@@ -374,5 +374,5 @@
 	default:
 		w.offer(i)
 	}
-	w.Run(w.Now().Add(w.Millis(1, 120)))
+	w.Run(w.Now().Add(w.RandMillis(1, 120)))
 }
--- a/schedule/modelcheck_test.go
+++ b/schedule/modelcheck_test.go
@@ -7,7 +7,7 @@
 
 // check holds what runs against what must always hold.
 func (w *world) check(u *standin.SimulatedUpstream, started fleet.Run) {
-	room := u.Core.Capacity.Max(w.room[started]) // it may have shrunk since the pool was told
+	room := u.UpstreamModel.Capacity.Max(w.room[started]) // it may have shrunk since the pool was told
 	if used := u.Used(); !used.Within(room) {
 		w.t.Fatalf("%s at %v: %v of %v in use after the start of %v", u.ID, w.Now().Sub(epochZero), used, room, started)
 	}
--- a/schedule/world_test.go
+++ b/schedule/world_test.go
@@ -26,13 +26,13 @@
 	pool      *Pool
 	epoch     int // of the pool; answers to one that is gone are dropped
 	open      map[JobKey]*simJob
-	sending   map[fleet.TaskRef]int                // how often a task was offered
-	ordered   map[fleet.Run]int                    // the sending that a run was ordered for last
-	told      map[string]fleet.Resources           // the room of each upstream as the pool was told last
-	room      map[fleet.Run]fleet.Resources        // told by the time that a run was ordered
-	inFlight  map[*standin.Core][]fleet.StartOrder // that may yet be carried out, by the life they were made to
-	begun     map[fleet.TaskRef]bool               // of its last sending
-	returned  map[fleet.TaskRef]bool               // as never begun, and not offered since
+	sending   map[fleet.TaskRef]int                         // how often a task was offered
+	ordered   map[fleet.Run]int                             // the sending that a run was ordered for last
+	told      map[string]fleet.Resources                    // the room of each upstream as the pool was told last
+	room      map[fleet.Run]fleet.Resources                 // told by the time that a run was ordered
+	inFlight  map[*standin.UpstreamModel][]fleet.StartOrder // that may yet be carried out, by the life they were made to
+	begun     map[fleet.TaskRef]bool                        // of its last sending
+	returned  map[fleet.TaskRef]bool                        // as never begun, and not offered since
 	lost      []lostJob
 	results   int
 	noted     map[fleet.TaskRef]bool // an end as done was taken note of, and not offered since
@@ -71,7 +71,7 @@
 	w.ordered[run] = w.sending[run.Task]
 	u := w.find(s.Upstream.ID)
 	w.checkRoom(u, run)
-	w.inFlight[u.Core] = append(w.inFlight[u.Core], s.Order)
+	w.inFlight[u.UpstreamModel] = append(w.inFlight[u.UpstreamModel], s.Order)
 	u.CallStart(s.Order, simStartTimeout, func(refusal fleet.Refusal, err error) {
 		w.ifCurrent(epoch, func(p *Pool, now time.Time) Effects {
 			return p.HandleStartResponse(now, s.Upstream.Incarnation(), run, refusal, err)
@@ -86,10 +86,10 @@
 	w.room[ordered] = room
 	used := w.jobOf(ordered.Task).offer.Demand
 	runs := u.Running()
-	w.inFlight[u.Core] = slices.DeleteFunc(w.inFlight[u.Core], func(o fleet.StartOrder) bool {
-		return slices.Contains(runs, o.Run) || u.Refuses(w.Now(), o) != fleet.NotRefused
+	w.inFlight[u.UpstreamModel] = slices.DeleteFunc(w.inFlight[u.UpstreamModel], func(o fleet.StartOrder) bool {
+		return slices.Contains(runs, o.Run) || u.StartRefusal(w.Now(), o) != fleet.NotRefused
 	})
-	for _, o := range w.inFlight[u.Core] {
+	for _, o := range w.inFlight[u.UpstreamModel] {
 		runs = append(runs, o.Run)
 	}
 	for _, r := range lo.Uniq(runs) {
@@ -139,7 +139,7 @@
 		Simulation: standin.NewSimulation(epochZero, seed), t: t,
 		open: map[JobKey]*simJob{}, begun: map[fleet.TaskRef]bool{}, returned: map[fleet.TaskRef]bool{}, noted: map[fleet.TaskRef]bool{}, crashers: map[fleet.TaskRef]int{},
 		sending: map[fleet.TaskRef]int{}, ordered: map[fleet.Run]int{}, room: map[fleet.Run]fleet.Resources{},
-		told: map[string]fleet.Resources{}, inFlight: map[*standin.Core][]fleet.StartOrder{},
+		told: map[string]fleet.Resources{}, inFlight: map[*standin.UpstreamModel][]fleet.StartOrder{},
 	}
 	for i := range 4 {
 		w.upstreams = append(w.upstreams, w.newUpstream(fmt.Sprintf("u%d", i)))
@@ -150,17 +150,17 @@
 func (w *world) newUpstream(id string) *standin.SimulatedUpstream {
 	u := w.NewUpstream(fleet.Upstream{ID: id, Service: "s", Zone: "z", Capacity: fleet.Resources{MilliCPU: 8000}},
 		func(r fleet.Run) (time.Duration, fleet.Resources) {
-			return w.Millis(20, 400), w.jobOf(r.Task).offer.Demand
+			return w.RandMillis(20, 400), w.jobOf(r.Task).offer.Demand
 		})
-	u.Rate = 0.98 + 0.02*w.Rand.Float64()
-	u.StopTime = func() time.Duration { return w.Millis(0, simStopTime) }
+	u.ClockRate = 0.98 + 0.02*w.Rand.Float64()
+	u.StopTime = func() time.Duration { return w.RandMillis(0, simStopTime) }
 	beganFor := map[fleet.Run]int{} // the sending that a run began for here
-	u.Noted = func(e fleet.EndedRun) {
+	u.OnEndAcknowledged = func(e fleet.EndedRun) {
 		if e.End == fleet.EndDone && beganFor[e.Run] == w.sending[e.Run.Task] {
 			w.noted[e.Run.Task] = true
 		}
 	}
-	u.Began = func(r fleet.Run) {
+	u.OnStart = func(r fleet.Run) {
 		beganFor[r] = w.ordered[r]
 		if w.noted[r.Task] && w.ordered[r] == w.sending[r.Task] {
 			w.t.Fatalf("%v begins after an end of its task as done was taken note of", r)
@@ -183,7 +183,7 @@
 		return
 	}
 	epoch := w.epoch
-	w.AfterFunc(w.Millis(1, 15), func() {
+	w.AfterFunc(w.RandMillis(1, 15), func() {
 		if !slices.Contains(u.Running(), r) {
 			return
 		}
--- a/soak/customer.go
+++ b/soak/customer.go
@@ -108,7 +108,7 @@
 	c.tally.mu.Lock()
 	c.tally.submitted[id] = true
 	c.tally.mu.Unlock()
-	job := standin.Job{ID: id, Tasks: 1 + c.rng.IntN(6), MilliCPU: taskCPU, Takes: time.Duration(10+c.rng.IntN(300)) * time.Millisecond}
+	job := standin.Job{ID: id, Tasks: 1 + c.rng.IntN(6), MilliCPU: taskCPU, TaskDuration: time.Duration(10+c.rng.IntN(300)) * time.Millisecond}
 	maybeRun := false
 	for range sendings {
 		leaves := c.rng.Float64() < leaveShare
@@ -122,7 +122,7 @@
 			continue // nobody has read it: it is sent again at once
 		case status == http.StatusOK && answer == `{"State":"completed"}`:
 			c.tally.add("completed")
-			if done := c.in.ledger.Done(id); done != job.Tasks {
+			if done := c.in.ledger.DoneTasks(id); done != job.Tasks {
 				c.tally.breaks("%s is answered completed, %d of %d tasks are done", id, done, job.Tasks)
 			}
 			return
@@ -131,7 +131,7 @@
 			return
 		case status == http.StatusServiceUnavailable || status == http.StatusNotFound:
 			c.tally.add(fmt.Sprint(status, " ", answer))
-			if began := c.in.ledger.LastBegun(id); !maybeRun && !began.IsZero() {
+			if began := c.in.ledger.LastJobStart(id); !maybeRun && !began.IsZero() {
 				c.tally.breaks("%s is answered %d at %v, and began at %v", id, status, sent, began)
 			}
 			c.tally.refused(id)
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -173,7 +173,7 @@
 	cfg       Config
 	rng       *rand.Rand
 	store     *standin.Store
-	ledger    *standin.Ledger
+	ledger    *standin.RunTracker
 	processes []*process
 	network   int          // of the addresses of the processes
 	claim     net.Listener // keeps other runs from the same network
@@ -202,7 +202,7 @@
 	if err != nil {
 		return nil, err
 	}
-	in := &installation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2)), store: store, ledger: standin.NewLedger(), evacuated: map[string]bool{}}
+	in := &installation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2)), store: store, ledger: standin.NewRunTracker(), evacuated: map[string]bool{}}
 	if err := in.configure(); err != nil {
 		return nil, err
 	}
@@ -268,9 +268,9 @@
 	in.born++
 	u, err := standin.NewUpstream(standin.UpstreamConfig{
 		ID: fmt.Sprintf("u%d", in.born), Service: "desk", Zone: zone, Address: "127.0.0.1:0",
-		Capacity: fleet.Resources{MilliCPU: upstreamCPU, MemoryMB: upstreamMemory}, Hidden: true,
-		Takes:  standin.TakesOf,
-		Demand: func(string) fleet.Resources { return fleet.Resources{MilliCPU: taskCPU} }, TellsBirth: in.cfg.Lives,
+		Capacity: fleet.Resources{MilliCPU: upstreamCPU, MemoryMB: upstreamMemory}, Unregistered: true,
+		TaskDuration: standin.SpecDuration,
+		Demand:       func(string) fleet.Resources { return fleet.Resources{MilliCPU: taskCPU} }, ReportsStartTime: in.cfg.Lives,
 	}, in.store, in.ledger)
 	if err != nil {
 		return err
@@ -279,7 +279,7 @@
 	if err != nil {
 		return err
 	}
-	u.Show(proxy.Address)
+	u.RegisterAt(proxy.Address)
 	in.upstreams = append(in.upstreams, &upstream{Upstream: u, proxy: proxy, zone: zone})
 	return nil
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -38,7 +38,7 @@
 	target  string
 	mode    atomic.Int32
 	closed  atomic.Bool
-	l       *standin.Silencer
+	l       *standin.BlackholeListener
 	conns   connset.Set
 	running sync.WaitGroup
 }
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{Address: l.Addr().String(), target: target, l: standin.NewSilencer(l)}
+	p := &Proxy{Address: l.Addr().String(), target: target, l: standin.NewBlackholeListener(l)}
 	p.running.Go(p.accept)
 	return p, nil
 }
@@ -59,7 +59,7 @@
 
 // SilenceOpen makes the open connections pass nothing any more, for good; new ones
 // work.
-func (p *Proxy) SilenceOpen() { p.l.SilenceOpen() }
+func (p *Proxy) SilenceOpen() { p.l.BlackholeOpen() }
 
 // Close ends the proxy and its connections.
 func (p *Proxy) Close() {
--- a/soak/run.go
+++ b/soak/run.go
@@ -84,7 +84,7 @@
 func (in *installation) report(t *tally, faults int) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	broken := slices.Concat(t.broken, in.ledger.Broken())
+	broken := slices.Concat(t.broken, in.ledger.Violations())
 	return Report{Seed: in.cfg.Seed, Faults: faults, Starts: in.ledger.Starts(), Evacuations: in.evacuations, Answers: t.answers, Broken: broken}
 }
 
@@ -163,19 +163,19 @@
 		return func(d time.Duration) { u.proxy.Set(mode); time.Sleep(d); u.proxy.Set(Pass) }
 	case 7:
 		return func(d time.Duration) {
-			u.Change(func(c *standin.Core) { c.Stalls = true })
+			u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = true })
 			time.Sleep(d)
-			u.Change(func(c *standin.Core) { c.Stalls = false })
+			u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = false })
 		}
 	case 8:
-		return func(d time.Duration) { u.Delay(0.2, 2*time.Second); time.Sleep(d); u.Delay(0, 0) }
+		return func(d time.Duration) { u.DelayOrders(0.2, 2*time.Second); time.Sleep(d); u.DelayOrders(0, 0) }
 	case 9:
 		return func(d time.Duration) {
 			in.outages.begin(time.Now())
-			in.store.SetTrouble(standin.Busy, 0)
+			in.store.SetFault(standin.Unavailable, 0)
 			time.Sleep(d)
 			if in.outages.end(time.Now()) {
-				in.store.SetTrouble(standin.Fine, 0)
+				in.store.SetFault(standin.NoFault, 0)
 			}
 		}
 	case 10:
@@ -227,7 +227,7 @@
 	}
 	u.Crash()
 	time.Sleep(leastDown + d/3)
-	u.Revive()
+	u.Restart()
 	in.releaseUpstream(u)
 }
 
@@ -277,12 +277,12 @@
 	upstreams := slices.Clone(in.upstreams)
 	in.mu.Unlock()
 	for _, u := range upstreams {
-		last := in.ledger.LastStart(u.ID)
+		last := in.ledger.LastUpstreamStart(u.ID)
 		if late := last.Sub(began) - in.outages.within(began, last); u.zone == zone && late > evacuationBound {
 			t.breaks("%s got a task %v after its zone was evacuated", u.ID, late)
 		}
 	}
-	in.store.TakeBack(zone)
+	in.store.EndEvacuation(zone)
 	in.mu.Lock()
 	in.evacuated[zone] = false
 	in.mu.Unlock()
@@ -335,16 +335,16 @@
 	t.mu.Lock()
 	submitted, refused := t.submitted, t.cancelled
 	t.mu.Unlock()
-	for _, job := range in.ledger.Jobs() {
+	for _, job := range in.ledger.StartedJobs() {
 		if !submitted[job] {
 			t.breaks("%s was started, and nobody sent it", job)
 		}
-		if at, was := refused[job]; was && in.ledger.LastBegun(job).After(at.Add(regretBound)) {
+		if at, was := refused[job]; was && in.ledger.LastJobStart(job).After(at.Add(regretBound)) {
 			t.breaks("%s began after it was refused", job)
 		}
 	}
 	for _, u := range in.upstreams {
-		last := in.ledger.LastStart(u.ID)
+		last := in.ledger.LastUpstreamStart(u.ID)
 		late := last.Sub(u.drained) - in.outages.within(u.drained, last)
 		if !u.drained.IsZero() && late > drainBound {
 			t.breaks("%s got a task %v after its drain, of which the store was there for %v", u.ID, last.Sub(u.drained), late)
--- a/soak/unread_test.go
+++ b/soak/unread_test.go
@@ -50,7 +50,7 @@
 		sent[in.processes[held].name] += unreadJobs
 		readBehindReset(t, in, rng, round, in.processes[held], in.processes[1-held])
 	}
-	for _, broken := range in.ledger.Broken() {
+	for _, broken := range in.ledger.Violations() {
 		t.Error(broken)
 	}
 	for _, p := range in.processes {
@@ -64,7 +64,7 @@
 	var jobs []standin.Job
 	for i := range unreadJobs {
 		id := fmt.Sprintf("%08x%08x", round+1, i)
-		jobs = append(jobs, standin.Job{ID: id, Tasks: 1 + rng.IntN(2), MilliCPU: taskCPU, Takes: unreadTakes})
+		jobs = append(jobs, standin.Job{ID: id, Tasks: 1 + rng.IntN(2), MilliCPU: taskCPU, TaskDuration: unreadTakes})
 	}
 	held.signal(syscall.SIGSTOP)
 	for _, j := range jobs {
@@ -85,13 +85,13 @@
 		})
 	}
 	for _, j := range jobs {
-		waitUntil(t, j.ID+" runs", func() bool { return in.ledger.Runs(j.ID) })
+		waitUntil(t, j.ID+" runs", func() bool { return in.ledger.IsRunning(j.ID) })
 	}
 	held.signal(syscall.SIGCONT)
 	answered.Wait()
 	for _, j := range jobs {
-		waitUntil(t, j.ID+" is over", func() bool { return !in.ledger.Runs(j.ID) })
-		if done := in.ledger.Done(j.ID); done != j.Tasks {
+		waitUntil(t, j.ID+" is over", func() bool { return !in.ledger.IsRunning(j.ID) })
+		if done := in.ledger.DoneTasks(j.ID); done != j.Tasks {
 			t.Errorf("%s: %d of %d tasks are done", j.ID, done, j.Tasks)
 		}
 	}
