--- a/ingress/coordinator.go
+++ b/ingress/coordinator.go
@@ -20,7 +20,7 @@
 	Loads() []OwnerLoad
 	// Offer hands tasks to the owner of a group. With an error nothing of
 	// them began; the answer is not called then.
-	Offer(group string, o schedule.Offer, answer owner.Answer) error
+	Offer(group string, o schedule.Offer, answer owner.OfferCallbacks) error
 	// Withdraw ends an offer.
 	Withdraw(group string, key schedule.JobKey, reason string)
 }
@@ -30,15 +30,15 @@
 
 // The verdicts.
 const (
-	Completed Verdict = "completed"
-	Failed    Verdict = "failed"  // ran, and will not complete
-	NotRun    Verdict = "not_run" // nothing of it began, or ever will
-	Unknown   Verdict = "unknown" // something may have run, and it is not complete
-	Left      Verdict = "left"    // the customer has left
+	Completed    Verdict = "completed"
+	Failed       Verdict = "failed"  // ran, and will not complete
+	NotRun       Verdict = "not_run" // nothing of it began, or ever will
+	Unknown      Verdict = "unknown" // something may have run, and it is not complete
+	CustomerLeft Verdict = "left"    // the customer has left
 )
 
-// Answered is a verdict with its reason.
-type Answered struct {
+// Response is a verdict with its reason.
+type Response struct {
 	Verdict Verdict
 	Reason  string
 	Begun   bool
@@ -57,13 +57,13 @@
 type Request struct {
 	Job   *fleet.Job
 	Route *fleet.Route
-	// Patience is how long the customer waits for an answer.
-	Patience time.Duration
-	// HasLeft tells at once whether the customer's connection has ended; nil is never.
+	// Timeout is how long the customer waits for an answer.
+	Timeout time.Duration
+	// Disconnected tells at once whether the customer's connection has ended; nil is never.
 	// It is asked before each offer: an instance that was held up for a while reads
 	// requests whose customers have long sent them again elsewhere, and would run them
 	// a second time.
-	HasLeft func() bool
+	Disconnected func() bool
 }
 
 const shardCount = 16
@@ -103,11 +103,11 @@
 
 // NewCoordinator returns a coordinator without jobs.
 func NewCoordinator(zone string, owners Owners) *Coordinator {
-	return NewSimulated(zone, owners, realClock{}, DefaultPolicy)
+	return NewSimulatedCoordinator(zone, owners, realClock{}, DefaultPolicy)
 }
 
-// NewSimulated is NewCoordinator on another clock and under another policy.
-func NewSimulated(zone string, owners Owners, clock Clock, policy Policy) *Coordinator {
+// NewSimulatedCoordinator is NewCoordinator on another clock and under another policy.
+func NewSimulatedCoordinator(zone string, owners Owners, clock Clock, policy Policy) *Coordinator {
 	c := &Coordinator{zone: zone, owners: owners, clock: clock, policy: policy}
 	for i := range c.shards {
 		c.shards[i].open = map[string]*pending{}
@@ -123,17 +123,17 @@
 
 // Run coordinates a job until it has a verdict, or left is closed because its
 // customer is gone. A job that is open already goes on, and answers both.
-func (c *Coordinator) Run(r Request, left <-chan struct{}) Answered {
+func (c *Coordinator) Run(r Request, left <-chan struct{}) Response {
 	p, me, first := c.open(r)
 	if first {
 		p.offerIdle()
 	}
-	return p.await(me, left, r.Patience)
+	return p.await(me, left, r.Timeout)
 }
 
-// Begin coordinates a job without waiting, and calls decided with its verdict. It
+// Start coordinates a job without waiting, and calls decided with its verdict. It
 // returns what a simulation calls when the customer's patience is over.
-func (c *Coordinator) Begin(r Request, decided func(Answered)) (timeUp func()) {
+func (c *Coordinator) Start(r Request, decided func(Response)) (timeUp func()) {
 	p, me := c.newPending(r)
 	p.onVerdict = decided
 	p.offerIdle()
@@ -208,19 +208,19 @@
 	return true
 }
 
-// DropLeft ends the jobs whose customers have left, as far as the system knows now. It
+// EndDisconnected ends the jobs whose customers have left, as far as the system knows now. It
 // reports whether all that was decided till then has been sent: a lease that is renewed
 // ahead of a withdrawal vouches for a customer that has left.
-func (c *Coordinator) DropLeft() (sent bool) {
+func (c *Coordinator) EndDisconnected() (sent bool) {
 	for _, p := range c.all() {
 		p.dropLeft()
 	}
 	return c.sending.Load() == 0
 }
 
-// DropOverdue ends the jobs whose customers do not wait any more. Their timers do so as
+// EndTimedOut ends the jobs whose customers do not wait any more. Their timers do so as
 // well, later by as much as the machine was suspended meanwhile.
-func (c *Coordinator) DropOverdue() {
+func (c *Coordinator) EndTimedOut() {
 	now := c.clock.Now()
 	for _, p := range c.all() {
 		p.dropOverdue(now)
@@ -234,8 +234,8 @@
 	}
 }
 
-// Waiting counts the open jobs of a route that no owner has taken.
-func (c *Coordinator) Waiting(route string) int {
+// WaitingJobs counts the open jobs of a route that no owner has taken.
+func (c *Coordinator) WaitingJobs(route string) int {
 	n := 0
 	c.each(func(p *pending) {
 		p.mu.Lock()
@@ -247,8 +247,8 @@
 	return n
 }
 
-// Open counts the jobs without a verdict.
-func (c *Coordinator) Open() int {
+// OpenJobs counts the jobs without a verdict.
+func (c *Coordinator) OpenJobs() int {
 	n := 0
 	c.each(func(*pending) { n++ })
 	return n
--- a/ingress/customer.go
+++ b/ingress/customer.go
@@ -33,38 +33,38 @@
 	if p.settled {
 		return nil
 	}
-	me := &customer{hasLeft: r.HasLeft, until: p.c.clock.Now().Add(r.Patience)}
+	me := &customer{hasLeft: r.Disconnected, until: p.c.clock.Now().Add(r.Timeout)}
 	p.customers = append(p.customers, me)
 	p.until = lo.Latest(p.until, me.until)
 	return me
 }
 
 // await returns the verdict, or what a connection is told that no longer waits for it.
-func (p *pending) await(me *customer, left <-chan struct{}, patience time.Duration) Answered {
+func (p *pending) await(me *customer, left <-chan struct{}, patience time.Duration) Response {
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
 	select {
 	case <-p.decided:
 		return p.answer
 	case <-left:
-		return p.drop(me, Left, reasonLeft)
+		return p.drop(me, CustomerLeft, reasonLeft)
 	case <-timer.C:
 		return p.timeUp(me)
 	}
 }
 
 // timeUp takes the end of a customer's patience.
-func (p *pending) timeUp(me *customer) Answered { return p.drop(me, Unknown, reasonDeadline) }
+func (p *pending) timeUp(me *customer) Response { return p.drop(me, Unknown, reasonDeadline) }
 
 // drop takes the news that a connection does not wait any more. The job gets its verdict
 // with the last.
-func (p *pending) drop(me *customer, v Verdict, reason string) Answered {
+func (p *pending) drop(me *customer, v Verdict, reason string) Response {
 	p.mu.Lock()
 	me.gone = true
 	last := lo.EveryBy(p.customers, func(c *customer) bool { return c.gone })
 	p.mu.Unlock()
 	if !last {
-		return Answered{Verdict: v, Reason: reason}
+		return Response{Verdict: v, Reason: reason}
 	}
 	p.settle(v, reason)
 	<-p.decided
@@ -89,7 +89,7 @@
 	p.mu.Unlock()
 	for i, c := range waiting {
 		if c.hasLeft() {
-			p.drop(c, Left, reasons[i])
+			p.drop(c, CustomerLeft, reasons[i])
 		}
 	}
 }
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -52,7 +52,7 @@
 type owners struct {
 	mu        sync.Mutex
 	loads     []OwnerLoad
-	offer     func(group string, o schedule.Offer, answer owner.Answer) error
+	offer     func(group string, o schedule.Offer, answer owner.OfferCallbacks) error
 	withdrawn []schedule.JobKey
 }
 
@@ -62,7 +62,7 @@
 	return f.loads
 }
 
-func (f *owners) Offer(group string, o schedule.Offer, answer owner.Answer) error {
+func (f *owners) Offer(group string, o schedule.Offer, answer owner.OfferCallbacks) error {
 	return f.offer(group, o, answer)
 }
 
@@ -74,9 +74,9 @@
 
 func request(tasks int) Request {
 	return Request{
-		Job:      &fleet.Job{ID: "0000000000000001", Ephemeral: true, Steps: []fleet.Step{{Count: tasks, Estimate: 10 * time.Millisecond}}},
-		Route:    &fleet.Route{Name: "r", Stretch: 1.6, Slack: 20 * time.Millisecond, MaxAttempts: 2},
-		Patience: time.Minute,
+		Job:     &fleet.Job{ID: "0000000000000001", Ephemeral: true, Steps: []fleet.Step{{Count: tasks, Estimate: 10 * time.Millisecond}}},
+		Route:   &fleet.Route{Name: "r", Stretch: 1.6, Slack: 20 * time.Millisecond, MaxAttempts: 2},
+		Timeout: time.Minute,
 	}
 }
 
@@ -84,30 +84,30 @@
 	return []OwnerLoad{{Group: "a/0", Zone: "a", Free: 2, Capacity: 9}, {Group: "b/0", Zone: "b", Free: 2, Capacity: 9}}
 }
 
-func end(answer owner.Answer, r schedule.Result) { answer.Ended(r, schedule.Load{}) }
+func end(answer owner.OfferCallbacks, r schedule.Result) { answer.OfferEnded(r, schedule.Load{}) }
 
 // TestRun runs a job against owners that answer in each way.
 func TestRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		loads []OwnerLoad
-		offer func(group string, o schedule.Offer, answer owner.Answer) error
+		offer func(group string, o schedule.Offer, answer owner.OfferCallbacks) error
 		want  Verdict
 		begun bool
 	}{
-		"done at once": {twoZones(), func(_ string, o schedule.Offer, a owner.Answer) error {
+		"done at once": {twoZones(), func(_ string, o schedule.Offer, a owner.OfferCallbacks) error {
 			end(a, schedule.Result{Outcome: schedule.Completed, Done: o.Tasks, Begun: true})
 			return nil
 		}, Completed, true},
-		"half elsewhere": {twoZones(), func(group string, o schedule.Offer, a owner.Answer) error {
+		"half elsewhere": {twoZones(), func(group string, o schedule.Offer, a owner.OfferCallbacks) error {
 			if group == "a/0" {
-				a.Returned(schedule.Result{Returned: o.Tasks[1:]}, schedule.Load{})
+				a.TasksReturned(schedule.Result{Returned: o.Tasks[1:]}, schedule.Load{})
 				end(a, schedule.Result{Outcome: schedule.Completed, Done: o.Tasks[:1], Begun: true})
 				return nil
 			}
 			end(a, schedule.Result{Outcome: schedule.Completed, Done: o.Tasks, Begun: true})
 			return nil
 		}, Completed, true},
-		"the return overtaken by the end": {twoZones(), func(group string, o schedule.Offer, a owner.Answer) error {
+		"the return overtaken by the end": {twoZones(), func(group string, o schedule.Offer, a owner.OfferCallbacks) error {
 			if group == "a/0" {
 				end(a, schedule.Result{Outcome: schedule.Completed, Done: o.Tasks[:1], Begun: true})
 				return nil
@@ -115,23 +115,23 @@
 			end(a, schedule.Result{Outcome: schedule.Completed, Done: o.Tasks, Begun: true})
 			return nil
 		}, Completed, true},
-		"a task fails": {twoZones(), func(_ string, o schedule.Offer, a owner.Answer) error {
+		"a task fails": {twoZones(), func(_ string, o schedule.Offer, a owner.OfferCallbacks) error {
 			end(a, schedule.Result{Outcome: schedule.Failed, Begun: true})
 			return nil
 		}, Failed, true},
-		"the owner is lost": {twoZones(), func(_ string, o schedule.Offer, a owner.Answer) error {
+		"the owner is lost": {twoZones(), func(_ string, o schedule.Offer, a owner.OfferCallbacks) error {
 			end(a, schedule.Result{Outcome: schedule.Unknown, Begun: true})
 			return nil
 		}, Unknown, true},
-		"expired before it began": {twoZones(), func(_ string, o schedule.Offer, a owner.Answer) error {
+		"expired before it began": {twoZones(), func(_ string, o schedule.Offer, a owner.OfferCallbacks) error {
 			end(a, schedule.Result{Outcome: schedule.Expired, Returned: o.Tasks})
 			return nil
 		}, NotRun, false},
-		"expired after it began": {twoZones(), func(_ string, o schedule.Offer, a owner.Answer) error {
+		"expired after it began": {twoZones(), func(_ string, o schedule.Offer, a owner.OfferCallbacks) error {
 			end(a, schedule.Result{Outcome: schedule.Expired, Begun: true})
 			return nil
 		}, Unknown, true},
-		"no room in time here, but elsewhere": {twoZones(), func(group string, o schedule.Offer, a owner.Answer) error {
+		"no room in time here, but elsewhere": {twoZones(), func(group string, o schedule.Offer, a owner.OfferCallbacks) error {
 			if group == "a/0" {
 				end(a, schedule.Result{Outcome: schedule.Expired, Returned: o.Tasks})
 				return nil
@@ -139,19 +139,19 @@
 			end(a, schedule.Result{Outcome: schedule.Completed, Done: o.Tasks, Begun: true})
 			return nil
 		}, Completed, true},
-		"begun, and no room in time for the rest": {twoZones(), func(group string, o schedule.Offer, a owner.Answer) error {
+		"begun, and no room in time for the rest": {twoZones(), func(group string, o schedule.Offer, a owner.OfferCallbacks) error {
 			if group == "a/0" && len(o.Tasks) == 3 {
-				a.Returned(schedule.Result{Returned: o.Tasks[1:]}, schedule.Load{})
+				a.TasksReturned(schedule.Result{Returned: o.Tasks[1:]}, schedule.Load{})
 				return nil
 			}
 			end(a, schedule.Result{Outcome: schedule.Expired, Returned: o.Tasks})
 			return nil
 		}, Unknown, true},
-		"too large for all": {twoZones(), func(_ string, o schedule.Offer, a owner.Answer) error {
+		"too large for all": {twoZones(), func(_ string, o schedule.Offer, a owner.OfferCallbacks) error {
 			end(a, schedule.Result{Outcome: schedule.NeverFits, Returned: o.Tasks})
 			return nil
 		}, Failed, false},
-		"too large for one, the other cannot be reached": {twoZones(), func(group string, o schedule.Offer, a owner.Answer) error {
+		"too large for one, the other cannot be reached": {twoZones(), func(group string, o schedule.Offer, a owner.OfferCallbacks) error {
 			if group == "b/0" {
 				return failure.Unreachable.New("cut")
 			}
@@ -159,7 +159,7 @@
 			return nil
 		}, NotRun, false},
 		"nobody": {nil, nil, NotRun, false},
-		"nobody can be reached": {twoZones(), func(string, schedule.Offer, owner.Answer) error {
+		"nobody can be reached": {twoZones(), func(string, schedule.Offer, owner.OfferCallbacks) error {
 			return failure.Unreachable.New("cut")
 		}, NotRun, false},
 	} {
@@ -169,7 +169,7 @@
 			if a.Verdict != c.want || a.Begun != c.begun {
 				t.Errorf("%+v, want %s, begun %v", a, c.want, c.begun)
 			}
-			if coordinator.Open() != 0 {
+			if coordinator.OpenJobs() != 0 {
 				t.Error("the job stays open")
 			}
 		})
@@ -179,18 +179,18 @@
 // TestCustomerGone withdraws what is offered when the customer leaves, and not
 // when the same job has been sent again here.
 func TestCustomerGone(t *testing.T) {
-	offered := make(chan owner.Answer, 1)
-	f := &owners{loads: twoZones(), offer: func(_ string, _ schedule.Offer, a owner.Answer) error { offered <- a; return nil }}
+	offered := make(chan owner.OfferCallbacks, 1)
+	f := &owners{loads: twoZones(), offer: func(_ string, _ schedule.Offer, a owner.OfferCallbacks) error { offered <- a; return nil }}
 	c := NewCoordinator("a", f)
 	left := make(chan struct{})
-	verdict := make(chan Answered, 1)
+	verdict := make(chan Response, 1)
 	go func() { verdict <- c.Run(request(1), left) }()
 	<-offered
 	if state, open := c.State("0000000000000001"); !open || state != fleet.StateRunning {
 		t.Errorf("the job is %s, open %v", state, open)
 	}
 	close(left)
-	if a := <-verdict; a.Verdict != Left {
+	if a := <-verdict; a.Verdict != CustomerLeft {
 		t.Errorf("%+v", a)
 	}
 	if len(f.withdrawn) != 1 {
@@ -200,9 +200,9 @@
 
 func TestCancel(t *testing.T) {
 	offered := make(chan struct{}, 1)
-	f := &owners{loads: twoZones(), offer: func(string, schedule.Offer, owner.Answer) error { offered <- struct{}{}; return nil }}
+	f := &owners{loads: twoZones(), offer: func(string, schedule.Offer, owner.OfferCallbacks) error { offered <- struct{}{}; return nil }}
 	c := NewCoordinator("a", f)
-	verdict := make(chan Answered, 1)
+	verdict := make(chan Response, 1)
 	go func() { verdict <- c.Run(request(1), nil) }()
 	<-offered
 	if !c.Cancel("0000000000000001") || c.Cancel("0000000000000002") {
@@ -251,9 +251,9 @@
 		loads = append(loads, OwnerLoad{Group: fmt.Sprintf("z%d/0", i), Zone: fmt.Sprintf("z%d", i), Waiting: 10 * (i + 1), Capacity: 640_000})
 	}
 	asked := 0
-	coordinator := NewCoordinator("z11", &owners{loads: loads, offer: func(_ string, o schedule.Offer, a owner.Answer) error {
+	coordinator := NewCoordinator("z11", &owners{loads: loads, offer: func(_ string, o schedule.Offer, a owner.OfferCallbacks) error {
 		asked++
-		a.Ended(schedule.Result{Key: o.Key, Outcome: schedule.Expired, Returned: o.Tasks}, schedule.Load{})
+		a.OfferEnded(schedule.Result{Key: o.Key, Outcome: schedule.Expired, Returned: o.Tasks}, schedule.Load{})
 		return nil
 	}})
 	a := coordinator.Run(request(3), nil)
@@ -269,12 +269,12 @@
 // rejected at once with word of when to come back, and offered to nobody.
 func TestEvacuatedAll(t *testing.T) {
 	closed := []OwnerLoad{{Group: "a/0", Zone: "a", Closed: true}, {Group: "b/0", Zone: "b", Closed: true}}
-	c := NewSimulated("a", &owners{loads: closed, offer: func(group string, _ schedule.Offer, _ owner.Answer) error {
+	c := NewSimulatedCoordinator("a", &owners{loads: closed, offer: func(group string, _ schedule.Offer, _ owner.OfferCallbacks) error {
 		t.Errorf("a job is offered to %s", group)
 		return nil
 	}}, stillClock{}, DefaultPolicy)
-	var answers []Answered
-	c.Begin(request(2), func(a Answered) { answers = append(answers, a) })
+	var answers []Response
+	c.Start(request(2), func(a Response) { answers = append(answers, a) })
 	if len(answers) != 1 || answers[0].Verdict != NotRun || answers[0].RetryAfter != closedReturn {
 		t.Errorf("%+v, want one rejection to come back after %v", answers, closedReturn)
 	}
@@ -286,7 +286,7 @@
 func TestBegunJobMoves(t *testing.T) {
 	moved := map[int]schedule.TaskHistory{}
 	f := &owners{loads: twoZones()}
-	f.offer = func(group string, o schedule.Offer, a owner.Answer) error {
+	f.offer = func(group string, o schedule.Offer, a owner.OfferCallbacks) error {
 		if group == "b/0" {
 			if !o.Begun {
 				t.Errorf("tasks %v are offered as if nothing of their job had begun", o.Tasks)
@@ -297,7 +297,7 @@
 		}
 		f.loads[0] = OwnerLoad{Group: "a/0", Zone: "a", Closed: true}
 		past := map[int]schedule.TaskHistory{2: {LastRun: 1, FailedRuns: 1}}
-		a.Returned(schedule.Result{Returned: []int{1}, Begun: true}, schedule.Load{})
+		a.TasksReturned(schedule.Result{Returned: []int{1}, Begun: true}, schedule.Load{})
 		end(a, schedule.Result{Outcome: schedule.Completed, Done: []int{0}, Returned: []int{2}, History: past, Begun: true})
 		return nil
 	}
--- a/ingress/leaving_test.go
+++ b/ingress/leaving_test.go
@@ -13,10 +13,10 @@
 // nothing to withdraw yet. It is withdrawn once it is sent.
 func TestLeavesWhileOffered(t *testing.T) {
 	left := make(chan struct{})
-	answered := make(chan Answered, 1)
+	answered := make(chan Response, 1)
 	offered := make(chan struct{})
 	f := &owners{loads: twoZones()}
-	f.offer = func(group string, o schedule.Offer, a owner.Answer) error {
+	f.offer = func(group string, o schedule.Offer, a owner.OfferCallbacks) error {
 		if group == "a/0" {
 			go func() {
 				end(a, schedule.Result{Outcome: schedule.Completed, Returned: o.Tasks})
@@ -25,7 +25,7 @@
 			return nil
 		}
 		close(left)
-		if a := <-answered; a.Verdict != Left {
+		if a := <-answered; a.Verdict != CustomerLeft {
 			t.Errorf("%+v", a)
 		}
 		f.mu.Lock()
@@ -45,20 +45,20 @@
 // customer may send it to another instance: it must not go on.
 func TestSentAgainAndLeft(t *testing.T) {
 	offered := make(chan struct{}, 1)
-	f := &owners{loads: twoZones(), offer: func(string, schedule.Offer, owner.Answer) error { offered <- struct{}{}; return nil }}
+	f := &owners{loads: twoZones(), offer: func(string, schedule.Offer, owner.OfferCallbacks) error { offered <- struct{}{}; return nil }}
 	c := NewCoordinator("a", f)
 	first, second := make(chan struct{}), make(chan struct{})
 	r := request(1)
-	r.Patience = 5 * time.Second
-	verdict := make(chan Answered, 1)
+	r.Timeout = 5 * time.Second
+	verdict := make(chan Response, 1)
 	go func() { verdict <- c.Run(r, first) }()
 	<-offered
 	close(second)
-	if a := c.Run(r, second); a.Verdict != Left {
+	if a := c.Run(r, second); a.Verdict != CustomerLeft {
 		t.Errorf("the second connection: %+v", a)
 	}
 	close(first)
-	if a := <-verdict; a.Verdict != Left || len(f.withdrawn) != 1 {
+	if a := <-verdict; a.Verdict != CustomerLeft || len(f.withdrawn) != 1 {
 		t.Errorf("the first: %+v, %d withdrawn", a, len(f.withdrawn))
 	}
 }
@@ -74,16 +74,16 @@
 	left, withdrawing, goOn := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	offered := make(chan struct{})
 	f := &blockedOwners{
-		owners:      owners{loads: twoZones(), offer: func(string, schedule.Offer, owner.Answer) error { close(offered); return nil }},
+		owners:      owners{loads: twoZones(), offer: func(string, schedule.Offer, owner.OfferCallbacks) error { close(offered); return nil }},
 		withdrawing: withdrawing, goOn: goOn,
 	}
 	c := NewCoordinator("a", f)
-	answered := make(chan Answered)
+	answered := make(chan Response)
 	go func() { answered <- c.Run(request(1), left) }()
 	<-offered
 	close(left)
 	<-withdrawing
-	if c.DropLeft() {
+	if c.EndDisconnected() {
 		t.Error("a lease may be renewed while an offer is being withdrawn")
 	}
 	close(goOn)
@@ -97,22 +97,22 @@
 // it is, where its job has got its verdict meanwhile.
 func TestNoLeaseWhileOffering(t *testing.T) {
 	left, offering, goOn := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	f := &owners{loads: twoZones(), offer: func(string, schedule.Offer, owner.Answer) error {
+	f := &owners{loads: twoZones(), offer: func(string, schedule.Offer, owner.OfferCallbacks) error {
 		close(offering)
 		<-goOn
 		return nil
 	}}
 	c := NewCoordinator("a", f)
-	answered := make(chan Answered)
+	answered := make(chan Response)
 	go func() { answered <- c.Run(request(1), left) }()
 	<-offering
-	if c.DropLeft() {
+	if c.EndDisconnected() {
 		t.Error("a lease may be renewed while an offer is being sent")
 	}
 	close(goOn)
 	close(left)
 	<-answered
-	if !c.DropLeft() {
+	if !c.EndDisconnected() {
 		t.Error("no lease is renewed though nothing is being sent")
 	}
 }
@@ -142,10 +142,10 @@
 	} {
 		looks := 0
 		r := request(1)
-		r.Patience = 5 * time.Second
-		r.HasLeft = func() bool { looks++; return looks > c.looksBefore }
+		r.Timeout = 5 * time.Second
+		r.Disconnected = func() bool { looks++; return looks > c.looksBefore }
 		nobody := &owners{} // of upstreams: the job waits for one
-		if a := NewCoordinator("a", nobody).Run(r, nil); a.Verdict != Left || a.Reason != c.want || a.Offers != 0 {
+		if a := NewCoordinator("a", nobody).Run(r, nil); a.Verdict != CustomerLeft || a.Reason != c.want || a.Offers != 0 {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
--- a/ingress/modellink_test.go
+++ b/ingress/modellink_test.go
@@ -18,8 +18,8 @@
 	cOpen, oOpen bool
 	cHeard       time.Time
 	oHeard       time.Time
-	offers       map[schedule.JobKey]owner.Answer // of the coordinator
-	unsent       map[schedule.JobKey][]func()     // what follows offers that are still being sent
+	offers       map[schedule.JobKey]owner.OfferCallbacks // of the coordinator
+	unsent       map[schedule.JobKey][]func()             // what follows offers that are still being sent
 }
 
 func (l *modelLink) key() string { return fmt.Sprintf("%s#%d", l.c.name, l.number) }
@@ -57,9 +57,9 @@
 	l.cOpen = false
 	l.c.w.note("", "%s ends at the coordinator", l.key())
 	offers := l.offers
-	l.offers = map[schedule.JobKey]owner.Answer{}
+	l.offers = map[schedule.JobKey]owner.OfferCallbacks{}
 	for _, key := range l.c.w.sortedKeys(offers) {
-		offers[key].Ended(schedule.Result{Key: key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
+		offers[key].OfferEnded(schedule.Result{Key: key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
 	}
 }
 
@@ -84,7 +84,7 @@
 	if len(l.offers) == 0 {
 		return
 	}
-	if !l.c.c.DropLeft() {
+	if !l.c.c.EndDisconnected() {
 		return
 	}
 	l.toOwner(func() {
--- a/ingress/modelowner_test.go
+++ b/ingress/modelowner_test.go
@@ -13,7 +13,7 @@
 	process
 	zone    string
 	pool    *schedule.Pool // nil while another owns the group
-	answers map[schedule.JobKey]owner.Answer
+	answers map[schedule.JobKey]owner.OfferCallbacks
 	peer    *modelOwner
 	heard   time.Time // from its peer
 }
@@ -23,7 +23,7 @@
 	o.w.note("", "%s takes the group", o.name)
 	o.w.token++
 	o.pool = schedule.NewPool(schedule.DefaultConfig, o.w.token)
-	o.answers = map[schedule.JobKey]owner.Answer{}
+	o.answers = map[schedule.JobKey]owner.OfferCallbacks{}
 	added, effects := o.pool.SetUpstreams(o.Now(), o.w.listed(o.zone))
 	o.apply(effects)
 	for _, id := range added {
@@ -35,9 +35,9 @@
 // drop gives the group up: all that was offered is lost.
 func (o *modelOwner) drop() {
 	answers := o.answers
-	o.pool, o.answers = nil, map[schedule.JobKey]owner.Answer{}
+	o.pool, o.answers = nil, map[schedule.JobKey]owner.OfferCallbacks{}
 	for _, key := range o.w.sortedKeys(answers) {
-		answers[key].Ended(schedule.Result{Key: key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
+		answers[key].OfferEnded(schedule.Result{Key: key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
 	}
 }
 
@@ -137,13 +137,13 @@
 func (o *modelOwner) tell(e schedule.Effects) {
 	for _, r := range e.Returns {
 		if a, known := o.answers[r.Key]; known {
-			a.Returned(r, o.pool.Load(o.Now()))
+			a.TasksReturned(r, o.pool.Load(o.Now()))
 		}
 	}
 	for _, r := range e.Results {
 		if a, known := o.answers[r.Key]; known {
 			delete(o.answers, r.Key)
-			a.Ended(r, o.pool.Load(o.Now()))
+			a.OfferEnded(r, o.pool.Load(o.Now()))
 		}
 	}
 }
@@ -151,7 +151,7 @@
 // offered takes an offer that came on a link.
 func (o *modelOwner) offered(l *modelLink, offer schedule.Offer) {
 	inner := offer.Key
-	back := func(f func(owner.Answer) func(schedule.Result, schedule.Load)) func(schedule.Result, schedule.Load) {
+	back := func(f func(owner.OfferCallbacks) func(schedule.Result, schedule.Load)) func(schedule.Result, schedule.Load) {
 		return func(r schedule.Result, load schedule.Load) {
 			r.Key = inner
 			l.toCoordinator(func() {
@@ -165,12 +165,12 @@
 			})
 		}
 	}
-	answer := owner.Answer{
-		Returned: back(func(a owner.Answer) func(schedule.Result, schedule.Load) { return a.Returned }),
-		Ended:    back(func(a owner.Answer) func(schedule.Result, schedule.Load) { return a.Ended }),
+	answer := owner.OfferCallbacks{
+		TasksReturned: back(func(a owner.OfferCallbacks) func(schedule.Result, schedule.Load) { return a.TasksReturned }),
+		OfferEnded:    back(func(a owner.OfferCallbacks) func(schedule.Result, schedule.Load) { return a.OfferEnded }),
 	}
 	if o.pool == nil {
-		answer.Ended(schedule.Result{Outcome: schedule.Completed}, schedule.Load{})
+		answer.OfferEnded(schedule.Result{Outcome: schedule.Completed}, schedule.Load{})
 		return
 	}
 	offer.Key.Coordinator = l.key()
--- a/ingress/network_test.go
+++ b/ingress/network_test.go
@@ -207,7 +207,7 @@
 }
 
 // Offer implements Owners.
-func (c *modelCoordinator) Offer(group string, offer schedule.Offer, answer owner.Answer) error {
+func (c *modelCoordinator) Offer(group string, offer schedule.Offer, answer owner.OfferCallbacks) error {
 	o := c.ownerOf(group)
 	if o == nil {
 		return failure.Unreachable.New("no owner of %s", group)
@@ -298,7 +298,7 @@
 
 func (w *fleetWorld) connect(c *modelCoordinator, o *modelOwner) *modelLink {
 	w.links++
-	l := &modelLink{number: w.links, c: c, o: o, cOpen: true, oOpen: true, cHeard: w.Now(), oHeard: w.Now(), offers: map[schedule.JobKey]owner.Answer{}, unsent: map[schedule.JobKey][]func(){}}
+	l := &modelLink{number: w.links, c: c, o: o, cOpen: true, oOpen: true, cHeard: w.Now(), oHeard: w.Now(), offers: map[schedule.JobKey]owner.OfferCallbacks{}, unsent: map[schedule.JobKey][]func(){}}
 	c.links[o] = l
 	c.heardFrom[o] = w.Now() // they tell each other the time when they connect
 	l.beat()
--- a/ingress/pending.go
+++ b/ingress/pending.go
@@ -19,9 +19,9 @@
 	c       *Coordinator
 	began   time.Time
 	decided chan struct{} // closed once answer holds the verdict
-	answer  Answered
+	answer  Response
 	// onVerdict is called with the verdict, where it is set.
-	onVerdict func(Answered)
+	onVerdict func(Response)
 
 	mu     sync.Mutex
 	left   map[int]bool                 // tasks that are not done
@@ -62,7 +62,7 @@
 	if v == Unknown && !p.begun && len(p.parts) == 0 {
 		v = NotRun
 	}
-	p.answer = Answered{
+	p.answer = Response{
 		Verdict: v, Reason: reason, Begun: p.begun, Offers: p.offers, Groups: strings.Join(p.search.asked, ","),
 		RetryAfter: p.c.retryAfter(v, p.search.outcome(p.begun)), Owners: p.search.owners, OwnersAge: p.search.ownersAge,
 	}
@@ -128,9 +128,9 @@
 // send sends an offer, and reports whether its owner could be reached.
 func (p *pending) send(part *part, o schedule.Offer) bool {
 	defer p.c.sending.Add(-1)
-	err := p.c.owners.Offer(part.group, o, owner.Answer{
-		Returned: func(r schedule.Result, _ schedule.Load) { p.returned(part, r) },
-		Ended:    func(r schedule.Result, _ schedule.Load) { p.ended(part, r) },
+	err := p.c.owners.Offer(part.group, o, owner.OfferCallbacks{
+		TasksReturned: func(r schedule.Result, _ schedule.Load) { p.returned(part, r) },
+		OfferEnded:    func(r schedule.Result, _ schedule.Load) { p.ended(part, r) },
 	})
 	if err != nil {
 		p.unsent(part)
--- a/ingress/returns_test.go
+++ b/ingress/returns_test.go
@@ -64,7 +64,7 @@
 
 // TestRetryAfter: only a refusal for the load is spread.
 func TestRetryAfter(t *testing.T) {
-	c := NewSimulated("a", &owners{}, stillClock{}, DefaultPolicy)
+	c := NewSimulatedCoordinator("a", &owners{}, stillClock{}, DefaultPolicy)
 	for range 3 {
 		if after := c.retryAfter(NotRun, unreached); after != soonest {
 			t.Errorf("no owner: %v", after)
@@ -76,7 +76,7 @@
 	if after := c.retryAfter(NotRun, closed); after != closedReturn {
 		t.Errorf("closed: %v", after)
 	}
-	for _, v := range []Verdict{Completed, Failed, Unknown, Left} {
+	for _, v := range []Verdict{Completed, Failed, Unknown, CustomerLeft} {
 		if after := c.retryAfter(v, crowded); after != 0 {
 			t.Errorf("%s: %v", v, after)
 		}
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -17,27 +17,27 @@
 
 // Recorder is told each answer.
 type Recorder interface {
-	Answered(a Record)
+	RecordResponse(a Record)
 }
 
 // Record is one answer to a customer.
 type Record struct {
 	Job, Route string
 	Status     int
-	Answered
+	Response
 	Took          time.Duration
-	Patience      time.Duration // the customer's deadline when it sent the request
+	Timeout       time.Duration // the customer's deadline when it sent the request
 	Objective     time.Duration // by the customer's own estimate
 	Late          bool
 	Tasks         int
 	ConfigVersion uint64
 }
 
-// Stopping tells whether a planned stop of the instance is under way, and how
+// ShutdownStatus tells whether a planned stop of the instance is under way, and how
 // long jobs may still take then. Draining instances go on taking jobs that can
 // end in time: customers go on using connections that are open. Each is closed
 // after its answer.
-type Stopping func() (left time.Duration, stopping bool)
+type ShutdownStatus func() (left time.Duration, stopping bool)
 
 // ConfigSource returns the configuration in force, nil before there is one.
 type ConfigSource func() *fleet.Config
@@ -61,12 +61,12 @@
 	coordinator *Coordinator
 	config      ConfigSource
 	record      Recorder
-	stopping    Stopping
+	stopping    ShutdownStatus
 	http        *fasthttp.Server
 }
 
 // NewServer returns a server that is not listening yet.
-func NewServer(c *Coordinator, config ConfigSource, stopping Stopping, record Recorder) *Server {
+func NewServer(c *Coordinator, config ConfigSource, stopping ShutdownStatus, record Recorder) *Server {
 	s := &Server{coordinator: c, config: config, record: record, stopping: stopping}
 	s.http = &fasthttp.Server{
 		Handler: s.handle, MaxRequestBodySize: mostBody, ReadBufferSize: readBuffer, IdleTimeout: idleTimeout,
@@ -133,7 +133,7 @@
 		ctx.SetStatusCode(fasthttp.StatusMethodNotAllowed)
 		return
 	}
-	sendJSON(ctx, fasthttp.StatusOK, platform.EncodeWaiting(s.coordinator.Waiting(route.Name)))
+	sendJSON(ctx, fasthttp.StatusOK, platform.EncodeWaiting(s.coordinator.WaitingJobs(route.Name)))
 }
 
 func (s *Server) state(ctx *fasthttp.RequestCtx, id string) {
@@ -158,13 +158,13 @@
 	job, err := parse(config, id, ctx.PostBody())
 	if err != nil {
 		problem(ctx, err)
-		s.answered(Record{Job: id, Answered: Answered{Verdict: NotRun, Reason: failure.Text(err)}}, config, route, ctx, began)
+		s.answered(Record{Job: id, Response: Response{Verdict: NotRun, Reason: failure.Text(err)}}, config, route, ctx, began)
 		return
 	}
 	record := Record{Job: id, Tasks: job.Steps[0].Count}
 	if reason := s.declines(job, route); reason != "" {
 		refuse(ctx, reason, soonest)
-		record.Answered = Answered{Verdict: NotRun, Reason: reason}
+		record.Response = Response{Verdict: NotRun, Reason: reason}
 		s.answered(record, config, route, ctx, began)
 		return
 	}
@@ -173,11 +173,11 @@
 		patience = defaultPatience
 	}
 	left, stop := watch(ctx.Conn())
-	request := Request{Job: job, Route: route, Patience: patience - answerMargin, HasLeft: hasLeft(ctx.Conn())}
-	record.Objective, record.Patience = request.Objective(), patience
-	record.Answered = s.coordinator.Run(request, left)
+	request := Request{Job: job, Route: route, Timeout: patience - answerMargin, Disconnected: hasLeft(ctx.Conn())}
+	record.Objective, record.Timeout = request.Objective(), patience
+	record.Response = s.coordinator.Run(request, left)
 	stop()
-	respond(ctx, record.Answered)
+	respond(ctx, record.Response)
 	s.answered(record, config, route, ctx, began)
 }
 
@@ -215,11 +215,11 @@
 	r.Route, r.Status = route.Name, ctx.Response.StatusCode()
 	r.Took, r.ConfigVersion = clock.Since(began), config.Version
 	r.Late = r.Objective > 0 && r.Took > r.Objective
-	s.record.Answered(r)
+	s.record.RecordResponse(r)
 }
 
 // respond writes the answer for a verdict.
-func respond(ctx *fasthttp.RequestCtx, a Answered) {
+func respond(ctx *fasthttp.RequestCtx, a Response) {
 	switch a.Verdict {
 	case Completed:
 		sendJSON(ctx, fasthttp.StatusOK, platform.EncodeState(fleet.StateCompleted))
--- a/ingress/tworuns_test.go
+++ b/ingress/tworuns_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m, 20261203)) }
 
-func (w *fleetWorld) sortedKeys(m map[schedule.JobKey]owner.Answer) []schedule.JobKey {
+func (w *fleetWorld) sortedKeys(m map[schedule.JobKey]owner.OfferCallbacks) []schedule.JobKey {
 	keys := make([]schedule.JobKey, 0, len(m))
 	for key := range m {
 		keys = append(keys, key)
@@ -79,7 +79,7 @@
 	}
 	for _, zone := range w.zones {
 		c := &modelCoordinator{process: process{w: w, name: "c-" + zone}, links: map[*modelOwner]*modelLink{}, views: map[string]OwnerLoad{}, heardFrom: map[*modelOwner]time.Time{}}
-		c.c = NewSimulated(zone, c, &c.process, DefaultPolicy)
+		c.c = NewSimulatedCoordinator(zone, c, &c.process, DefaultPolicy)
 		c.hearLoads()
 		w.coordinators = append(w.coordinators, c)
 	}
@@ -186,7 +186,7 @@
 		c.do(func() {
 			c.AfterFunc(w.RandMillis(0, modelWatch), func() {
 				if conn.job != nil {
-					conn.job.drop(conn.waits, Left, reasonLeft)
+					conn.job.drop(conn.waits, CustomerLeft, reasonLeft)
 				}
 			})
 		})
@@ -200,13 +200,13 @@
 	route := &fleet.Route{Name: "r", Service: "s", Stretch: 1.6, Slack: 300 * time.Millisecond, MaxAttempts: 4}
 	conn.read = true
 	w.note(j.id, "read by %s", c.name)
-	p, me, first := c.c.open(Request{Job: job, Route: route, Patience: modelPatience, HasLeft: func() bool { return conn.closed && !w.Now().Before(conn.heard) }})
+	p, me, first := c.c.open(Request{Job: job, Route: route, Timeout: modelPatience, Disconnected: func() bool { return conn.closed && !w.Now().Before(conn.heard) }})
 	conn.job, conn.waits = p, me
 	c.AfterFunc(modelPatience, func() { p.timeUp(me) })
 	if !first {
 		return // it is answered there; this customer's deadline passes
 	}
-	p.onVerdict = func(a Answered) {
+	p.onVerdict = func(a Response) {
 		w.verdicts[a.Verdict]++
 		w.note(j.id, "%s says %s: %s", c.name, a.Verdict, a.Reason)
 		w.AfterFunc(modelClientHop, func() {
--- a/ingress/watch_test.go
+++ b/ingress/watch_test.go
@@ -19,8 +19,8 @@
 // records keeps the answers of a server.
 type records chan Record
 
-// Answered implements Recorder.
-func (r records) Answered(a Record) { r <- a }
+// RecordResponse implements Recorder.
+func (r records) RecordResponse(a Record) { r <- a }
 
 // stoodStill is an instance that accepts connections in the operating system, and
 // reads none until goOn is called.
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	offered := func(string, schedule.Offer, owner.Answer) error {
+	offered := func(string, schedule.Offer, owner.OfferCallbacks) error {
 		t.Error("the job is offered")
 		return nil
 	}
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	instance.goOn()
-	if a := <-instance.answers; a.Verdict != Left || a.Offers != 0 {
+	if a := <-instance.answers; a.Verdict != CustomerLeft || a.Offers != 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	instance.goOn()
-	if a := <-instance.answers; a.Verdict != Left || a.Offers != 0 {
+	if a := <-instance.answers; a.Verdict != CustomerLeft || a.Offers != 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -107,7 +107,7 @@
 func TestResetBehindNextRequest(t *testing.T) {
 	instance := newStoodStill(t)
 	customer := instance.send()
-	instance.owners.offer = func(string, schedule.Offer, owner.Answer) error {
+	instance.owners.offer = func(string, schedule.Offer, owner.OfferCallbacks) error {
 		_, err := customer.Write([]byte("GET /checks/ HTTP/1.1\r\n"))
 		if err := errors.Join(err, customer.SetLinger(0), customer.Close()); err != nil {
 			t.Error(err)
@@ -115,7 +115,7 @@
 		return failure.Unreachable.New("cut")
 	}
 	instance.goOn()
-	if a := <-instance.answers; a.Verdict != Left || a.Offers != 1 {
+	if a := <-instance.answers; a.Verdict != CustomerLeft || a.Offers != 1 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -28,7 +28,7 @@
 	}
 	for _, n := range instances {
 		n.views = map[string]ingress.OwnerLoad{}
-		n.coordinator = ingress.NewSimulated(n.zone, n, w, p.Ingress)
+		n.coordinator = ingress.NewSimulatedCoordinator(n.zone, n, w, p.Ingress)
 	}
 	return instances
 }
@@ -67,7 +67,7 @@
 }
 
 // Offer implements ingress.Owners.
-func (n *instance) Offer(name string, o schedule.Offer, answer owner.Answer) error {
+func (n *instance) Offer(name string, o schedule.Offer, answer owner.OfferCallbacks) error {
 	o.Key.Coordinator = n.name
 	o.AliveAt = time.Time{} // no coordinator is lost here
 	to := n.w.find(name)
@@ -87,7 +87,7 @@
 		}
 	}
 	n.w.AfterFunc(zoneHop, func() {
-		to.take(o, owner.Answer{Returned: back(answer.Returned), Ended: back(answer.Ended)})
+		to.take(o, owner.OfferCallbacks{TasksReturned: back(answer.TasksReturned), OfferEnded: back(answer.OfferEnded)})
 	})
 	return nil
 }
--- a/lab/world.go
+++ b/lab/world.go
@@ -56,7 +56,7 @@
 
 // outcome is what became of a customer's job.
 type outcome struct {
-	ingress.Answered
+	ingress.Response
 	job  *customerJob
 	took time.Duration
 	room bool // all its tasks would have fitted when it was answered
@@ -67,7 +67,7 @@
 	w       *world
 	name    string
 	pool    *schedule.Pool
-	answers map[schedule.JobKey]owner.Answer
+	answers map[schedule.JobKey]owner.OfferCallbacks
 }
 
 // Policies are the rules of one run.
@@ -164,7 +164,7 @@
 func (w *world) newGroup(zone string, p Policies) *group {
 	cfg := schedule.DefaultConfig
 	cfg.Policy = p.Schedule
-	g := &group{w: w, name: zone, pool: schedule.NewPool(cfg, 1), answers: map[schedule.JobKey]owner.Answer{}}
+	g := &group{w: w, name: zone, pool: schedule.NewPool(cfg, 1), answers: map[schedule.JobKey]owner.OfferCallbacks{}}
 	g.setUpstreams(false)
 	g.ticks()
 	return g
@@ -195,21 +195,21 @@
 // submit sends a job, and again where its customer was refused and comes back.
 func (w *world) submit(j *customerJob, at *instance) {
 	first := w.Now()
-	w.send(j, at, func(a ingress.Answered) {
-		w.outcomes = append(w.outcomes, outcome{Answered: a, job: j, took: w.Now().Sub(first), room: w.hasRoom(j)})
+	w.send(j, at, func(a ingress.Response) {
+		w.outcomes = append(w.outcomes, outcome{Response: a, job: j, took: w.Now().Sub(first), room: w.hasRoom(j)})
 		w.comeBack(j, at, a, first, w.d.setup.Returns)
 	})
 }
 
-func (w *world) send(j *customerJob, at *instance, answered func(ingress.Answered)) {
+func (w *world) send(j *customerJob, at *instance, answered func(ingress.Response)) {
 	k := w.d.kinds[j.kind]
 	job := &fleet.Job{ID: j.id, Steps: []fleet.Step{{Count: len(j.works), Demand: j.demand, Estimate: j.estimate}}}
-	timeUp := at.coordinator.Begin(ingress.Request{Job: job, Route: &k.route, Patience: patience}, answered)
+	timeUp := at.coordinator.Start(ingress.Request{Job: job, Route: &k.route, Timeout: patience}, answered)
 	w.AfterFunc(patience, timeUp)
 }
 
 // comeBack sends a refused job again when its customer was told to.
-func (w *world) comeBack(j *customerJob, at *instance, a ingress.Answered, first time.Time, left int) {
+func (w *world) comeBack(j *customerJob, at *instance, a ingress.Response, first time.Time, left int) {
 	switch {
 	case a.Verdict == ingress.Completed && left < w.d.setup.Returns:
 		w.servedLater++
@@ -217,7 +217,7 @@
 	case a.Verdict == ingress.NotRun && left > 0:
 		spread := time.Duration(w.Rand.Float64() * float64(time.Second)) // no two clients are in step
 		w.AfterFunc(a.RetryAfter+spread, func() {
-			w.send(j, at, func(a ingress.Answered) { w.comeBack(j, at, a, first, left-1) })
+			w.send(j, at, func(a ingress.Response) { w.comeBack(j, at, a, first, left-1) })
 		})
 	}
 }
@@ -231,7 +231,7 @@
 	return free >= len(j.works)
 }
 
-func (g *group) take(o schedule.Offer, answer owner.Answer) {
+func (g *group) take(o schedule.Offer, answer owner.OfferCallbacks) {
 	g.answers[o.Key] = answer
 	g.apply(g.pool.Offer(g.w.Now(), o))
 }
@@ -269,13 +269,13 @@
 func (g *group) tell(e schedule.Effects) {
 	for _, r := range e.Returns {
 		if a, known := g.answers[r.Key]; known {
-			a.Returned(r, g.pool.Load(g.w.Now()))
+			a.TasksReturned(r, g.pool.Load(g.w.Now()))
 		}
 	}
 	for _, r := range e.Results {
 		if a, known := g.answers[r.Key]; known {
 			delete(g.answers, r.Key)
-			a.Ended(r, g.pool.Load(g.w.Now()))
+			a.OfferEnded(r, g.pool.Load(g.w.Now()))
 		}
 	}
 }
--- a/node/giveup_test.go
+++ b/node/giveup_test.go
@@ -103,7 +103,7 @@
 		in.delayOrders(1, 300*time.Millisecond)
 		id := in.newID()
 		leave := in.handIn(coordinator, id, 2)
-		in.until("the job is open", func() bool { return in.nodes[coordinator].ingress.Open() == 1 })
+		in.until("the job is open", func() bool { return in.nodes[coordinator].ingress.OpenJobs() == 1 })
 		leave()
 		in.kill(owner)
 		in.delayOrders(0, 0)
--- a/node/lease.go
+++ b/node/lease.go
@@ -75,7 +75,7 @@
 // there, it renews the lease of those, once it has looked after the customers of all.
 func (r *router) heardOwner(link inner.Link, from fate.Incarnation, clockMs uint64) {
 	r.heardClock(from, clockMs)
-	if !r.renewalDue(link) || !r.n.ingress.DropLeft() {
+	if !r.renewalDue(link) || !r.n.ingress.EndDisconnected() {
 		return
 	}
 	r.mu.Lock()
@@ -99,12 +99,12 @@
 // renewOwn renews the leases of this instance with the groups that it owns itself.
 func (n *Node) renewOwn() {
 	self := string(n.self)
-	groups := slices.DeleteFunc(n.owned(), func(g *ownedGroup) bool { return !g.WorksFor(self) })
+	groups := slices.DeleteFunc(n.owned(), func(g *ownedGroup) bool { return !g.HasLeasedJobs(self) })
 	if len(groups) == 0 {
 		return
 	}
 	now := clock.Now()
-	if !n.ingress.DropLeft() {
+	if !n.ingress.EndDisconnected() {
 		return
 	}
 	for _, g := range groups {
--- a/node/log.go
+++ b/node/log.go
@@ -165,7 +165,7 @@
 		slog.String("job", r.Job), slog.String("route", r.Route), slog.Int("status", r.Status),
 		slog.String("verdict", string(r.Verdict)), slog.String("reason", r.Reason), slog.Bool("begun", r.Begun),
 		slog.Int("offers", r.Offers), slog.String("groups", r.Groups), slog.Int("tasks", r.Tasks), slog.Duration("took", r.Took),
-		slog.Duration("patience", r.Patience),
+		slog.Duration("patience", r.Timeout),
 		slog.Duration("objective", r.Objective), slog.Uint64("config", r.ConfigVersion), slog.Int("owners", r.Owners),
 		slog.Duration("owners_age", r.OwnersAge),
 	}, sample)...)
--- a/node/node.go
+++ b/node/node.go
@@ -249,7 +249,7 @@
 	if c := n.config.Load(); c != nil {
 		version = c.Version
 	}
-	fmt.Fprintf(w, "sedgehatch_config_version %d\nsedgehatch_open_jobs %d\n", version, n.ingress.Open())
+	fmt.Fprintf(w, "sedgehatch_config_version %d\nsedgehatch_open_jobs %d\n", version, n.ingress.OpenJobs())
 	n.mu.Lock()
 	near, far := len(n.neighbours.Near), len(n.neighbours.Far)
 	n.mu.Unlock()
@@ -281,9 +281,9 @@
 	}
 	fmt.Fprintf(w, "sedgehatch_bytes{with=\"peers\",way=\"out\"} %d\nsedgehatch_link_bytes_per_s %.0f\n", n.mesh.Sent(), n.settings.LinkRate)
 	for _, g := range n.owned() {
-		waits := g.Waits()
+		waits := g.CallDelays()
 		fmt.Fprintf(w, "sedgehatch_group_overdue_ms{group=%q} %d\nsedgehatch_group_link_wait_ms{group=%q} %d\n",
-			g.Name, waits.Overdue.Milliseconds(), g.Name, waits.Link.Milliseconds())
+			g.Name, waits.OverdueAfter.Milliseconds(), g.Name, waits.LinkWait.Milliseconds())
 	}
 }
 
@@ -300,7 +300,7 @@
 	return !n.leaving.Load() && !n.customerListenerFailed.Load() && n.config.Load() != nil && len(n.router.Loads()) > 0
 }
 
-// stopping implements ingress.Stopping.
+// stopping implements ingress.ShutdownStatus.
 func (n *Node) stopping() (left time.Duration, stopping bool) {
 	ends := n.drainDeadline.Load()
 	if ends == nil {
@@ -317,7 +317,7 @@
 	limit := n.settings.Timing.Grace - graceMargin
 	n.drainDeadline.Store(lo.ToPtr(began.Add(limit)))
 	n.leaving.Store(true)
-	event.NodeDraining.Log(n.log, slog.Int("jobs", n.ingress.Open()))
+	event.NodeDraining.Log(n.log, slog.Int("jobs", n.ingress.OpenJobs()))
 	n.handOver(0, limit)
 	n.tick()
 	drained := false
@@ -328,10 +328,10 @@
 		n.mu.Lock()
 		owns := len(n.groups)
 		n.mu.Unlock()
-		drained = n.ingress.Open() == 0 && owns == 0 && clock.Since(began) >= minDrain
+		drained = n.ingress.OpenJobs() == 0 && owns == 0 && clock.Since(began) >= minDrain
 	}
 	n.drainDeadline.Store(&began) // no job is taken any more
-	jobs := n.ingress.Open()
+	jobs := n.ingress.OpenJobs()
 	n.ingress.Abandon()
 	time.Sleep(flushTime)
 	event.NodeStopped.Log(n.log, slog.Bool("drained", drained), slog.Int("jobs", jobs),
@@ -357,13 +357,13 @@
 	n.introduce(name)
 }
 
-// Decided implements owner.Observer.
-func (n *Node) Decided(group string, token uint64, d schedule.Decision) {
+// DecisionMade implements owner.Observer.
+func (n *Node) DecisionMade(group string, token uint64, d schedule.Decision) {
 	n.decisions.decided(group, token, d)
 }
 
-// Called implements owner.Observer.
-func (n *Node) Called(kind string, err error, took time.Duration) {
+// CallEnded implements owner.Observer.
+func (n *Node) CallEnded(kind string, err error, took time.Duration) {
 	n.metrics.CountSent(kind)
 	if err != nil {
 		n.metrics.CountWasted(kind)
@@ -375,11 +375,11 @@
 	}
 }
 
-// Overdue implements owner.Observer.
-func (n *Node) Overdue(kind string) { n.metrics.Add(kind+"_overdue", 1) }
+// CallOverdue implements owner.Observer.
+func (n *Node) CallOverdue(kind string) { n.metrics.Add(kind+"_overdue", 1) }
 
-// Answered implements ingress.Recorder.
-func (n *Node) Answered(r ingress.Record) {
+// RecordResponse implements ingress.Recorder.
+func (n *Node) RecordResponse(r ingress.Record) {
 	n.metrics.Add("answer_"+r.Route+"_"+string(r.Verdict), 1)
 	if r.Verdict != ingress.Completed {
 		n.metrics.Add("cause_"+string(r.Verdict)+": "+r.Reason, 1)
--- a/node/router.go
+++ b/node/router.go
@@ -39,7 +39,7 @@
 
 // sentOffer is an offer to a peer.
 type sentOffer struct {
-	owner.Answer
+	owner.OfferCallbacks
 	peer string     // the instance that it went to
 	link inner.Link // that it went on; nil while it is being sent
 	// withdrawn is set once the offer is not wanted any more, for a reason.
@@ -156,7 +156,7 @@
 }
 
 // Offer implements ingress.Owners.
-func (r *router) Offer(group string, o schedule.Offer, answer owner.Answer) error {
+func (r *router) Offer(group string, o schedule.Offer, answer owner.OfferCallbacks) error {
 	if g, open := r.group(group); open {
 		o.Key.Coordinator = string(r.n.self)
 		return g.Offer(o, answer)
@@ -169,7 +169,7 @@
 	}
 	k := offerKey{group, o.Key}
 	peer := v.peer
-	sent := &sentOffer{Answer: answer, peer: peer.Instance()}
+	sent := &sentOffer{OfferCallbacks: answer, peer: peer.Instance()}
 	r.sent[k] = sent
 	v.load.Free -= len(o.Tasks)
 	r.used[peer.Instance()] = clock.Now()
@@ -208,14 +208,14 @@
 	}
 	switch {
 	case failure.Is(err, failure.Stopping):
-		answer.Ended(schedule.Result{Key: k.key, Outcome: schedule.Completed}, schedule.Load{})
+		answer.OfferEnded(schedule.Result{Key: k.key, Outcome: schedule.Completed}, schedule.Load{})
 	case err != nil:
 		event.OfferLost.Log(r.n.log, slog.String("job", k.key.ID), slog.String("group", k.group), slog.String("error", err.Error()))
-		answer.Ended(schedule.Result{Key: k.key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
+		answer.OfferEnded(schedule.Result{Key: k.key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
 	default:
 		ended := f.GetOfferEnded()
 		r.updateLoad(ended.GetLoad())
-		answer.Ended(schedule.Result{
+		answer.OfferEnded(schedule.Result{
 			Key: k.key, Outcome: schedule.Outcome(ended.GetOutcome()), Begun: ended.GetBegun(),
 			Done: toInts(ended.GetDone()), Returned: toInts(ended.GetReturned()), History: pastFrom(ended.GetPast()),
 		}, loadFrom(ended.GetLoad()))
@@ -239,7 +239,7 @@
 	answer := r.sent[k]
 	r.mu.Unlock()
 	if answer != nil {
-		answer.Returned(schedule.Result{Key: k.key, Returned: toInts(m.GetTasks()), History: pastFrom(m.GetPast()), Begun: m.GetBegun()}, loadFrom(m.GetLoad()))
+		answer.TasksReturned(schedule.Result{Key: k.key, Returned: toInts(m.GetTasks()), History: pastFrom(m.GetPast()), Begun: m.GetBegun()}, loadFrom(m.GetLoad()))
 	}
 }
 
@@ -289,11 +289,11 @@
 	o := offerFrom(m)
 	o.Key.Coordinator = coordinatorOf(link, from)
 	o.AliveAt = r.n.atClock(m.GetAliveMs())
-	err := g.Offer(o, owner.Answer{
-		Returned: func(res schedule.Result, l schedule.Load) {
+	err := g.Offer(o, owner.OfferCallbacks{
+		TasksReturned: func(res schedule.Result, l schedule.Load) {
 			_ = link.Send(returnedFrame(g, res, l)) // a closed connection has ended the offer
 		},
-		Ended: func(res schedule.Result, l schedule.Load) { reply(endedFrame(g, res, l)) },
+		OfferEnded: func(res schedule.Result, l schedule.Load) { reply(endedFrame(g, res, l)) },
 	})
 	if err != nil {
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(err)}})
--- a/node/suspension.go
+++ b/node/suspension.go
@@ -26,5 +26,5 @@
 		return
 	}
 	event.Resumed.Log(n.log, slog.Duration("suspended", length))
-	n.ingress.DropOverdue()
+	n.ingress.EndTimedOut()
 }
--- a/owner/await.go
+++ b/owner/await.go
@@ -66,7 +66,7 @@
 // unanswered takes a call to an upstream that is overdue: the connections that were
 // open beside it may have gone silent with it.
 func (g *Group) unanswered(kind string, u fleet.Upstream) {
-	g.seen.Overdue(kind)
+	g.seen.CallOverdue(kind)
 	if g.distrust.Allow() {
 		g.calls.CloseIdleConnections(u)
 	}
--- a/owner/group.go
+++ b/owner/group.go
@@ -14,11 +14,11 @@
 	"golang.org/x/time/rate"
 )
 
-// Upstreams makes calls to upstreams. Errors are Gone where the upstream's life
+// UpstreamClient makes calls to upstreams. Errors are Gone where the upstream's life
 // is over, Conflict where it has seen a higher fencing token, Refused where it
 // declines, and Lost where no answer came within the timeout; the connection is
 // closed then.
-type Upstreams interface {
+type UpstreamClient interface {
 	Start(to fleet.Upstream, o fleet.StartOrder, timeout time.Duration) (fleet.Refusal, error)
 	Stop(to fleet.Upstream, run fleet.Run, token uint64, timeout time.Duration) error
 	Hold(to fleet.Upstream, o fleet.HoldOrder, timeout time.Duration) (fleet.Report, error)
@@ -29,11 +29,11 @@
 
 // Observer is told what a group decides and how its calls went.
 type Observer interface {
-	Decided(group string, token uint64, d schedule.Decision)
-	// Called is told the end of a call, and Overdue that a call counts as
+	DecisionMade(group string, token uint64, d schedule.Decision)
+	// CallEnded is told the end of a call, and CallOverdue that a call counts as
 	// unanswered before it has ended.
-	Called(kind string, err error, took time.Duration)
-	Overdue(kind string)
+	CallEnded(kind string, err error, took time.Duration)
+	CallOverdue(kind string)
 }
 
 const (
@@ -50,11 +50,11 @@
 	tick = 25 * time.Millisecond
 )
 
-// Answer takes what becomes of an offer. Returned tasks may come several times
+// OfferCallbacks takes what becomes of an offer. Returned tasks may come several times
 // before the end.
-type Answer struct {
-	Returned func(schedule.Result, schedule.Load)
-	Ended    func(schedule.Result, schedule.Load)
+type OfferCallbacks struct {
+	TasksReturned func(schedule.Result, schedule.Load)
+	OfferEnded    func(schedule.Result, schedule.Load)
 }
 
 // Group is a pool at work.
@@ -62,24 +62,24 @@
 	Name  string
 	Token uint64
 
-	calls Upstreams
+	calls UpstreamClient
 	seen  Observer
 
 	mu       sync.Mutex // guards pool and answers
 	pool     *schedule.Pool
 	rtt      roundTrip     // of starts
 	distrust *rate.Limiter // of upstreams whose connections are closed
-	answers  map[schedule.JobKey]Answer
+	answers  map[schedule.JobKey]OfferCallbacks
 	follows  map[string]bool // upstreams whose reports are being read
 	closed   bool
 	done     chan struct{}
 }
 
 // NewGroup returns a running group. Close ends it.
-func NewGroup(name string, cfg schedule.Config, token uint64, calls Upstreams, seen Observer) *Group {
+func NewGroup(name string, cfg schedule.Config, token uint64, calls UpstreamClient, seen Observer) *Group {
 	g := &Group{
 		Name: name, Token: token, calls: calls, seen: seen,
-		pool: schedule.NewPool(cfg, token), answers: map[schedule.JobKey]Answer{}, follows: map[string]bool{}, done: make(chan struct{}),
+		pool: schedule.NewPool(cfg, token), answers: map[schedule.JobKey]OfferCallbacks{}, follows: map[string]bool{}, done: make(chan struct{}),
 		distrust: rate.NewLimiter(distrustRate, distrustBurst),
 	}
 	go g.ticks()
@@ -127,13 +127,13 @@
 	var tell []func()
 	for _, r := range effects.Returns {
 		if a, known := g.answers[r.Key]; known {
-			tell = append(tell, func() { a.Returned(r, load) })
+			tell = append(tell, func() { a.TasksReturned(r, load) })
 		}
 	}
 	for _, r := range effects.Results {
 		if a, known := g.answers[r.Key]; known {
 			delete(g.answers, r.Key)
-			tell = append(tell, func() { a.Ended(r, load) })
+			tell = append(tell, func() { a.OfferEnded(r, load) })
 		}
 	}
 	return tell
@@ -150,7 +150,7 @@
 		go g.look(id)
 	}
 	for _, d := range effects.Decisions {
-		g.seen.Decided(g.Name, g.Token, d)
+		g.seen.DecisionMade(g.Name, g.Token, d)
 	}
 }
 
@@ -171,7 +171,7 @@
 	}
 	call := func() started {
 		refusal, err := g.calls.Start(s.Upstream, s.Order, limit)
-		g.seen.Called("start", err, clock.Since(began))
+		g.seen.CallEnded("start", err, clock.Since(began))
 		return started{refusal, err}
 	}
 	take := func(a started) { g.started(s, a, clock.Since(began)-s.LinkDelay) }
@@ -201,7 +201,7 @@
 	_, limit := g.timeouts()
 	began := clock.Now()
 	err := g.calls.Stop(s.Upstream, s.Run, g.Token, limit)
-	g.seen.Called("stop", err, clock.Since(began))
+	g.seen.CallEnded("stop", err, clock.Since(began))
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		return p.HandleStopResponse(now, s.Upstream.Incarnation(), s.Run, err)
 	})
@@ -229,7 +229,7 @@
 	sent := clock.Now()
 	call := func() held {
 		report, err := g.calls.Hold(u, order, limit)
-		g.seen.Called("hold", err, clock.Since(sent))
+		g.seen.CallEnded("hold", err, clock.Since(sent))
 		return held{report, err}
 	}
 	answer, inTime := await(overdue, call, func(late held) {
@@ -327,18 +327,18 @@
 	return g.pool.Load(clock.Now())
 }
 
-// Waits are what the calls of a group wait for.
-type Waits struct {
-	Overdue time.Duration // after which an answer counts as overdue
-	Link    time.Duration // until the link has carried what was handed to it
+// CallDelays are what the calls of a group wait for.
+type CallDelays struct {
+	OverdueAfter time.Duration // after which an answer counts as overdue
+	LinkWait     time.Duration // until the link has carried what was handed to it
 }
 
-// Waits returns what calls wait for now.
-func (g *Group) Waits() Waits {
+// CallDelays returns what calls wait for now.
+func (g *Group) CallDelays() CallDelays {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Now()
-	return Waits{Overdue: g.rtt.timeout(now), Link: g.pool.LinkDelay(now)}
+	return CallDelays{OverdueAfter: g.rtt.timeout(now), LinkWait: g.pool.LinkDelay(now)}
 }
 
 // Close ends the group: it makes no call any more. The jobs that are left end
@@ -352,9 +352,9 @@
 	g.closed = true
 	close(g.done)
 	answers := g.answers
-	g.answers = map[schedule.JobKey]Answer{}
+	g.answers = map[schedule.JobKey]OfferCallbacks{}
 	g.mu.Unlock()
 	for key, a := range answers {
-		a.Ended(schedule.Result{Key: key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
+		a.OfferEnded(schedule.Result{Key: key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
 	}
 }
--- a/owner/link_test.go
+++ b/owner/link_test.go
@@ -115,7 +115,7 @@
 	time.Sleep(time.Until(arrives))
 }
 
-// CloseIdleConnections implements Upstreams.
+// CloseIdleConnections implements UpstreamClient.
 func (l *linked) CloseIdleConnections(to fleet.Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,9 +171,9 @@
 // silentObserver is told nothing of interest.
 type silentObserver struct{}
 
-func (silentObserver) Decided(string, uint64, schedule.Decision) {}
-func (silentObserver) Called(string, error, time.Duration)       {}
-func (silentObserver) Overdue(string)                            {}
+func (silentObserver) DecisionMade(string, uint64, schedule.Decision) {}
+func (silentObserver) CallEnded(string, error, time.Duration)         {}
+func (silentObserver) CallOverdue(string)                             {}
 
 // narrowOwner is an owner behind a narrow link, and what became of its jobs.
 type narrowOwner struct {
@@ -218,9 +218,9 @@
 			Key: schedule.JobKey{Coordinator: "c", ID: fmt.Sprintf("%d-%d-%d", perSecond, long, i)}, Service: "desk", Route: "r",
 			Spec: string(make([]byte, specBytes)), Demand: fleet.Resources{MilliCPU: 32_000}, Estimate: taskTime, MaxAttempts: 4,
 			Tasks: lo.Range(1 + n.widths.IntN(2*meanWidth-1)), Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: 2 * time.Second, MayQueue: true,
-		}, Answer{
-			Returned: func(schedule.Result, schedule.Load) {},
-			Ended: func(r schedule.Result, _ schedule.Load) {
+		}, OfferCallbacks{
+			TasksReturned: func(schedule.Result, schedule.Load) {},
+			OfferEnded: func(r schedule.Result, _ schedule.Load) {
 				n.mu.Lock()
 				defer n.mu.Unlock()
 				n.results[r.Outcome]++
--- a/owner/offer.go
+++ b/owner/offer.go
@@ -9,7 +9,7 @@
 
 // Offer takes a job, and tells answer what becomes of it. The error is Stopping
 // once the group is closed; nothing began then.
-func (g *Group) Offer(o schedule.Offer, answer Answer) error {
+func (g *Group) Offer(o schedule.Offer, answer OfferCallbacks) error {
 	g.mu.Lock()
 	if g.closed {
 		g.mu.Unlock()
@@ -49,8 +49,8 @@
 	g.pool.RenewCoordinator(coordinator, alive)
 }
 
-// WorksFor reports whether the group has jobs of a coordinator under a lease.
-func (g *Group) WorksFor(coordinator string) bool {
+// HasLeasedJobs reports whether the group has jobs of a coordinator under a lease.
+func (g *Group) HasLeasedJobs(coordinator string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pool.HasLeasedJobs(coordinator)
