--- a/node/configask.go
+++ b/node/configask.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// configPatience is how long an instance that hears of a newer configuration
+	// configStoreWait is how long an instance that hears of a newer configuration
 	// waits for the store to tell it: a watch does within milliseconds.
-	configPatience = 200 * time.Millisecond
-	// configRetry is how long a peer has to answer before another is asked. A
+	configStoreWait = 200 * time.Millisecond
+	// configRequestInterval is how long a peer has to answer before another is asked. A
 	// configuration of 1,400 routes is some 300 kB: .1 s of a link of 25 Mbit/s.
-	configRetry = 500 * time.Millisecond
+	configRequestInterval = 500 * time.Millisecond
 )
 
 // configRequests decides when to ask a peer for a newer configuration: one at a time.
 // Every neighbour tells of it at about the same moment; in a fleet of 147 a hub has
 // 70, and 70 answers of 300 kB would fill its memory, and the links, for seconds.
 type configRequests struct {
-	version uint64    // the newest that was heard of
-	since   time.Time // when it was
-	asked   time.Time // when a peer was asked last
+	newest      uint64    // the newest that was heard of
+	newestSince time.Time // when it was
+	requestedAt time.Time // when a peer was asked last
 }
 
 // due takes that a peer has a newer configuration than this instance, and reports
 // whether to ask it now. An instance that has none yet does not wait for the store.
-func (c *configRequests) due(now time.Time, version uint64, none bool) bool {
-	if version > c.version {
-		c.version, c.since = version, now
+func (c *configRequests) due(now time.Time, version uint64, noConfig bool) bool {
+	if version > c.newest {
+		c.newest, c.newestSince = version, now
 	}
-	if now.Sub(c.asked) < configRetry || !none && now.Sub(c.since) < configPatience {
+	if now.Sub(c.requestedAt) < configRequestInterval || !noConfig && now.Sub(c.newestSince) < configStoreWait {
 		return false
 	}
-	c.asked = now
+	c.requestedAt = now
 	return true
 }
 
-// learnsVersion takes the version of the configuration that a peer has in force.
-func (n *Node) learnsVersion(link inner.Link, version uint64) {
+// handleConfigVersion takes the version of the configuration that a peer has in force.
+func (n *Node) handleConfigVersion(link inner.Link, version uint64) {
 	config := n.config.Load()
 	if version == 0 || config != nil && version <= config.Version {
 		return
--- a/node/configask_test.go
+++ b/node/configask_test.go
@@ -22,15 +22,15 @@
 			}
 		}
 	}
-	tell(0, configPatience-time.Millisecond, 7, false)
+	tell(0, configStoreWait-time.Millisecond, 7, false)
 	if asked != 0 {
 		t.Errorf("%d peers were asked before the store could tell", asked)
 	}
-	tell(configPatience, configPatience+configRetry-time.Millisecond, 7, false)
+	tell(configStoreWait, configStoreWait+configRequestInterval-time.Millisecond, 7, false)
 	if asked != 1 {
 		t.Errorf("%d peers were asked while one had time to answer", asked)
 	}
-	tell(configPatience+configRetry, configPatience+2*configRetry-time.Millisecond, 7, false)
+	tell(configStoreWait+configRequestInterval, configStoreWait+2*configRequestInterval-time.Millisecond, 7, false)
 	if asked != 2 {
 		t.Errorf("%d peers were asked after one had not answered", asked)
 	}
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -209,24 +209,24 @@
 	in := newInstallation(t, []string{"a", "b"}, 1, "a-1", "b-1")
 	teller := in.nodes["b-1"]
 	cut := directory.New()
-	hear := func(p *inner.Presence) { cut.ReplaceZones(p.GetZonesRevision(), zonesFrom(p)) }
-	before := teller.presence()
+	hear := func(p *inner.Presence) { cut.ReplaceZones(p.GetZonesRevision(), zoneStatesFromPeer(p)) }
+	before := teller.heartbeat()
 	in.store.Evacuate("a")
 	in.quietFrom("a/0")
 	evacuated := func() bool {
 		states, revision := cut.Zones()
 		return revision > 0 && len(states) == 1 && states[0].Evacuated
 	}
-	in.until("the peer knows", func() bool { return len(teller.presence().GetZones()) == 1 })
-	during := teller.presence()
+	in.until("the peer knows", func() bool { return len(teller.heartbeat().GetZones()) == 1 })
+	during := teller.heartbeat()
 	hear(during)
 	hear(before)
 	if !evacuated() {
 		t.Error("it has not heard of the evacuation")
 	}
 	in.store.EndEvacuation("a")
-	in.until("the peer knows the end", func() bool { return !teller.presence().GetZones()[0].GetEvacuated() })
-	hear(teller.presence())
+	in.until("the peer knows the end", func() bool { return !teller.heartbeat().GetZones()[0].GetEvacuated() })
+	hear(teller.heartbeat())
 	hear(during)
 	if evacuated() {
 		t.Error("it still takes the zone for evacuated")
--- a/node/follow.go
+++ b/node/follow.go
@@ -12,50 +12,50 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// follower keeps a copy of the store's keys below a prefix.
-type follower struct {
+// storeFollower keeps a copy of the store's keys below a prefix.
+type storeFollower struct {
 	prefix string
-	// wait is how long the store may hold a watch back that has nothing to tell.
-	wait func() time.Duration
-	// rest is the pause after each answer: more changes are read together then.
-	rest func() time.Duration
-	// need tells how closely the keys have to be followed now; nil is closely, always.
-	need func() need
+	// watchWait is how long the store may hold a watch back that has nothing to tell.
+	watchWait func() time.Duration
+	// readPause is the pause after each answer: more changes are read together then.
+	readPause func() time.Duration
+	// mode tells how closely the keys have to be followed now; nil is closely, always.
+	mode func() followMode
 	// replace takes all keys as they were at a revision, update those that changed.
 	replace func(items []platform.Item, revision uint64)
 	update  func(items []platform.Item)
-	// unread is called where the store does not answer before all keys have been read; it
+	// onReadFailure is called where the store does not answer before all keys have been read; it
 	// may be nil.
-	unread func()
+	onReadFailure func()
 }
 
-// need is how closely keys of the store have to be followed.
-type need int
+// followMode is how closely keys of the store have to be followed.
+type followMode int
 
 const (
-	needClosely need = iota
-	needRoughly      // it is enough to read them all from time to time
-	needNothing
+	followContinuously followMode = iota
+	followPeriodically            // it is enough to read them all from time to time
+	followNothing
 )
 
-// now returns how closely the keys have to be followed now.
-func (f *follower) now() need {
-	if f.need == nil {
-		return needClosely
+// currentMode returns how closely the keys have to be followed currentMode.
+func (f *storeFollower) currentMode() followMode {
+	if f.mode == nil {
+		return followContinuously
 	}
-	return f.need()
+	return f.mode()
 }
 
 // follow runs f until the instance stops. The store may be away for long: what
 // is known stays.
-func (n *Node) follow(f follower) {
+func (n *Node) follow(f storeFollower) {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = firstRetry, longestRetry
 	revision, known, lost := uint64(0), false, time.Time{}
 	for n.ctx.Err() == nil {
-		if f.now() == needNothing {
+		if f.currentMode() == followNothing {
 			known = false
-			n.pause(neededPoll)
+			n.sleep(neededPoll)
 			continue
 		}
 		items, next, err := n.read(f, known, revision)
@@ -71,9 +71,9 @@
 			} else if len(items) > 0 {
 				f.update(items)
 			}
-			known = !n.restRoughly(f)
+			known = !n.waitForNextFullRead(f)
 			if known {
-				n.pause(f.rest())
+				n.sleep(f.readPause())
 			}
 			continue
 		}
@@ -82,41 +82,41 @@
 			lost = clock.Now()
 			event.StoreLost.Log(n.log, slog.String("prefix", f.prefix), slog.String("error", err.Error()))
 		}
-		if !known && f.unread != nil {
-			f.unread()
+		if !known && f.onReadFailure != nil {
+			f.onReadFailure()
 		}
-		n.pause(pause.NextBackOff())
+		n.sleep(pause.NextBackOff())
 	}
 }
 
-// restRoughly pauses while the keys are only needed roughly, up to roughRest, and
+// waitForNextFullRead pauses while the keys are only needed roughly, up to roughRest, and
 // reports whether they have to be read again in whole.
-func (n *Node) restRoughly(f follower) bool {
+func (n *Node) waitForNextFullRead(f storeFollower) bool {
 	began, rested := clock.Now(), false
-	for f.now() == needRoughly && n.ctx.Err() == nil {
+	for f.currentMode() == followPeriodically && n.ctx.Err() == nil {
 		if clock.Since(began) >= roughRest {
 			return true
 		}
-		n.pause(neededPoll)
+		n.sleep(neededPoll)
 		rested = true
 	}
 	return rested
 }
 
-func always(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+func constant(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-func noRest() time.Duration { return 0 }
+func noPause() time.Duration { return 0 }
 
 // read reads all keys of a follower, or what has changed since a revision.
-func (n *Node) read(f follower, known bool, revision uint64) ([]platform.Item, uint64, error) {
+func (n *Node) read(f storeFollower, known bool, revision uint64) ([]platform.Item, uint64, error) {
 	if known {
-		return n.store.Watch(f.prefix, revision, f.wait())
+		return n.store.Watch(f.prefix, revision, f.watchWait())
 	}
 	return n.store.Range(f.prefix)
 }
 
-// pause waits, unless the instance stops.
-func (n *Node) pause(d time.Duration) {
+// sleep waits, unless the instance stops.
+func (n *Node) sleep(d time.Duration) {
 	select {
 	case <-n.ctx.Done():
 	case <-time.After(d):
--- a/node/lease.go
+++ b/node/lease.go
@@ -16,24 +16,24 @@
 // repeats the time on the connections that it has offers on. Offers carry the time as
 // well, set back by how long ago their customer was there.
 
-// clockBegan is what the steady clock shows at the start of an instance, so that 0, a
+// clockOffset is what the steady clock shows at the start of an instance, so that 0, a
 // time that is not known, is long ago at any later time. It is far above every lease.
-const clockBegan = time.Hour
+const clockOffset = time.Hour
 
 // clockMs is the steady clock that peers are told.
 func (n *Node) clockMs() uint64 {
-	return uint64((clockBegan + clock.Since(n.startedAt)).Milliseconds())
+	return uint64((clockOffset + clock.Since(n.startedAt)).Milliseconds())
 }
 
-// atClock is when the own steady clock showed a time.
-func (n *Node) atClock(ms uint64) time.Time {
-	return n.startedAt.Add(time.Duration(ms)*time.Millisecond - clockBegan)
+// timeOfClock is when the own steady clock showed a time.
+func (n *Node) timeOfClock(ms uint64) time.Time {
+	return n.startedAt.Add(time.Duration(ms)*time.Millisecond - clockOffset)
 }
 
-// aliveAt returns the time of a peer's clock at which a customer was certainly there: the
+// aliveOnPeerClock returns the time of a peer's clock at which a customer was certainly there: the
 // peer's clock showed heardMs or more when it was heard, and the customer was there at a
 // time before now. It is 0 where the clock is not known.
-func aliveAt(heardMs uint64, there time.Time) uint64 {
+func aliveOnPeerClock(heardMs uint64, there time.Time) uint64 {
 	ago := uint64(clock.Since(there).Milliseconds()) + 1
 	if ago >= heardMs {
 		return 0
@@ -41,28 +41,28 @@
 	return heardMs - ago
 }
 
-// heardClock takes the time that a peer told.
-func (r *router) heardClock(peer fate.Incarnation, ms uint64) {
+// recordPeerClock takes the time that a peer told.
+func (r *router) recordPeerClock(peer fate.Incarnation, ms uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.clocks[peer] = max(r.clocks[peer], ms)
 }
 
-// renewEach is how often a coordinator renews its leases at most: near neighbours speak
+// leaseRenewInterval is how often a coordinator renews its leases at most: near neighbours speak
 // twice as often. With heartbeats each 250 ms between others a lease is .25 s old when it
 // is renewed, half of what it lasts for starts.
-const renewEach = 150 * time.Millisecond
+const leaseRenewInterval = 150 * time.Millisecond
 
 // renewalDue reports whether offers on a connection are open whose lease is to be renewed
 // now.
 func (r *router) renewalDue(link inner.Link) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return clock.Since(r.renewed[link.Number()]) >= renewEach && r.offersOn(link)
+	return clock.Since(r.renewed[link.Number()]) >= leaseRenewInterval && r.hasOpenOffers(link)
 }
 
-// offersOn reports whether an offer on a connection is open. The lock is held.
-func (r *router) offersOn(link inner.Link) bool {
+// hasOpenOffers reports whether an offer on a connection is open. The lock is held.
+func (r *router) hasOpenOffers(link inner.Link) bool {
 	for _, sent := range r.sent {
 		if sent.link != nil && sent.link.Number() == link.Number() {
 			return true
@@ -71,10 +71,10 @@
 	return false
 }
 
-// heardOwner takes the time that a peer told on a connection. If this instance has offers
+// handlePeerClock takes the time that a peer told on a connection. If this instance has offers
 // there, it renews the lease of those, once it has looked after the customers of all.
-func (r *router) heardOwner(link inner.Link, from fate.Incarnation, clockMs uint64) {
-	r.heardClock(from, clockMs)
+func (r *router) handlePeerClock(link inner.Link, from fate.Incarnation, clockMs uint64) {
+	r.recordPeerClock(from, clockMs)
 	if !r.renewalDue(link) || !r.n.ingress.EndDisconnected() {
 		return
 	}
@@ -88,16 +88,16 @@
 	}
 }
 
-// takeRenewal renews the lease of the coordinator behind a connection.
-func (r *router) takeRenewal(link inner.Link, from fate.Incarnation, m *inner.Renewal) {
-	alive := r.n.atClock(m.GetClockMs())
+// handleRenewal renews the lease of the coordinator behind a connection.
+func (r *router) handleRenewal(link inner.Link, from fate.Incarnation, m *inner.Renewal) {
+	alive := r.n.timeOfClock(m.GetClockMs())
 	for _, g := range r.n.owned() {
 		g.Renew(coordinatorOf(link, from), alive)
 	}
 }
 
-// renewOwn renews the leases of this instance with the groups that it owns itself.
-func (n *Node) renewOwn() {
+// renewOwnLeases renews the leases of this instance with the groups that it owns itself.
+func (n *Node) renewOwnLeases() {
 	self := string(n.self)
 	groups := slices.DeleteFunc(n.owned(), func(g *ownedGroup) bool { return !g.HasLeasedJobs(self) })
 	if len(groups) == 0 {
--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -21,14 +21,14 @@
 
 // TestAliveAt: a time of a peer's clock is never later than the customer was there.
 func TestAliveAt(t *testing.T) {
-	heard := uint64(clockBegan.Milliseconds()) + 5000
-	if at := aliveAt(heard, clock.Now()); at >= heard || at < heard-1000 {
+	heard := uint64(clockOffset.Milliseconds()) + 5000
+	if at := aliveOnPeerClock(heard, clock.Now()); at >= heard || at < heard-1000 {
 		t.Errorf("there now, heard at %d: %d", heard, at)
 	}
-	if at := aliveAt(heard, clock.Now().Add(-2*time.Second)); at >= heard-2000 {
+	if at := aliveOnPeerClock(heard, clock.Now().Add(-2*time.Second)); at >= heard-2000 {
 		t.Errorf("there 2 s ago, heard at %d: %d", heard, at)
 	}
-	if at := aliveAt(0, clock.Now()); at != 0 {
+	if at := aliveOnPeerClock(0, clock.Now()); at != 0 {
 		t.Errorf("a clock that was never heard: %d", at)
 	}
 }
@@ -38,11 +38,11 @@
 func TestClock(t *testing.T) {
 	n := &Node{startedAt: clock.Now()}
 	before := clock.Now()
-	read := n.atClock(n.clockMs())
+	read := n.timeOfClock(n.clockMs())
 	if read.After(clock.Now()) || read.Before(before.Add(-time.Millisecond)) {
 		t.Errorf("read %v after %v", read.Sub(before), clock.Since(before))
 	}
-	if ago := clock.Since(n.atClock(0)); ago < time.Minute {
+	if ago := clock.Since(n.timeOfClock(0)); ago < time.Minute {
 		t.Errorf("a time that is not known is %v ago", ago)
 	}
 }
--- a/node/log.go
+++ b/node/log.go
@@ -12,8 +12,8 @@
 	"github.com/sedgehatch/sedgehatch/schedule"
 )
 
-// eventOf is the log event of each kind of decision.
-var eventOf = map[schedule.DecisionKind]event.Event{
+// decisionEvents is the log event of each kind of decision.
+var decisionEvents = map[schedule.DecisionKind]event.Event{
 	schedule.DecidedStart:      event.TaskStarted,
 	schedule.DecidedRetry:      event.TaskRetried,
 	schedule.DecidedStop:       event.TaskStopped,
@@ -29,25 +29,25 @@
 }
 
 const (
-	// sampleOne of so many jobs that went well is told in full.
-	sampleOne = 50
-	// heldLines bounds the decisions that are held for one job, and heldJobs
+	// sampleInterval of so many jobs that went well is told in full.
+	sampleInterval = 50
+	// maxPendingPerJob bounds the decisions that are held for one job, and heldJobs
 	// the jobs for which any are held.
-	heldLines = 48
-	heldJobs  = 4096
+	maxPendingPerJob = 48
+	maxPendingJobs   = 4096
 )
 
 // decisionLog writes what pools decide. What touches a job is held until its
 // offer has ended: all of it is written if that went badly, else of one job in
 // sampleOne.
 type decisionLog struct {
-	log  *slog.Logger
-	mu   sync.Mutex
-	jobs map[string][]heldDecision
-	good int // offers that went well
+	log          *slog.Logger
+	mu           sync.Mutex
+	pending      map[string][]pendingDecision
+	normalOffers int // offers that went well
 }
 
-type heldDecision struct {
+type pendingDecision struct {
 	at    time.Time
 	group string
 	token uint64
@@ -55,51 +55,51 @@
 }
 
 func newDecisionLog(log *slog.Logger) *decisionLog {
-	return &decisionLog{log: log, jobs: map[string][]heldDecision{}}
+	return &decisionLog{log: log, pending: map[string][]pendingDecision{}}
 }
 
-func (l *decisionLog) decided(group string, token uint64, d schedule.Decision) {
-	h := heldDecision{clock.Now(), group, token, d}
+func (l *decisionLog) record(group string, token uint64, d schedule.Decision) {
+	h := pendingDecision{clock.Now(), group, token, d}
 	if d.Job == "" {
 		l.write(h, 0)
 		return
 	}
-	held, sample := l.hold(h)
+	held, sample := l.buffer(h)
 	for _, h := range held {
 		l.write(h, sample)
 	}
 }
 
-// hold keeps a decision on a job and returns what is to be written now, with the
+// buffer keeps a decision on a job and returns what is to be written now, with the
 // size of the sample that it stands for, 0 for none.
-func (l *decisionLog) hold(h heldDecision) (write []heldDecision, sample int) {
+func (l *decisionLog) buffer(h pendingDecision) (write []pendingDecision, sample int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held, known := l.jobs[h.Job]
-	if !known && len(l.jobs) >= heldJobs {
-		return []heldDecision{h}, 0
+	held, known := l.pending[h.Job]
+	if !known && len(l.pending) >= maxPendingJobs {
+		return []pendingDecision{h}, 0
 	}
-	if len(held) == heldLines {
+	if len(held) == maxPendingPerJob {
 		write, held = held, nil // too many to go well
 	}
 	held = append(held, h)
-	l.jobs[h.Job] = held
+	l.pending[h.Job] = held
 	if h.Kind != schedule.DecidedResult {
 		return write, 0
 	}
-	delete(l.jobs, h.Job)
-	if !wentWell(held) {
+	delete(l.pending, h.Job)
+	if !endedNormally(held) {
 		return append(write, held...), 0
 	}
-	l.good++
-	if l.good%sampleOne != 0 {
+	l.normalOffers++
+	if l.normalOffers%sampleInterval != 0 {
 		return write, 0
 	}
-	return append(write, held...), sampleOne
+	return append(write, held...), sampleInterval
 }
 
-// wentWell reports whether an offer needs no explanation.
-func wentWell(held []heldDecision) bool {
+// endedNormally reports whether an offer needs no explanation.
+func endedNormally(held []pendingDecision) bool {
 	for _, h := range held {
 		switch h.Kind {
 		case schedule.DecidedRetry, schedule.DecidedStop:
@@ -113,7 +113,7 @@
 	return true
 }
 
-func (l *decisionLog) write(h heldDecision, sample int) {
+func (l *decisionLog) write(h pendingDecision, sample int) {
 	attrs := []slog.Attr{slog.String("group", h.group), slog.Uint64("token", h.token)}
 	if h.Job == "" {
 		attrs = append(attrs, slog.Int("tasks", h.Task))
@@ -136,11 +136,11 @@
 	if h.Kind == schedule.DecidedResult {
 		attrs = append(attrs, slog.Bool("late", h.Late))
 	}
-	eventOf[h.Kind].Log(l.log, sampled(attrs, sample)...)
+	decisionEvents[h.Kind].Log(l.log, markSampled(attrs, sample)...)
 }
 
-// sampled marks a line that stands for others like it.
-func sampled(attrs []slog.Attr, sample int) []slog.Attr {
+// markSampled marks a line that stands for others like it.
+func markSampled(attrs []slog.Attr, sample int) []slog.Attr {
 	if sample == 0 {
 		return attrs
 	}
@@ -156,12 +156,12 @@
 	case r.Late:
 		e = event.JobLate
 	default:
-		if n.onTimeAnswers.Add(1)%sampleOne != 0 {
+		if n.onTimeAnswers.Add(1)%sampleInterval != 0 {
 			return
 		}
-		sample = sampleOne
+		sample = sampleInterval
 	}
-	e.Log(n.log, sampled([]slog.Attr{
+	e.Log(n.log, markSampled([]slog.Attr{
 		slog.String("job", r.Job), slog.String("route", r.Route), slog.Int("status", r.Status),
 		slog.String("verdict", string(r.Verdict)), slog.String("reason", r.Reason), slog.Bool("begun", r.Begun),
 		slog.Int("offers", r.Offers), slog.String("groups", r.Groups), slog.Int("tasks", r.Tasks), slog.Duration("took", r.Took),
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -11,7 +11,7 @@
 	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
 	in.want("a-1", 2, 20)
 	n := in.nodes["a-1"]
-	in.until("all neighbours are known", func() bool { return n.wants("a-2") && n.wants("b-1") })
+	in.until("all neighbours are known", func() bool { return n.isNeighbour("a-2") && n.isNeighbour("b-1") })
 	status, text := in.call("GET", n.settings.MetricsAddress, "/metrics", nil)
 	if status != http.StatusOK {
 		t.Fatalf("status %d", status)
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -17,54 +17,54 @@
 	used := n.router.inUse()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.setNeighbours(used)
+	n.updateNeighboursLocked(used)
 }
 
 // neighbourInputs is what the neighbours of this instance follow from.
 type neighbourInputs struct {
-	known  []membership.Member
-	live   []membership.Member
-	groups map[string]int  // of each availability zone
-	used   map[string]bool // owners that work for customers of this instance
+	all          []membership.Member
+	running      []membership.Member
+	groupCounts  map[string]int  // of each availability zone
+	activeOwners map[string]bool // owners that work for customers of this instance
 }
 
 func (b neighbourInputs) equal(o neighbourInputs) bool {
-	return slices.Equal(b.known, o.known) && slices.Equal(b.live, o.live) && maps.Equal(b.groups, o.groups) && maps.Equal(b.used, o.used)
+	return slices.Equal(b.all, o.all) && slices.Equal(b.running, o.running) && maps.Equal(b.groupCounts, o.groupCounts) && maps.Equal(b.activeOwners, o.activeOwners)
 }
 
 // collectNeighbourInputs returns what is known now. The lock is held.
 func (n *Node) collectNeighbourInputs(used map[string]bool) neighbourInputs {
-	b := neighbourInputs{used: used, groups: n.groupCounts}
-	b.known = make([]membership.Member, 0, n.peers.Len())
-	b.live = make([]membership.Member, 0, n.peers.Len())
+	b := neighbourInputs{activeOwners: used, groupCounts: n.groupCounts}
+	b.all = make([]membership.Member, 0, n.peers.Len())
+	b.running = make([]membership.Member, 0, n.peers.Len())
 	for p := range n.peers.All() {
 		if p.Zone == "" {
 			continue // only its address is known
 		}
 		m := membership.Member{Name: p.Instance, Zone: p.Zone, CPUShare: p.CPUShare}
-		b.known = append(b.known, m)
-		if !n.missing(m.Name) {
-			b.live = append(b.live, m)
+		b.all = append(b.all, m)
+		if !n.isDown(m.Name) {
+			b.running = append(b.running, m)
 		}
 	}
 	return b
 }
 
-// setNeighbours takes the neighbours that follow from the known instances and the
+// updateNeighboursLocked takes the neighbours that follow from the known instances and the
 // owners in use, if those have changed: each beat asks, and they seldom do. The lock is
 // held.
-func (n *Node) setNeighbours(used map[string]bool) {
+func (n *Node) updateNeighboursLocked(used map[string]bool) {
 	basis := n.collectNeighbourInputs(used)
 	if basis.equal(n.neighbourInputs) {
 		return
 	}
-	basis.groups = maps.Clone(basis.groups)
+	basis.groupCounts = maps.Clone(basis.groupCounts)
 	n.neighbourInputs = basis
 	self := membership.Member{Name: n.settings.Name, Zone: n.settings.Zone, CPUShare: n.settings.CPUShare}
-	sought := membership.NeighboursOf(self, basis.known, basis.groups)
+	sought := membership.NeighboursOf(self, basis.all, basis.groupCounts)
 	around := sought
-	if len(basis.live) < len(basis.known) {
-		around = membership.NeighboursOf(self, basis.live, basis.groups)
+	if len(basis.running) < len(basis.all) {
+		around = membership.NeighboursOf(self, basis.running, basis.groupCounts)
 	}
 	for name := range used {
 		if !around.Has(name) {
@@ -73,76 +73,76 @@
 	}
 	if around.IsHub != n.neighbours.IsHub || around.HubCount != n.neighbours.HubCount {
 		event.NeighboursChanged.Log(n.log, slog.Bool("hub", around.IsHub), slog.Int("hubs", around.HubCount),
-			slog.Int("near", len(around.Near)), slog.Int("far", len(around.Far)), slog.Int("known", len(basis.known)))
+			slog.Int("near", len(around.Near)), slog.Int("far", len(around.Far)), slog.Int("known", len(basis.all)))
 	}
 	n.neighboursIfAllAlive, n.neighbours = &sought, &around
 	n.peers.SetNeighbours(n.neighbours)
 }
 
-// missing reports whether an instance is lost, or does not run. The lock is held.
-func (n *Node) missing(instance string) bool {
+// isDown reports whether an instance is lost, or does not run. The lock is held.
+func (n *Node) isDown(instance string) bool {
 	state := n.peers.State(instance)
-	return state == membership.Dead || state == membership.Listed && n.isAbsent(instance)
+	return state == membership.Dead || state == membership.Listed && n.refusedRecently(instance)
 }
 
-// wants reports whether this instance needs to hear another.
-func (n *Node) wants(instance string) bool {
+// isNeighbour reports whether this instance needs to hear another.
+func (n *Node) isNeighbour(instance string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.neighbours.Has(instance)
 }
 
-// silenceOf is how long a connection to an instance may be silent.
-func (n *Node) silenceOf(instance string) time.Duration {
+// silenceLimit is how long a connection to an instance may be silent.
+func (n *Node) silenceLimit(instance string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.peers.DeadAfter(instance)
 }
 
-// audience is what differs between the heartbeats of one beat.
-type audience struct {
+// heartbeatVariant is what differs between the heartbeats of one beat.
+type heartbeatVariant struct {
 	unwanted bool // this instance does not need to hear the receiver
 	relayed  bool // the receiver hears of owners in other zones from here
 }
 
-// beatFrames encodes the heartbeats of one beat, each when it is first needed.
-type beatFrames struct {
-	presence *inner.Presence
-	relayed  []*inner.RemoteOwner
-	encoded  map[audience]inner.Encoded
+// heartbeatFrames encodes the heartbeats of one beat, each when it is first needed.
+type heartbeatFrames struct {
+	heartbeat *inner.Presence
+	relayed   []*inner.RemoteOwner
+	encoded   map[heartbeatVariant]inner.Encoded
 }
 
-func (n *Node) newBeat() *beatFrames {
-	return &beatFrames{presence: n.presence(), relayed: n.relays(), encoded: map[audience]inner.Encoded{}}
+func (n *Node) newHeartbeatFrames() *heartbeatFrames {
+	return &heartbeatFrames{heartbeat: n.heartbeat(), relayed: n.relays(), encoded: map[heartbeatVariant]inner.Encoded{}}
 }
 
-func (b *beatFrames) of(a audience) (inner.Encoded, error) {
+func (b *heartbeatFrames) encode(a heartbeatVariant) (inner.Encoded, error) {
 	if e, done := b.encoded[a]; done {
 		return e, nil
 	}
-	b.presence.Unwanted = a.unwanted
-	b.presence.Relayed = nil
+	b.heartbeat.Unwanted = a.unwanted
+	b.heartbeat.Relayed = nil
 	if a.relayed {
-		b.presence.Relayed = b.relayed
+		b.heartbeat.Relayed = b.relayed
 	}
-	e, err := inner.Encode(presenceFrame(b.presence))
+	e, err := inner.Encode(heartbeatFrame(b.heartbeat))
 	b.encoded[a] = e
 	return e, err
 }
 
-func presenceFrame(p *inner.Presence) *inner.Frame {
+func heartbeatFrame(p *inner.Presence) *inner.Frame {
 	return &inner.Frame{Body: &inner.Frame_Presence{Presence: p}}
 }
 
-// presenceFor is a heartbeat for one instance outside of the beat.
-func (n *Node) presenceFor(instance string) *inner.Frame {
-	p := n.presence()
-	p.Unwanted = !n.wants(instance)
-	return presenceFrame(p)
+// heartbeatFor is a heartbeat for one instance outside of the beat.
+func (n *Node) heartbeatFor(instance string) *inner.Frame {
+	p := n.heartbeat()
+	p.Unwanted = !n.isNeighbour(instance)
+	return heartbeatFrame(p)
 }
 
-// farDue tells whether far neighbours hear from this instance in this beat.
-func (n *Node) farDue() bool {
+// farHeartbeatDue tells whether far neighbours hear from this instance in this beat.
+func (n *Node) farHeartbeatDue() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	joining := clock.Since(n.lastTakenAt) < joinTime
@@ -153,30 +153,30 @@
 	return far
 }
 
-// tellPeers sends the presence of this instance to all neighbours that are due,
+// sendHeartbeats sends the presence of this instance to all neighbours that are due,
 // and looks for those that are not heard.
-func (n *Node) tellPeers() {
-	far := n.farDue()
+func (n *Node) sendHeartbeats() {
+	far := n.farHeartbeatDue()
 	n.mu.Lock()
 	around, alone := n.neighbours, n.peers.Len() == 0
-	due, missed := n.audienceOf(far)
+	due, missed := n.heartbeatTargets(far)
 	n.mu.Unlock()
-	beat := n.newBeat()
+	beat := n.newHeartbeatFrames()
 	for _, p := range due {
-		n.tellPeer(beat, around, p)
+		n.sendHeartbeat(beat, around, p)
 	}
 	for _, name := range missed {
-		n.introduce(name)
+		n.contactPeer(name)
 	}
 	if alone && clock.Since(n.startedAt) > seedAfter {
-		n.trySeeds()
+		n.contactSeeds()
 	}
 }
 
-// audienceOf returns the peers that are due to hear from this instance, with or
+// heartbeatTargets returns the peers that are due to hear from this instance, with or
 // without far ones, and the names of the neighbours that are not heard. The lock is
 // held.
-func (n *Node) audienceOf(far bool) (due []membership.Peer, missed []string) {
+func (n *Node) heartbeatTargets(far bool) (due []membership.Peer, missed []string) {
 	for p := range n.peers.All() {
 		switch p.State {
 		case membership.Alive, membership.Suspect, membership.Leaving:
@@ -192,9 +192,9 @@
 	return due, missed
 }
 
-// tellPeer sends a heartbeat to a peer that either side needs, and a last one
+// sendHeartbeat sends a heartbeat to a peer that either side needs, and a last one
 // once neither does.
-func (n *Node) tellPeer(beat *beatFrames, around *membership.Neighbours, p membership.Peer) {
+func (n *Node) sendHeartbeat(beat *heartbeatFrames, around *membership.Neighbours, p membership.Peer) {
 	wanted := around.Has(p.Instance)
 	n.mu.Lock()
 	last := !wanted && p.Heartbeat.Unwanted
@@ -208,7 +208,7 @@
 	if last && told {
 		return
 	}
-	e, err := beat.of(audience{unwanted: !wanted, relayed: around.Spokes[p.Instance] && len(beat.relayed) > 0})
+	e, err := beat.encode(heartbeatVariant{unwanted: !wanted, relayed: around.Spokes[p.Instance] && len(beat.relayed) > 0})
 	if err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "presence"), slog.String("error", err.Error()))
 		return
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -63,7 +63,7 @@
 	in.until("the owner of the other zone is known", func() bool { return len(first.router.Loads()) == 2 })
 	in.want(spokes[0], 2, 20)
 	in.want(spokes[0], 6, 20)
-	in.until("its connection to the owner of the other zone is in use", func() bool { return first.wants("b-1") })
+	in.until("its connection to the owner of the other zone is in use", func() bool { return first.isNeighbour("b-1") })
 	in.want("b-1", 6, 20)
 }
 
@@ -145,8 +145,8 @@
 	in := newInstallation(t, []string{"a"}, 2, "a-1")
 	in.startSized("a-2", 0.1)
 	small := in.nodes["a-2"]
-	in.until("the smaller one stands by", func() bool { return small.upstreamNeed() == needRoughly })
-	if in.nodes["a-1"].upstreamNeed() != needClosely {
+	in.until("the smaller one stands by", func() bool { return small.upstreamNeed() == followPeriodically })
+	if in.nodes["a-1"].upstreamNeed() != followContinuously {
 		t.Error("the owner reads the upstreams only from time to time")
 	}
 	in.until("it has read them", func() bool { return small.knows("u-a-1") })
@@ -180,7 +180,7 @@
 		t.Helper()
 		before := n.neighbours
 		input()
-		n.setNeighbours(n.router.inUse())
+		n.updateNeighboursLocked(n.router.inUse())
 		if (n.neighbours != before) != want {
 			t.Errorf("%s: worked out anew %v, want %v", what, !want, want)
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -149,11 +149,11 @@
 	}
 	n.router = newRouter(n)
 	n.ingress = ingress.NewCoordinator(in.Zone, n.router)
-	n.server = ingress.NewServer(n.ingress, n.config.Load, n.stopping, n)
+	n.server = ingress.NewServer(n.ingress, n.config.Load, n.shutdownStatus, n)
 	n.mesh = inner.NewMesh(inner.Config{
 		Fleet: fleetName, Self: n.self, Region: in.Region, Zone: in.Zone, Address: n.settings.PeerAddress,
-		Directory: n, Handler: n, Met: n.met, Dial: n.dial, DialTimeout: dialTimeout, Count: n.metrics.CountSent, QueueOnly: true,
-		Shared: true, Silence: n.silenceOf, Clock: n.clockMs,
+		Directory: n, Handler: n, Met: n.handleHello, Dial: n.dial, DialTimeout: dialTimeout, Count: n.metrics.CountSent, QueueOnly: true,
+		Shared: true, Silence: n.silenceLimit, Clock: n.clockMs,
 	})
 	return n, nil
 }
@@ -210,10 +210,10 @@
 	n.goroutines.Go(n.followUpstreams)
 	n.goroutines.Go(n.followPeers)
 	n.goroutines.Go(n.register)
-	n.goroutines.Go(n.beat)
+	n.goroutines.Go(n.heartbeatLoop)
 	n.serve("customers", n.serveCustomers)
-	n.serve("metrics", func() error { return fasthttp.Serve(n.conns.Listener(n.metricsListener), n.tellMetrics) })
-	n.serve("readiness", func() error { return fasthttp.Serve(n.conns.Listener(n.readinessListener), n.readiness) })
+	n.serve("metrics", func() error { return fasthttp.Serve(n.conns.Listener(n.metricsListener), n.serveMetrics) })
+	n.serve("readiness", func() error { return fasthttp.Serve(n.conns.Listener(n.readinessListener), n.serveReadiness) })
 	event.NodeStarted.Log(n.log, slog.String("incarnation", string(n.self)), slog.String("zone", n.settings.Zone),
 		slog.String("customers", n.settings.CustomerAddress), slog.Bool("first_start", n.settings.FirstStart))
 }
@@ -233,18 +233,18 @@
 	})
 }
 
-// tellMetrics answers with the counters and histograms of this instance, and
+// serveMetrics answers with the counters and histograms of this instance, and
 // what it knows of groups.
-func (n *Node) tellMetrics(ctx *fasthttp.RequestCtx) {
+func (n *Node) serveMetrics(ctx *fasthttp.RequestCtx) {
 	ctx.SetContentType("text/plain; charset=utf-8")
-	n.gauges(ctx)
+	n.writeGauges(ctx)
 	if err := n.metrics.WriteText(ctx); err != nil {
 		event.ServeFailed.Log(n.log, slog.String("listener", "metrics"), slog.String("error", err.Error()))
 	}
 }
 
-// gauges writes the state of this instance.
-func (n *Node) gauges(w io.Writer) {
+// writeGauges writes the state of this instance.
+func (n *Node) writeGauges(w io.Writer) {
 	version := uint64(0)
 	if c := n.config.Load(); c != nil {
 		version = c.Version
@@ -258,8 +258,8 @@
 		fmt.Fprintf(w, "sedgehatch_group_free{group=%q} %d\nsedgehatch_group_waiting{group=%q} %d\nsedgehatch_group_age_ms{group=%q} %d\n",
 			l.Group, l.Free, l.Group, l.Waiting, l.Group, l.Age.Milliseconds())
 	}
-	n.zoneGauges(w)
-	n.linkGauges(w)
+	n.writeZoneGauges(w)
+	n.writeTrafficGauges(w)
 	if n.logSink != nil {
 		dropped, refused := n.logSink.Dropped()
 		for _, class := range slices.Sorted(maps.Keys(dropped)) {
@@ -269,9 +269,9 @@
 	}
 }
 
-// linkGauges writes what this instance has sent and read, by whom it speaks to, and
+// writeTrafficGauges writes what this instance has sent and read, by whom it speaks to, and
 // what the calls to its upstreams wait for.
-func (n *Node) linkGauges(w io.Writer) {
+func (n *Node) writeTrafficGauges(w io.Writer) {
 	for _, l := range []struct {
 		with  string
 		bytes func() (read, wrote int64)
@@ -287,8 +287,8 @@
 	}
 }
 
-// readiness answers whether customers should be sent here.
-func (n *Node) readiness(ctx *fasthttp.RequestCtx) {
+// serveReadiness answers whether customers should be sent here.
+func (n *Node) serveReadiness(ctx *fasthttp.RequestCtx) {
 	if n.isReady() {
 		ctx.SetStatusCode(fasthttp.StatusOK)
 		return
@@ -300,8 +300,8 @@
 	return !n.leaving.Load() && !n.customerListenerFailed.Load() && n.config.Load() != nil && len(n.router.Loads()) > 0
 }
 
-// stopping implements ingress.ShutdownStatus.
-func (n *Node) stopping() (left time.Duration, stopping bool) {
+// shutdownStatus implements ingress.ShutdownStatus.
+func (n *Node) shutdownStatus() (left time.Duration, stopping bool) {
 	ends := n.drainDeadline.Load()
 	if ends == nil {
 		return 0, false
@@ -346,20 +346,20 @@
 	return n.peers.Address(instance)
 }
 
-// met takes what a peer says of itself when a connection opens. One that is not
+// handleHello takes what a peer says of itself when a connection opens. One that is not
 // heard yet is answered with a connection the other way.
-func (n *Node) met(h *inner.Hello) {
+func (n *Node) handleHello(h *inner.Hello) {
 	name := fate.Incarnation(h.GetIncarnation()).Instance()
 	n.mu.Lock()
 	n.peers.ApplyHello(membership.Listing{Instance: name, Address: h.GetAddress(), Region: h.GetRegion(), Zone: h.GetZone()})
 	n.mu.Unlock()
-	n.router.heardClock(fate.Incarnation(h.GetIncarnation()), h.GetClockMs())
-	n.introduce(name)
+	n.router.recordPeerClock(fate.Incarnation(h.GetIncarnation()), h.GetClockMs())
+	n.contactPeer(name)
 }
 
 // DecisionMade implements owner.Observer.
 func (n *Node) DecisionMade(group string, token uint64, d schedule.Decision) {
-	n.decisions.decided(group, token, d)
+	n.decisions.record(group, token, d)
 }
 
 // CallEnded implements owner.Observer.
--- a/node/operators.go
+++ b/node/operators.go
@@ -20,21 +20,21 @@
 
 // followOperators keeps up with both until the instance stops.
 func (n *Node) followOperators() {
-	n.follow(follower{
-		prefix: platform.OperatorPrefix, wait: n.configWait, rest: noRest,
+	n.follow(storeFollower{
+		prefix: platform.OperatorPrefix, watchWait: n.configWait, readPause: noPause,
 		replace: func(items []platform.Item, revision uint64) {
-			n.zonesChanged(n.directory.ReplaceZones(revision, zoneStates(items)), "store")
+			n.zonesChanged(n.directory.ReplaceZones(revision, zoneStatesFromStore(items)), "store")
 			n.takeConfigItem(items)
 		},
 		update: func(items []platform.Item) {
-			n.zonesChanged(n.directory.UpdateZones(zoneStates(items)), "store")
+			n.zonesChanged(n.directory.UpdateZones(zoneStatesFromStore(items)), "store")
 			n.takeConfigItem(items)
 		},
 	})
 }
 
-// zoneStates returns what some keys say of the evacuation of availability zones.
-func zoneStates(items []platform.Item) []directory.ZoneState {
+// zoneStatesFromStore returns what some keys say of the evacuation of availability zones.
+func zoneStatesFromStore(items []platform.Item) []directory.ZoneState {
 	return lo.FilterMap(items, func(i platform.Item, _ int) (directory.ZoneState, bool) {
 		zone, is := platform.EvacuatedZone(i.Key)
 		return directory.ZoneState{Zone: zone, Evacuated: !i.Deleted, Revision: i.Revision}, is
@@ -58,22 +58,22 @@
 	n.tick()
 }
 
-// hearZones takes what a peer knows of evacuated zones.
-func (n *Node) hearZones(from string, p *inner.Presence) {
+// applyPeerZones takes what a peer knows of evacuated zones.
+func (n *Node) applyPeerZones(from string, p *inner.Presence) {
 	if p.GetZonesRevision() == 0 {
 		return
 	}
-	n.zonesChanged(n.directory.ReplaceZones(p.GetZonesRevision(), zonesFrom(p)), from)
+	n.zonesChanged(n.directory.ReplaceZones(p.GetZonesRevision(), zoneStatesFromPeer(p)), from)
 }
 
-func zonesFrom(p *inner.Presence) []directory.ZoneState {
+func zoneStatesFromPeer(p *inner.Presence) []directory.ZoneState {
 	return lo.Map(p.GetZones(), func(z *inner.ZoneState, _ int) directory.ZoneState {
 		return directory.ZoneState{Zone: z.GetZone(), Evacuated: z.GetEvacuated(), Revision: z.GetRevision()}
 	})
 }
 
-// tellZones words what this instance knows of evacuated zones.
-func (n *Node) tellZones(p *inner.Presence) {
+// addZoneStates words what this instance knows of evacuated zones.
+func (n *Node) addZoneStates(p *inner.Presence) {
 	var states []directory.ZoneState
 	states, p.ZonesRevision = n.directory.Zones()
 	for _, s := range states {
@@ -81,9 +81,9 @@
 	}
 }
 
-// zoneGauges writes which zones are evacuated, and the revision of the store at which
+// writeZoneGauges writes which zones are evacuated, and the revision of the store at which
 // all evacuations were listed last.
-func (n *Node) zoneGauges(w io.Writer) {
+func (n *Node) writeZoneGauges(w io.Writer) {
 	states, revision := n.directory.Zones()
 	fmt.Fprintf(w, "sedgehatch_zones_revision %d\n", revision)
 	for _, s := range states {
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -175,7 +175,7 @@
 		g.Drain()
 	}
 	if len(given) > 0 {
-		n.tellPeers()
+		n.sendHeartbeats()
 	}
 }
 
@@ -188,7 +188,7 @@
 // release lets go of upstreams in a planned stop, and tells peers at once.
 func (n *Node) release() {
 	if n.releaseGroups() > 0 {
-		n.tellPeers()
+		n.sendHeartbeats()
 	}
 }
 
@@ -237,7 +237,7 @@
 	n.mu.Unlock()
 	if taken {
 		n.updateGroups()
-		n.tellPeers()
+		n.sendHeartbeats()
 	}
 }
 
@@ -275,7 +275,7 @@
 		return true
 	}
 	for _, p := range n.hubPeers() {
-		if p.State == membership.Listed && !n.isAbsent(p.Instance) && (age < settleTime || n.dialOutcomes[p.Address] != dialFailed) {
+		if p.State == membership.Listed && !n.refusedRecently(p.Instance) && (age < settleTime || n.dialOutcomes[p.Address] != dialFailed) {
 			return false
 		}
 	}
@@ -306,7 +306,7 @@
 		case p.State == membership.Alive || p.State == membership.Suspect || p.State == membership.Leaving:
 			n.isolatedSince = time.Time{}
 			return false
-		case p.Zone == n.settings.Zone && n.registeredZones[p.Instance] != "" && !n.isAbsent(p.Instance):
+		case p.Zone == n.settings.Zone && n.registeredZones[p.Instance] != "" && !n.refusedRecently(p.Instance):
 			listed = true
 		}
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -17,17 +17,17 @@
 	"github.com/samber/lo"
 )
 
-// beat tells peers of this instance, and lets time pass for what it believes
+// heartbeatLoop tells peers of this instance, and lets time pass for what it believes
 // of them.
-func (n *Node) beat() {
+func (n *Node) heartbeatLoop() {
 	for n.ctx.Err() == nil {
 		n.mu.Lock()
 		joining := clock.Since(n.lastTakenAt) < joinTime
 		n.mu.Unlock()
 		if joining {
-			n.pause(joinEvery)
+			n.sleep(joinEvery)
 		} else {
-			n.pause(presenceEvery)
+			n.sleep(presenceEvery)
 		}
 		n.tick()
 	}
@@ -35,21 +35,21 @@
 
 func (n *Node) tick() {
 	n.noticeSuspension()
-	n.renewOwn()
+	n.renewOwnLeases()
 	n.mu.Lock()
-	changes := n.peers.Tick(n.nowMs())
+	changes := n.peers.Tick(n.uptimeMs())
 	n.mu.Unlock()
-	n.changed(changes)
+	n.applyPeerChanges(changes)
 	n.updateNeighbours()
 	n.reconsider()
-	n.tellPeers()
+	n.sendHeartbeats()
 }
 
-// nowMs is a steady clock, in milliseconds.
-func (n *Node) nowMs() int64 { return clock.Since(n.startedAt).Milliseconds() }
+// uptimeMs is a steady clock, in milliseconds.
+func (n *Node) uptimeMs() int64 { return clock.Since(n.startedAt).Milliseconds() }
 
-// presence is what peers hear of this instance.
-func (n *Node) presence() *inner.Presence {
+// heartbeat is what peers hear of this instance.
+func (n *Node) heartbeat() *inner.Presence {
 	n.mu.Lock()
 	groups := n.ownedGroups()
 	p := &inner.Presence{
@@ -60,7 +60,7 @@
 	p.ClockMs = n.clockMs()
 	p.Draining = livesTo(n.directory.DrainingSince(clock.Now().Add(-tellDrains)))
 	p.Rooms = roomsTo(n.directory.CapacityReportsSince(clock.Now().Add(-tellDrains)))
-	n.tellZones(p)
+	n.addZoneStates(p)
 	if c := n.config.Load(); c != nil {
 		p.ConfigVersion = c.Version
 	}
@@ -75,9 +75,9 @@
 	return p
 }
 
-// introduce connects to an instance that is not heard, once at a time, and
+// contactPeer connects to an instance that is not heard, once at a time, and
 // tells it of this one.
-func (n *Node) introduce(instance string) {
+func (n *Node) contactPeer(instance string) {
 	n.mu.Lock()
 	busy := n.dialing[instance]
 	n.dialing[instance] = true
@@ -87,21 +87,21 @@
 	}
 	go func() {
 		if n.settings.Name > instance {
-			n.pause(yieldDial) // seeds, which have an address for a name, sort first
+			n.sleep(yieldDial) // seeds, which have an address for a name, sort first
 		}
-		err := n.mesh.Send(fate.Incarnation(instance), n.presenceFor(instance)) // it is tried again with the next beat
-		n.refused(instance, err)
+		err := n.mesh.Send(fate.Incarnation(instance), n.heartbeatFor(instance)) // it is tried again with the next beat
+		n.recordRefusal(instance, err)
 		n.mu.Lock()
 		delete(n.dialing, instance)
 		n.mu.Unlock()
 	}()
 }
 
-// trySeeds looks for peers where the settings say that some were.
-func (n *Node) trySeeds() {
+// contactSeeds looks for peers where the settings say that some were.
+func (n *Node) contactSeeds() {
 	for _, seed := range n.settings.SeedPeers {
 		if seed != n.settings.PeerAddress {
-			n.introduce(string(inner.AtAddress(seed)))
+			n.contactPeer(string(inner.AtAddress(seed)))
 		}
 	}
 }
@@ -110,7 +110,7 @@
 type dialOutcome int
 
 const (
-	dialOpen     dialOutcome = iota // not tried yet, or under way
+	dialPending  dialOutcome = iota // not tried yet, or under way
 	dialAccepted                    // it runs, also while it is too busy to say anything
 	dialFailed
 )
@@ -129,25 +129,25 @@
 	return conn, err
 }
 
-// renew opens another connection to a peer that is not heard any more: it may be
+// reconnect opens another connection to a peer that is not heard any more: it may be
 // the connection that has gone silent, and not the peer.
-func (n *Node) renew(instance string) {
-	n.refused(instance, n.mesh.Renew(instance, n.presenceFor(instance)))
+func (n *Node) reconnect(instance string) {
+	n.recordRefusal(instance, n.mesh.Renew(instance, n.heartbeatFor(instance)))
 }
 
-// absentFor is how long an instance that refused a connection counts as not
+// refusalValidity is how long an instance that refused a connection counts as not
 // running, unless it is heard or refuses another.
-const absentFor = time.Second
+const refusalValidity = time.Second
 
-// isAbsent reports whether nothing listens where an instance should. The lock is
+// refusedRecently reports whether nothing listens where an instance should. The lock is
 // held.
-func (n *Node) isAbsent(instance string) bool {
+func (n *Node) refusedRecently(instance string) bool {
 	at, refused := n.refusedAt[instance]
-	return refused && clock.Since(at) < absentFor
+	return refused && clock.Since(at) < refusalValidity
 }
 
-// refused notes that nothing listens where an instance should: it does not run.
-func (n *Node) refused(instance string, err error) {
+// recordRefusal notes that nothing listens where an instance should: it does not run.
+func (n *Node) recordRefusal(instance string, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if failure.Is(err, failure.Gone) {
@@ -164,7 +164,7 @@
 func (n *Node) LinkFrame(link inner.Link, from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) {
 	switch body := f.GetBody().(type) {
 	case *inner.Frame_Presence:
-		n.hear(link, from, body.Presence)
+		n.handleHeartbeat(link, from, body.Presence)
 	case *inner.Frame_Offer:
 		n.router.takeOffer(link, from, body.Offer, reply)
 	case *inner.Frame_OfferReturned:
@@ -172,7 +172,7 @@
 	case *inner.Frame_OfferWithdrawn:
 		n.router.takeWithdrawn(link, from, body.OfferWithdrawn)
 	case *inner.Frame_Renewal:
-		n.router.takeRenewal(link, from, body.Renewal)
+		n.router.handleRenewal(link, from, body.Renewal)
 	case *inner.Frame_ConfigRequest:
 		n.sendConfig(link)
 	case *inner.Frame_UpstreamsRequest:
@@ -198,7 +198,7 @@
 // dropped; whether the peer is gone is found out at once.
 func (n *Node) LinkClosed(link inner.Link, from fate.Incarnation) {
 	n.router.linkClosed(link, from)
-	if n.ctx.Err() != nil || !n.wants(from.Instance()) {
+	if n.ctx.Err() != nil || !n.isNeighbour(from.Instance()) {
 		return
 	}
 	go n.probe(from)
@@ -214,17 +214,17 @@
 	n.mu.Lock()
 	changes := n.peers.MarkEnded(peer)
 	n.mu.Unlock()
-	n.changed(changes)
+	n.applyPeerChanges(changes)
 	if len(changes) > 0 {
 		n.tick()
 	}
 }
 
-// hear takes the heartbeat of a peer.
-func (n *Node) hear(link inner.Link, from fate.Incarnation, p *inner.Presence) {
+// handleHeartbeat takes the heartbeat of a peer.
+func (n *Node) handleHeartbeat(link inner.Link, from fate.Incarnation, p *inner.Presence) {
 	n.mu.Lock()
 	load := membership.Heartbeat{Leaving: p.GetLeaving(), Revision: p.GetConfigVersion(), Unwanted: p.GetUnwanted()}
-	changes := n.peers.RecordHeartbeat(from, load, n.nowMs())
+	changes := n.peers.RecordHeartbeat(from, load, n.uptimeMs())
 	before := n.lastHeartbeat[from.Instance()]
 	n.lastHeartbeat[from.Instance()] = p
 	n.highestToken = max(n.highestToken, p.GetHighestToken())
@@ -237,29 +237,29 @@
 	leaving := n.directory.MarkDraining(clock.Now(), livesFrom(p.GetDraining()))
 	n.logDrains(leaving, from.Instance())
 	resized := n.directory.ApplyCapacityReports(clock.Now(), roomsFrom(p.GetRooms()))
-	n.hearZones(from.Instance(), p)
-	n.router.heardOwner(link, from, p.GetClockMs())
+	n.applyPeerZones(from.Instance(), p)
+	n.router.handlePeerClock(link, from, p.GetClockMs())
 	n.router.heard(from, p)
 	n.router.heardOf(p.GetRelayed())
-	n.changed(changes)
+	n.applyPeerChanges(changes)
 	if len(changes) > 0 {
 		// It is answered where it spoke: a connection the other way may
 		// take long to open, and it should not take itself for alone.
-		n.answer(link, from.Instance())
+		n.replyWithHeartbeat(link, from.Instance())
 	}
 	if len(leaving) > 0 || resized {
 		n.updateGroups()
 	}
-	n.learnsVersion(link, p.GetConfigVersion())
+	n.handleConfigVersion(link, p.GetConfigVersion())
 	if claimsChanged(before.GetClaims(), p.GetClaims()) {
 		n.reconsider()
 		n.updateGroups()
 	}
 }
 
-// answer tells a peer of this instance on a connection of its own.
-func (n *Node) answer(link inner.Link, peer string) {
-	if err := link.Send(n.presenceFor(peer)); err != nil {
+// replyWithHeartbeat tells a peer of this instance on a connection of its own.
+func (n *Node) replyWithHeartbeat(link inner.Link, peer string) {
+	if err := link.Send(n.heartbeatFor(peer)); err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "presence"), slog.String("error", err.Error()))
 	}
 }
@@ -271,8 +271,8 @@
 	})
 }
 
-// changed tells of peers that came or went.
-func (n *Node) changed(changes []membership.Change) {
+// applyPeerChanges tells of peers that came or went.
+func (n *Node) applyPeerChanges(changes []membership.Change) {
 	for _, c := range changes {
 		attrs := []slog.Attr{
 			slog.String("peer", string(c.Peer.Incarnation)), slog.String("state", string(c.Peer.State)),
@@ -286,7 +286,7 @@
 		case membership.Listed: // neither side needs the other any more
 			n.mesh.Sever(c.Peer.Incarnation)
 		case membership.Suspect:
-			go n.renew(c.Peer.Instance)
+			go n.reconnect(c.Peer.Instance)
 		case membership.Leaving:
 			event.PeerLeaving.Log(n.log, attrs...)
 		case membership.Alive:
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -44,7 +44,7 @@
 		readers, rare := 0, 0
 		for _, n := range startingFleet(zones, instances) {
 			n.startedAt = clock.Now()
-			if n.upstreamNeed() != needNothing {
+			if n.upstreamNeed() != followNothing {
 				readers++
 			}
 			if n.peerWait() == spokeWait {
@@ -65,7 +65,7 @@
 func TestReadersWithoutList(t *testing.T) {
 	n := bareNode("a-1", "a")
 	n.awaitList()
-	if n.upstreamNeed() != needClosely {
+	if n.upstreamNeed() != followContinuously {
 		t.Error("it does not read the upstreams")
 	}
 }
@@ -82,5 +82,5 @@
 	for _, name := range hubs[2:] {
 		in.kill(name)
 	}
-	in.until("it watches closely", func() bool { return spoke.configWait() == closeConfigWait || spoke.upstreamNeed() != needNothing })
+	in.until("it watches closely", func() bool { return spoke.configWait() == closeConfigWait || spoke.upstreamNeed() != followNothing })
 }
--- a/node/registration.go
+++ b/node/registration.go
@@ -41,8 +41,8 @@
 		}
 		n.listPeers(known)
 	}
-	n.follow(follower{
-		prefix: platform.SedgehatchPrefix, wait: n.peerWait, rest: n.peerRest,
+	n.follow(storeFollower{
+		prefix: platform.SedgehatchPrefix, watchWait: n.peerWait, readPause: n.peerRest,
 		replace: func(items []platform.Item, _ uint64) { clear(known); update(items) },
 		update:  update,
 	})
@@ -95,7 +95,7 @@
 	}
 	n.registeredZones = lo.MapValues(known, func(l membership.Listing, _ string) string { return l.Zone })
 	n.peers.SetListed(list)
-	n.setNeighbours(used)
+	n.updateNeighboursLocked(used)
 }
 
 // register keeps this instance's entry in the store.
@@ -117,7 +117,7 @@
 		if lease == 0 {
 			wait = firstRetry + rand.N(longestRetry)
 		}
-		n.pause(wait)
+		n.sleep(wait)
 	}
 }
 
--- a/node/router.go
+++ b/node/router.go
@@ -173,7 +173,7 @@
 	r.sent[k] = sent
 	v.load.Free -= len(o.Tasks)
 	r.used[peer.Instance()] = clock.Now()
-	aliveMs := aliveAt(r.clocks[peer], o.AliveAt)
+	aliveMs := aliveOnPeerClock(r.clocks[peer], o.AliveAt)
 	r.mu.Unlock()
 	frame := &inner.Frame{Body: &inner.Frame_Offer{Offer: offerTo(group, o, aliveMs)}}
 	link, err := r.n.mesh.Ask(peer, frame, func(f *inner.Frame, err error) { r.offerEnded(k, f, err) })
@@ -288,7 +288,7 @@
 	}
 	o := offerFrom(m)
 	o.Key.Coordinator = coordinatorOf(link, from)
-	o.AliveAt = r.n.atClock(m.GetAliveMs())
+	o.AliveAt = r.n.timeOfClock(m.GetAliveMs())
 	err := g.Offer(o, owner.OfferCallbacks{
 		TasksReturned: func(res schedule.Result, l schedule.Load) {
 			_ = link.Send(returnedFrame(g, res, l)) // a closed connection has ended the offer
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -92,7 +92,7 @@
 			t.Fatalf("%s has never heard %s", n.settings.Name, peer)
 		}
 		n.mu.Lock()
-		n.peers.Tick(n.nowMs() + time.Hour.Milliseconds())
+		n.peers.Tick(n.uptimeMs() + time.Hour.Milliseconds())
 		n.mu.Unlock()
 		n.mesh.Sever(in.nodes[peer].self)
 	}
@@ -101,5 +101,5 @@
 	for _, n := range []*Node{a, b} {
 		in.until(n.settings.Name+" hears every owner", func() bool { return len(n.router.Loads()) == 2 })
 	}
-	in.until("they are neighbours", func() bool { return a.wants("b-1") && b.wants("a-1") })
+	in.until("they are neighbours", func() bool { return a.isNeighbour("b-1") && b.isNeighbour("a-1") })
 }
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -78,7 +78,7 @@
 		"nothing listens there":        {age: settleTime / 2, absent: true, want: true},
 		"no connection is accepted":    {age: settleTime, dial: dialFailed, want: true},
 		"a connection is accepted":     {age: settleTime, dial: dialAccepted, want: false},
-		"a connection is under way":    {age: settleTime, dial: dialOpen, want: false},
+		"a connection is under way":    {age: settleTime, dial: dialPending, want: false},
 		"it has said nothing for long": {age: busySettleTime, dial: dialAccepted, want: true},
 		"the list has not been read":   {age: settleTime, unread: true, dial: dialFailed, want: false},
 	} {
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -19,8 +19,8 @@
 // followUpstreams keeps the directory of upstreams up to date until the instance stops.
 func (n *Node) followUpstreams() {
 	n.awaitList()
-	n.follow(follower{
-		prefix: platform.UpstreamPrefix, wait: always(upstreamWait), rest: n.upstreamRest, need: n.upstreamNeed, unread: n.askUpstreams,
+	n.follow(storeFollower{
+		prefix: platform.UpstreamPrefix, watchWait: constant(upstreamWait), readPause: n.upstreamRest, mode: n.upstreamNeed, onReadFailure: n.askUpstreams,
 		replace: func(items []platform.Item, _ uint64) {
 			n.upstreamsChanged(n.directory.Replace(clock.Now(), n.entries(items)))
 		},
@@ -125,11 +125,11 @@
 }
 
 // upstreamNeed tells how closely the entries of upstreams have to be followed.
-func (n *Node) upstreamNeed() need {
+func (n *Node) upstreamNeed() followMode {
 	n.mu.Lock()
 	how := n.upstreamNeedNow()
 	n.mu.Unlock()
-	if how == needNothing {
+	if how == followNothing {
 		n.directory.MarkUnsynced()
 	}
 	return how
@@ -138,19 +138,19 @@
 // upstreamNeedNow is upstreamNeed. In large availability zones only hubs own groups, and
 // those of them that are small beside others only once the larger ones are lost: what they
 // have read is for the case that the store does not answer then. The lock is held.
-func (n *Node) upstreamNeedNow() need {
+func (n *Node) upstreamNeedNow() followMode {
 	counted := n.groupCounts[n.settings.Zone] > 0 // the number of groups follows from that of upstreams
 	switch {
 	case len(n.groups) > 0:
-		return needClosely
+		return followContinuously
 	case !n.neighbours.IsHub:
-		return needNothing
+		return followNothing
 	case counted && clock.Since(n.startedAt) < standbyFirst && !membership.IsLarge(n.settings.CPUShare, n.listedCandidates()):
-		return needNothing // the larger ones start as well, and read them at this moment
+		return followNothing // the larger ones start as well, and read them at this moment
 	case counted && !membership.IsLarge(n.settings.CPUShare, n.candidates()):
-		return needRoughly
+		return followPeriodically
 	default:
-		return needClosely
+		return followContinuously
 	}
 }
 
@@ -158,7 +158,7 @@
 // listed. The lock is held.
 func (n *Node) listedCandidates() []membership.Candidate {
 	return lo.FilterMap(n.hubPeers(), func(p membership.Peer, _ int) (membership.Candidate, bool) {
-		return membership.Candidate{Name: p.Instance, CPUShare: p.CPUShare}, !n.missing(p.Instance)
+		return membership.Candidate{Name: p.Instance, CPUShare: p.CPUShare}, !n.isDown(p.Instance)
 	})
 }
 
