--- a/node/convert.go
+++ b/node/convert.go
@@ -14,60 +14,60 @@
 	"github.com/samber/lo"
 )
 
-// claimFor words the ownership of a group, and its load.
-func claimFor(g *owner.Group, l schedule.Load) *inner.Claim {
+// claimToProto words the ownership of a group, and its load.
+func claimToProto(g *owner.Group, l schedule.Load) *inner.Claim {
 	return &inner.Claim{Group: g.Name, Token: g.Token, Free: uint32(max(l.Free, 0)), Waiting: uint32(l.Waiting), Capacity: l.Capacity, Closed: l.Closed}
 }
 
-func loadFrom(c *inner.Claim) schedule.Load {
+func loadFromProto(c *inner.Claim) schedule.Load {
 	return schedule.Load{Free: int(c.GetFree()), Waiting: int(c.GetWaiting()), Capacity: c.GetCapacity(), Closed: c.GetClosed()}
 }
 
 func toInts(list []uint32) []int { return lo.Map(list, func(v uint32, _ int) int { return int(v) }) }
 
-func fromInts(list []int) []uint32 {
+func toUint32s(list []int) []uint32 {
 	return lo.Map(list, func(v int, _ int) uint32 { return uint32(v) })
 }
 
-func livesTo(lives []fleet.UpstreamIncarnation) []*inner.UpstreamLife {
+func incarnationsToProto(lives []fleet.UpstreamIncarnation) []*inner.UpstreamLife {
 	return lo.Map(lives, func(l fleet.UpstreamIncarnation, _ int) *inner.UpstreamLife {
 		return &inner.UpstreamLife{Id: l.ID, Born: l.StartedUnixMs}
 	})
 }
 
-func roomTo(r directory.CapacityReport) *inner.UpstreamRoom {
+func capacityReportToProto(r directory.CapacityReport) *inner.UpstreamRoom {
 	return &inner.UpstreamRoom{
 		Life: &inner.UpstreamLife{Id: r.Incarnation.ID, Born: r.Incarnation.StartedUnixMs}, Sequence: r.Sequence,
 		MilliCpu: r.Capacity.MilliCPU, MemoryMb: r.Capacity.MemoryMB, Gpus: r.Capacity.GPUs,
 	}
 }
 
-func roomFrom(r *inner.UpstreamRoom) directory.CapacityReport {
+func capacityReportFromProto(r *inner.UpstreamRoom) directory.CapacityReport {
 	return directory.CapacityReport{
 		Incarnation: fleet.UpstreamIncarnation{ID: r.GetLife().GetId(), StartedUnixMs: r.GetLife().GetBorn()}, Sequence: r.GetSequence(),
 		Capacity: fleet.Resources{MilliCPU: r.GetMilliCpu(), MemoryMB: r.GetMemoryMb(), GPUs: r.GetGpus()},
 	}
 }
 
-func roomsTo(rooms []directory.CapacityReport) []*inner.UpstreamRoom {
-	return lo.Map(rooms, func(r directory.CapacityReport, _ int) *inner.UpstreamRoom { return roomTo(r) })
+func capacityReportsToProto(rooms []directory.CapacityReport) []*inner.UpstreamRoom {
+	return lo.Map(rooms, func(r directory.CapacityReport, _ int) *inner.UpstreamRoom { return capacityReportToProto(r) })
 }
 
-func roomsFrom(list []*inner.UpstreamRoom) []directory.CapacityReport {
-	return lo.Map(list, func(r *inner.UpstreamRoom, _ int) directory.CapacityReport { return roomFrom(r) })
+func capacityReportsFromProto(list []*inner.UpstreamRoom) []directory.CapacityReport {
+	return lo.Map(list, func(r *inner.UpstreamRoom, _ int) directory.CapacityReport { return capacityReportFromProto(r) })
 }
 
-// upstreamTo words what is known of an upstream.
-func upstreamTo(u fleet.Upstream) *inner.Upstream {
+// upstreamToProto words what is known of an upstream.
+func upstreamToProto(u fleet.Upstream) *inner.Upstream {
 	return &inner.Upstream{
-		Room:    roomTo(directory.CapacityReport{Incarnation: u.Incarnation(), Sequence: u.Sequence, Capacity: u.Capacity}),
+		Room:    capacityReportToProto(directory.CapacityReport{Incarnation: u.Incarnation(), Sequence: u.Sequence, Capacity: u.Capacity}),
 		Service: u.Service, Address: u.Address, Zone: u.Zone, Rack: u.Rack, Draining: u.Draining,
 		LargestMilliCpu: u.LargestCapacity.MilliCPU, LargestMemoryMb: u.LargestCapacity.MemoryMB, LargestGpus: u.LargestCapacity.GPUs,
 	}
 }
 
-func upstreamFrom(m *inner.Upstream) fleet.Upstream {
-	room := roomFrom(m.GetRoom())
+func upstreamFromProto(m *inner.Upstream) fleet.Upstream {
+	room := capacityReportFromProto(m.GetRoom())
 	return fleet.Upstream{
 		ID: room.Incarnation.ID, StartedUnixMs: room.Incarnation.StartedUnixMs, Sequence: room.Sequence, Capacity: room.Capacity,
 		Service: m.GetService(), Address: m.GetAddress(), Zone: m.GetZone(), Rack: m.GetRack(), Draining: m.GetDraining(),
@@ -75,14 +75,14 @@
 	}
 }
 
-func livesFrom(list []*inner.UpstreamLife) []fleet.UpstreamIncarnation {
+func incarnationsFromProto(list []*inner.UpstreamLife) []fleet.UpstreamIncarnation {
 	return lo.Map(list, func(l *inner.UpstreamLife, _ int) fleet.UpstreamIncarnation {
 		return fleet.UpstreamIncarnation{ID: l.GetId(), StartedUnixMs: l.GetBorn()}
 	})
 }
 
-// pastTo words what tasks that go elsewhere take along, by task.
-func pastTo(past map[int]schedule.TaskHistory) []*inner.TaskPast {
+// taskHistoryToProto words what tasks that go elsewhere take along, by task.
+func taskHistoryToProto(past map[int]schedule.TaskHistory) []*inner.TaskPast {
 	var list []*inner.TaskPast
 	for _, task := range slices.Sorted(maps.Keys(past)) {
 		list = append(list, &inner.TaskPast{Task: uint32(task), Number: past[task].LastRun, Failed: uint32(past[task].FailedRuns), Crashed: uint32(past[task].Crashes)})
@@ -90,7 +90,7 @@
 	return list
 }
 
-func pastFrom(list []*inner.TaskPast) map[int]schedule.TaskHistory {
+func taskHistoryFromProto(list []*inner.TaskPast) map[int]schedule.TaskHistory {
 	if len(list) == 0 {
 		return nil
 	}
@@ -101,35 +101,35 @@
 	return past
 }
 
-func returnedFrame(g *owner.Group, r schedule.Result, l schedule.Load) *inner.Frame {
+func offerReturnedFrame(g *owner.Group, r schedule.Result, l schedule.Load) *inner.Frame {
 	return &inner.Frame{Body: &inner.Frame_OfferReturned{OfferReturned: &inner.OfferReturned{
-		Group: g.Name, Job: r.Key.ID, Part: uint32(r.Key.Part), Tasks: fromInts(r.Returned), Load: claimFor(g, l),
-		Begun: r.Begun, Past: pastTo(r.History),
+		Group: g.Name, Job: r.Key.ID, Part: uint32(r.Key.Part), Tasks: toUint32s(r.Returned), Load: claimToProto(g, l),
+		Begun: r.Begun, Past: taskHistoryToProto(r.History),
 	}}}
 }
 
-func endedFrame(g *owner.Group, r schedule.Result, l schedule.Load) *inner.Frame {
+func offerEndedFrame(g *owner.Group, r schedule.Result, l schedule.Load) *inner.Frame {
 	return &inner.Frame{Body: &inner.Frame_OfferEnded{OfferEnded: &inner.OfferEnded{
-		Outcome: string(r.Outcome), Done: fromInts(r.Done), Returned: fromInts(r.Returned), Begun: r.Begun, Load: claimFor(g, l),
-		Past: pastTo(r.History),
+		Outcome: string(r.Outcome), Done: toUint32s(r.Done), Returned: toUint32s(r.Returned), Begun: r.Begun, Load: claimToProto(g, l),
+		Past: taskHistoryToProto(r.History),
 	}}}
 }
 
-// offerTo words an offer whose customer was there at a time of the receiver's clock, in
+// offerToProto words an offer whose customer was there at a time of the receiver's clock, in
 // milliseconds.
-func offerTo(group string, o schedule.Offer, aliveMs uint64) *inner.Offer {
+func offerToProto(group string, o schedule.Offer, aliveMs uint64) *inner.Offer {
 	return &inner.Offer{
 		Group: group, Job: o.Key.ID, Part: uint32(o.Key.Part), Service: o.Service, Route: o.Route, Spec: o.Spec,
 		MilliCpu: o.Demand.MilliCPU, MemoryMb: o.Demand.MemoryMB, Gpus: o.Demand.GPUs,
 		EstimateMs: uint32(o.Estimate.Milliseconds()), Priority: uint32(o.Priority), MaxAttempts: uint32(o.MaxAttempts),
-		Tasks: fromInts(o.Tasks), Stretch: o.Stretch, SlackMs: uint32(o.Slack.Milliseconds()),
+		Tasks: toUint32s(o.Tasks), Stretch: o.Stretch, SlackMs: uint32(o.Slack.Milliseconds()),
 		AgeMs: uint32(o.Age.Milliseconds()), PatienceMs: uint32(max(o.Timeout, 0).Milliseconds()), MayQueue: o.MayQueue, Begun: o.Begun, Whole: o.AllOrNothing,
-		Past: pastTo(o.History), AliveMs: aliveMs, Rack: o.Rack, MostOnOne: uint32(o.MaxPerUpstream),
+		Past: taskHistoryToProto(o.History), AliveMs: aliveMs, Rack: o.Rack, MostOnOne: uint32(o.MaxPerUpstream),
 	}
 }
 
-// offerFrom reads an offer, but for whose it is and when its customer was there.
-func offerFrom(m *inner.Offer) schedule.Offer {
+// offerFromProto reads an offer, but for whose it is and when its customer was there.
+func offerFromProto(m *inner.Offer) schedule.Offer {
 	return schedule.Offer{
 		Key:     schedule.JobKey{ID: m.GetJob(), Part: int(m.GetPart())},
 		Service: m.GetService(), Route: m.GetRoute(), Spec: m.GetSpec(),
@@ -138,6 +138,6 @@
 		MaxAttempts: int(m.GetMaxAttempts()), Tasks: toInts(m.GetTasks()), Stretch: m.GetStretch(),
 		Slack: time.Duration(m.GetSlackMs()) * time.Millisecond, Age: time.Duration(m.GetAgeMs()) * time.Millisecond,
 		Timeout: time.Duration(m.GetPatienceMs()) * time.Millisecond, MayQueue: m.GetMayQueue(), Begun: m.GetBegun(), AllOrNothing: m.GetWhole(),
-		History: pastFrom(m.GetPast()), Rack: m.GetRack(), MaxPerUpstream: int(m.GetMostOnOne()),
+		History: taskHistoryFromProto(m.GetPast()), Rack: m.GetRack(), MaxPerUpstream: int(m.GetMostOnOne()),
 	}
 }
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -253,7 +253,7 @@
 	members := func() (open []string) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		for _, u := range n.membersOf("a/0") {
+		for _, u := range n.groupMembers("a/0") {
 			if !u.Closed {
 				open = append(open, u.ID)
 			}
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -158,7 +158,7 @@
 	in.want("a-2", 1, 10)
 	in.configure(7, "/checks/")
 	in.until("the next version has come", func() bool { return n.config.Load().Version == 7 })
-	n.takeConfig(in.nodes["a-1"].config.Load().Raw, "test")
+	n.applyConfig(in.nodes["a-1"].config.Load().Raw, "test")
 	in.configure(3, "/checks/") // an older one, written late
 	in.want("a-2", 1, 10)
 	if v := n.config.Load().Version; v != 7 {
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -17,10 +17,10 @@
 		close     int
 	}{
 		"small zone":               {instances: 3, heard: 3, close: 3},
-		"all are heard":            {instances: 5, heard: 5, close: closeWatchers},
+		"all are heard":            {instances: 5, heard: 5, close: shortConfigWatchers},
 		"few are heard":            {instances: 5, heard: 2, close: 5},
 		"nobody is":                {instances: 5, heard: 0, close: 5},
-		"a zone with spokes":       {instances: 24, heard: 24, close: closeWatchers},
+		"a zone with spokes":       {instances: 24, heard: 24, close: shortConfigWatchers},
 		"its spokes hear few hubs": {instances: 24, heard: 2, close: 24},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -35,14 +35,14 @@
 				for _, other := range zone {
 					known[other] = membership.Listing{Instance: other, Zone: "a", Address: other}
 				}
-				n.setPeers(known)
+				n.setPeerList(known)
 				for _, other := range zone {
 					if other != self && heard < c.heard {
 						n.peers.RecordHeartbeat(fate.Incarnation(other+".1"), membership.Heartbeat{}, 1)
 						heard++
 					}
 				}
-				if n.configWait() == closeConfigWait {
+				if n.configWatchWait() == shortConfigWatchWait {
 					count++
 				}
 			}
--- a/node/groups.go
+++ b/node/groups.go
@@ -33,8 +33,8 @@
 // groupName names one group of an availability zone.
 func groupName(zone string, index int) string { return zone + "/" + strconv.Itoa(index) }
 
-// zoneOf returns the availability zone of a group.
-func zoneOf(group string) string { return group[:strings.LastIndexByte(group, '/')] }
+// zoneOfGroup returns the availability zone of a group.
+func zoneOfGroup(group string) string { return group[:strings.LastIndexByte(group, '/')] }
 
 // groupOf returns the group of an upstream, "" before the number of groups of
 // its availability zone is known. The lock is held.
@@ -46,8 +46,8 @@
 	return groupName(u.Zone, membership.GroupIndex(u.ID, count))
 }
 
-// groupsOf names the groups of a zone.
-func groupsOf(zone string, count int) []string {
+// groupNames names the groups of a zone.
+func groupNames(zone string, count int) []string {
 	var groups []string
 	for i := range count {
 		groups = append(groups, groupName(zone, i))
@@ -55,27 +55,27 @@
 	return groups
 }
 
-// zoneGroups returns the groups of the own availability zone. The lock is held.
-func (n *Node) zoneGroups() []string {
-	return groupsOf(n.settings.Zone, n.groupCounts[n.settings.Zone])
+// ownZoneGroups returns the groups of the own availability zone. The lock is held.
+func (n *Node) ownZoneGroups() []string {
+	return groupNames(n.settings.Zone, n.groupCounts[n.settings.Zone])
 }
 
-// ownedGroups returns the groups that this instance owns, by name. The lock is
+// ownedGroupsLocked returns the groups that this instance owns, by name. The lock is
 // held.
-func (n *Node) ownedGroups() []*ownedGroup {
+func (n *Node) ownedGroupsLocked() []*ownedGroup {
 	return slices.SortedFunc(maps.Values(n.groups), func(a, b *ownedGroup) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// owned is ownedGroups, without the lock.
-func (n *Node) owned() []*ownedGroup {
+// ownedGroups is ownedGroups, without the lock.
+func (n *Node) ownedGroups() []*ownedGroup {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ownedGroups()
+	return n.ownedGroupsLocked()
 }
 
-// membersOf returns the upstreams of a group that this instance may own: while
+// groupMembers returns the upstreams of a group that this instance may own: while
 // a peer hands the group over, those that it has let go. The lock is held.
-func (n *Node) membersOf(group string) []fleet.Upstream {
+func (n *Node) groupMembers(group string) []fleet.Upstream {
 	_, leaving := n.claimOf(group, true)
 	return n.directory.Select(func(u fleet.Upstream) bool {
 		return n.groupOf(u) == group && (leaving == nil || slices.Contains(leaving.GetReleased(), u.ID))
@@ -90,7 +90,7 @@
 	n.mu.Lock()
 	members := map[*ownedGroup][]fleet.Upstream{}
 	for _, g := range n.groups {
-		members[g] = n.membersOf(g.Name)
+		members[g] = n.groupMembers(g.Name)
 	}
 	n.mu.Unlock()
 	for g, list := range members {
@@ -117,49 +117,49 @@
 }
 
 const (
-	// countSettle is how long the number of a zone's upstreams must stand still
+	// countSettleTime is how long the number of a zone's upstreams must stand still
 	// at the first start before it counts: they enter themselves over more than
 	// one heartbeat, which takes 1.5 s.
-	countSettle = 2 * time.Second
-	// countLimit is when it counts in any case, from the start of the instance.
-	countLimit = 7 * time.Second
+	countSettleTime = 2 * time.Second
+	// countTimeout is when it counts in any case, from the start of the instance.
+	countTimeout = 7 * time.Second
 )
 
-// counted reports whether the number of upstreams of the own zone can be trusted:
+// upstreamCountSettled reports whether the number of upstreams of the own zone can be trusted:
 // always but at the first start of the whole system. The lock is held.
-func (n *Node) counted(count int, now time.Time) bool {
-	if !n.settings.FirstStart || now.Sub(n.startedAt) >= countLimit {
+func (n *Node) upstreamCountSettled(count int, now time.Time) bool {
+	if !n.settings.FirstStart || now.Sub(n.startedAt) >= countTimeout {
 		return true
 	}
 	if count != n.lastUpstreamCount || n.upstreamCountChangedAt.IsZero() {
 		n.lastUpstreamCount, n.upstreamCountChangedAt = count, now
 	}
-	return now.Sub(n.upstreamCountChangedAt) >= countSettle
+	return now.Sub(n.upstreamCountChangedAt) >= countSettleTime
 }
 
-// countGroups settles how many groups the own availability zone has, once and
+// ensureGroupCount settles how many groups the own availability zone has, once and
 // for all instances, through the store.
-func (n *Node) countGroups() {
+func (n *Node) ensureGroupCount() {
 	n.mu.Lock()
 	if n.groupCounts[n.settings.Zone] > 0 || n.creatingGroupCount || !n.directory.Synced() {
 		n.mu.Unlock()
 		return
 	}
 	count := n.directory.CountInZone(n.settings.Zone)
-	if count == 0 || !n.counted(count, clock.Now()) {
+	if count == 0 || !n.upstreamCountSettled(count, clock.Now()) {
 		n.mu.Unlock()
 		return
 	}
 	n.creatingGroupCount = true
 	instances := lo.CountBy(slices.Collect(maps.Values(n.registeredZones)), func(zone string) bool { return zone == n.settings.Zone })
 	n.mu.Unlock()
-	go n.createCount(membership.GroupCount(count, instances, n.settings.LinkRate))
+	go n.createGroupCount(membership.GroupCount(count, instances, n.settings.LinkRate))
 }
 
-func (n *Node) createCount(groups int) {
+func (n *Node) createGroupCount(groups int) {
 	err := n.store.Create(platform.GroupCountPrefix+n.settings.Zone, []byte(strconv.Itoa(groups)))
 	if err == nil {
-		n.takeCount(n.settings.Zone, groups)
+		n.setGroupCount(n.settings.Zone, groups)
 	} else if !failure.Is(err, failure.Conflict) { // where it is there already, the watch tells
 		event.RegisterFailed.Log(n.log, slog.String("what", "number of groups"), slog.String("error", err.Error()))
 	}
@@ -169,8 +169,8 @@
 	n.mu.Unlock()
 }
 
-// takeCount learns the number of groups of an availability zone.
-func (n *Node) takeCount(zone string, groups int) {
+// setGroupCount learns the number of groups of an availability zone.
+func (n *Node) setGroupCount(zone string, groups int) {
 	n.mu.Lock()
 	known := n.groupCounts[zone] > 0
 	if !known && groups > 0 {
--- a/node/groups_test.go
+++ b/node/groups_test.go
@@ -20,12 +20,12 @@
 		{100, 0, false}, {1500, 9, false}, {2500, 60, false}, {3000, 88, false}, {4900, 88, false}, {5000, 88, true},
 		{5100, 89, false}, {7000, 90, true},
 	} {
-		if got := n.counted(step.count, at(step.ms)); got != step.want {
+		if got := n.upstreamCountSettled(step.count, at(step.ms)); got != step.want {
 			t.Errorf("%d upstreams after %d ms count: %v", step.count, step.ms, got)
 		}
 	}
 	n = &Node{startedAt: began}
-	if !n.counted(1, began) {
+	if !n.upstreamCountSettled(1, began) {
 		t.Error("a later start waits")
 	}
 }
--- a/node/lease.go
+++ b/node/lease.go
@@ -91,7 +91,7 @@
 // handleRenewal renews the lease of the coordinator behind a connection.
 func (r *router) handleRenewal(link inner.Link, from fate.Incarnation, m *inner.Renewal) {
 	alive := r.n.timeOfClock(m.GetClockMs())
-	for _, g := range r.n.owned() {
+	for _, g := range r.n.ownedGroups() {
 		g.Renew(coordinatorOf(link, from), alive)
 	}
 }
@@ -99,7 +99,7 @@
 // renewOwnLeases renews the leases of this instance with the groups that it owns itself.
 func (n *Node) renewOwnLeases() {
 	self := string(n.self)
-	groups := slices.DeleteFunc(n.owned(), func(g *ownedGroup) bool { return !g.HasLeasedJobs(self) })
+	groups := slices.DeleteFunc(n.ownedGroups(), func(g *ownedGroup) bool { return !g.HasLeasedJobs(self) })
 	if len(groups) == 0 {
 		return
 	}
--- a/node/lives_test.go
+++ b/node/lives_test.go
@@ -41,7 +41,7 @@
 	in := newInstallation(t, []string{"a"}, 1, "a-1")
 	knows := func(capacity int64) {
 		in.until("the owner knows the room", func() bool {
-			groups := in.nodes["a-1"].owned()
+			groups := in.nodes["a-1"].ownedGroups()
 			return len(groups) == 1 && groups[0].Load().Capacity == capacity
 		})
 	}
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -113,7 +113,7 @@
 }
 
 func (n *Node) newHeartbeatFrames() *heartbeatFrames {
-	return &heartbeatFrames{heartbeat: n.heartbeat(), relayed: n.relays(), encoded: map[heartbeatVariant]inner.Encoded{}}
+	return &heartbeatFrames{heartbeat: n.heartbeat(), relayed: n.ownersToRelay(), encoded: map[heartbeatVariant]inner.Encoded{}}
 }
 
 func (b *heartbeatFrames) encode(a heartbeatVariant) (inner.Encoded, error) {
--- a/node/node.go
+++ b/node/node.go
@@ -190,7 +190,7 @@
 	n.upstreamClient.Close()
 	n.mesh.Close()
 	n.mu.Lock()
-	groups := n.ownedGroups()
+	groups := n.ownedGroupsLocked()
 	clear(n.groups)
 	n.mu.Unlock()
 	for _, g := range groups {
@@ -209,7 +209,7 @@
 	n.goroutines.Go(n.followOperators)
 	n.goroutines.Go(n.followUpstreams)
 	n.goroutines.Go(n.followPeers)
-	n.goroutines.Go(n.register)
+	n.goroutines.Go(n.keepRegistered)
 	n.goroutines.Go(n.heartbeatLoop)
 	n.serve("customers", n.serveCustomers)
 	n.serve("metrics", func() error { return fasthttp.Serve(n.conns.Listener(n.metricsListener), n.serveMetrics) })
@@ -280,7 +280,7 @@
 		fmt.Fprintf(w, "sedgehatch_bytes{with=%q,way=\"in\"} %d\nsedgehatch_bytes{with=%q,way=\"out\"} %d\n", l.with, read, l.with, wrote)
 	}
 	fmt.Fprintf(w, "sedgehatch_bytes{with=\"peers\",way=\"out\"} %d\nsedgehatch_link_bytes_per_s %.0f\n", n.mesh.Sent(), n.settings.LinkRate)
-	for _, g := range n.owned() {
+	for _, g := range n.ownedGroups() {
 		waits := g.CallDelays()
 		fmt.Fprintf(w, "sedgehatch_group_overdue_ms{group=%q} %d\nsedgehatch_group_link_wait_ms{group=%q} %d\n",
 			g.Name, waits.OverdueAfter.Milliseconds(), g.Name, waits.LinkWait.Milliseconds())
@@ -318,13 +318,13 @@
 	n.drainDeadline.Store(lo.ToPtr(began.Add(limit)))
 	n.leaving.Store(true)
 	event.NodeDraining.Log(n.log, slog.Int("jobs", n.ingress.OpenJobs()))
-	n.handOver(0, limit)
+	n.handOverForShutdown(0, limit)
 	n.tick()
 	drained := false
 	for !drained && clock.Since(began) < limit {
 		time.Sleep(drainPoll)
-		n.handOver(clock.Since(began), limit)
-		n.release()
+		n.handOverForShutdown(clock.Since(began), limit)
+		n.releaseAndNotifyPeers()
 		n.mu.Lock()
 		owns := len(n.groups)
 		n.mu.Unlock()
--- a/node/operators.go
+++ b/node/operators.go
@@ -21,14 +21,14 @@
 // followOperators keeps up with both until the instance stops.
 func (n *Node) followOperators() {
 	n.follow(storeFollower{
-		prefix: platform.OperatorPrefix, watchWait: n.configWait, readPause: noPause,
+		prefix: platform.OperatorPrefix, watchWait: n.configWatchWait, readPause: noPause,
 		replace: func(items []platform.Item, revision uint64) {
-			n.zonesChanged(n.directory.ReplaceZones(revision, zoneStatesFromStore(items)), "store")
-			n.takeConfigItem(items)
+			n.applyZoneChanges(n.directory.ReplaceZones(revision, zoneStatesFromStore(items)), "store")
+			n.applyConfigItem(items)
 		},
 		update: func(items []platform.Item) {
-			n.zonesChanged(n.directory.UpdateZones(zoneStatesFromStore(items)), "store")
-			n.takeConfigItem(items)
+			n.applyZoneChanges(n.directory.UpdateZones(zoneStatesFromStore(items)), "store")
+			n.applyConfigItem(items)
 		},
 	})
 }
@@ -41,9 +41,9 @@
 	})
 }
 
-// zonesChanged acts on evacuations that began or were taken back: owned groups start
+// applyZoneChanges acts on evacuations that began or were taken back: owned groups start
 // nothing more in those zones, or may again, and peers hear of it at once.
-func (n *Node) zonesChanged(changed []directory.ZoneState, from string) {
+func (n *Node) applyZoneChanges(changed []directory.ZoneState, from string) {
 	for _, s := range changed {
 		e := event.ZoneReturned
 		if s.Evacuated {
@@ -63,7 +63,7 @@
 	if p.GetZonesRevision() == 0 {
 		return
 	}
-	n.zonesChanged(n.directory.ReplaceZones(p.GetZonesRevision(), zoneStatesFromPeer(p)), from)
+	n.applyZoneChanges(n.directory.ReplaceZones(p.GetZonesRevision(), zoneStatesFromPeer(p)), from)
 }
 
 func zoneStatesFromPeer(p *inner.Presence) []directory.ZoneState {
@@ -95,52 +95,52 @@
 	}
 }
 
-// takeConfigItem puts the configuration in force that is among some keys.
-func (n *Node) takeConfigItem(items []platform.Item) {
+// applyConfigItem puts the configuration in force that is among some keys.
+func (n *Node) applyConfigItem(items []platform.Item) {
 	for _, item := range items {
 		if item.Key == platform.ConfigKey && !item.Deleted {
-			n.takeConfig(item.Value, "store")
+			n.applyConfig(item.Value, "store")
 		}
 	}
 }
 
-// configWait bounds a watch on the configuration. An answer that is lost is noticed
+// configWatchWait bounds a watch on the configuration. An answer that is lost is noticed
 // that late by those who watch closely; the others hear of a new version with the next
 // heartbeat of these. One that hears few of them watches closely itself.
-func (n *Node) configWait() time.Duration {
+func (n *Node) configWatchWait() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case n.neighbours.IsHub && n.neighbours.Rank < closeWatchers || n.hubsHeard() < closeWatchers:
-		return closeConfigWait
+	case n.neighbours.IsHub && n.neighbours.Rank < shortConfigWatchers || n.countLiveHubs() < shortConfigWatchers:
+		return shortConfigWatchWait
 	case n.neighbours.IsHub:
-		return configWait
+		return hubConfigWatchWait
 	default:
-		return spokeWait
+		return spokeWatchWait
 	}
 }
 
-// peerWait bounds a watch on the list of instances.
-func (n *Node) peerWait() time.Duration {
+// peerWatchWait bounds a watch on the list of instances.
+func (n *Node) peerWatchWait() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.neighbours.IsHub || n.hubsHeard() < closeWatchers {
-		return peerWait
+	if n.neighbours.IsHub || n.countLiveHubs() < shortConfigWatchers {
+		return hubPeerWatchWait
 	}
-	return spokeWait
+	return spokeWatchWait
 }
 
-// hubsHeard counts the other hubs of the own availability zone that live. The lock is
+// countLiveHubs counts the other hubs of the own availability zone that live. The lock is
 // held.
-func (n *Node) hubsHeard() int {
+func (n *Node) countLiveHubs() int {
 	return len(n.peers.Filter(func(p membership.Peer) bool {
 		hub := n.neighbours.Has(p.Instance) && !n.neighbours.Spokes[p.Instance]
 		return hub && p.Zone == n.settings.Zone && p.State == membership.Alive
 	}))
 }
 
-// takeConfig puts a configuration in force, unless it is not newer.
-func (n *Node) takeConfig(raw []byte, from string) {
+// applyConfig puts a configuration in force, unless it is not newer.
+func (n *Node) applyConfig(raw []byte, from string) {
 	config, err := platform.ParseConfig(raw)
 	if err != nil {
 		event.ConfigRefused.Log(n.log, slog.String("from", from), slog.String("error", err.Error()))
--- a/node/orphans.go
+++ b/node/orphans.go
@@ -13,20 +13,20 @@
 // owned from other zones until one is there again.
 
 const (
-	// orphanAfter is how long a zone must have no instance, beyond the time in
+	// orphanDelay is how long a zone must have no instance, beyond the time in
 	// which its entries in the store lapse: a restart takes less.
-	orphanAfter = 2 * time.Second
-	// orphanTrial is how long the upstreams of such a zone have to accept this
+	orphanDelay = 2 * time.Second
+	// orphanTrialTime is how long the upstreams of such a zone have to accept this
 	// instance: the whole zone may be cut off, with owners of its own.
-	orphanTrial = 5 * time.Second
-	// orphanPause is how long they are left alone after that, or after another
+	orphanTrialTime = 5 * time.Second
+	// orphanRetryDelay is how long they are left alone after that, or after another
 	// owner has fenced this instance there.
-	orphanPause = 15 * time.Second
+	orphanRetryDelay = 15 * time.Second
 )
 
-// staffed reports whether an availability zone has an instance, as far as this
+// zoneHasInstance reports whether an availability zone has an instance, as far as this
 // one can tell. The lock is held.
-func (n *Node) staffed(zone string) bool {
+func (n *Node) zoneHasInstance(zone string) bool {
 	if !n.peerListRead {
 		return true // the store has not told yet
 	}
@@ -35,32 +35,32 @@
 			return true
 		}
 	}
-	return len(n.liveIn(zone)) > 0
+	return len(n.livePeersIn(zone)) > 0
 }
 
-// liveIn returns the instances of a zone that are heard. The lock is held.
-func (n *Node) liveIn(zone string) []membership.Peer {
+// livePeersIn returns the instances of a zone that are heard. The lock is held.
+func (n *Node) livePeersIn(zone string) []membership.Peer {
 	return n.peers.Filter(func(p membership.Peer) bool {
 		return p.Zone == zone && p.State != membership.Dead && p.State != membership.Listed
 	})
 }
 
-// orphaned returns the groups of zones that have had no instance for a while.
+// orphanedGroups returns the groups of zones that have had no instance for a while.
 // The lock is held.
-func (n *Node) orphaned() []string {
+func (n *Node) orphanedGroups() []string {
 	var groups []string
 	for zone, count := range n.groupCounts {
-		if n.staffed(zone) || zone == n.settings.Zone {
+		if n.zoneHasInstance(zone) || zone == n.settings.Zone {
 			delete(n.emptySince, zone)
 			continue
 		}
 		if n.emptySince[zone].IsZero() {
 			n.emptySince[zone] = clock.Now()
 		}
-		if clock.Since(n.emptySince[zone]) < orphanAfter || clock.Now().Before(n.orphanRetryAt[zone]) {
+		if clock.Since(n.emptySince[zone]) < orphanDelay || clock.Now().Before(n.orphanRetryAt[zone]) {
 			continue
 		}
-		groups = append(groups, groupsOf(zone, count)...)
+		groups = append(groups, groupNames(zone, count)...)
 	}
 	return groups
 }
@@ -72,24 +72,24 @@
 	hubs := n.peers.Filter(func(p membership.Peer) bool {
 		return n.neighboursIfAllAlive.Has(p.Instance) && !n.neighboursIfAllAlive.Spokes[p.Instance]
 	})
-	return append(list, n.candidatesOf(hubs)...)
+	return append(list, n.liveCandidates(hubs)...)
 }
 
 // isForeign reports whether a group belongs to another zone.
-func (n *Node) isForeign(group string) bool { return zoneOf(group) != n.settings.Zone }
+func (n *Node) isForeign(group string) bool { return zoneOfGroup(group) != n.settings.Zone }
 
-// dropForeign gives up the groups of other zones whose upstreams do not accept
+// dropRejectedForeignGroups gives up the groups of other zones whose upstreams do not accept
 // this instance.
-func (n *Node) dropForeign() {
+func (n *Node) dropRejectedForeignGroups() {
 	var dropped []*ownedGroup
 	n.mu.Lock()
-	for _, g := range n.ownedGroups() {
+	for _, g := range n.ownedGroupsLocked() {
 		fenced, joined := g.FencedAt()
-		tried := clock.Since(g.takenAt) >= orphanTrial
+		tried := clock.Since(g.takenAt) >= orphanTrialTime
 		if g.handingOver || !n.isForeign(g.Name) || fenced.IsZero() && (joined || !tried) {
 			continue
 		}
-		n.orphanRetryAt[zoneOf(g.Name)] = clock.Now().Add(orphanPause)
+		n.orphanRetryAt[zoneOfGroup(g.Name)] = clock.Now().Add(orphanRetryDelay)
 		event.GroupLost.Log(n.log, slog.String("group", g.Name), slog.Uint64("token", g.Token), slog.Bool("fenced", !fenced.IsZero()),
 			slog.Bool("joined", joined), slog.String("to", "unknown"))
 		delete(n.groups, g.Name)
@@ -101,20 +101,20 @@
 	}
 }
 
-// rightfulOwners returns the owner that each owned group should have: of foreign groups
+// assignedOwners returns the owner that each owned group should have: of foreign groups
 // an instance of their own zone, once there is one. The lock is held.
-func (n *Node) rightfulOwners() map[string]string {
-	owners := membership.Assign(n.zoneGroups(), n.candidates())
+func (n *Node) assignedOwners() map[string]string {
+	owners := membership.Assign(n.ownZoneGroups(), n.ownZoneCandidates())
 	if owners == nil {
 		owners = map[string]string{}
 	}
 	for group := range n.groups {
-		zone := zoneOf(group)
+		zone := zoneOfGroup(group)
 		if zone == n.settings.Zone {
 			continue
 		}
-		home := n.candidatesOf(n.liveIn(zone))
-		owners[group] = membership.Assign(groupsOf(zone, n.groupCounts[zone]), home)[group]
+		home := n.liveCandidates(n.livePeersIn(zone))
+		owners[group] = membership.Assign(groupNames(zone, n.groupCounts[zone]), home)[group]
 	}
 	return owners
 }
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -14,20 +14,20 @@
 	"github.com/samber/lo"
 )
 
-// reconsider takes and gives up groups as peers come and go.
-func (n *Node) reconsider() {
-	n.countGroups()
-	n.yieldGroups()
-	n.dropForeign()
-	n.dropFenced()
-	n.handBack()
-	n.releaseGroups() // the beat that follows tells peers
-	n.takeGroups()
+// reconcileGroups takes and gives up groups as peers come and go.
+func (n *Node) reconcileGroups() {
+	n.ensureGroupCount()
+	n.dropSupersededGroups()
+	n.dropRejectedForeignGroups()
+	n.dropFencedGroups()
+	n.handOverToBetterOwner()
+	n.releaseDrained() // the beat that follows tells peers
+	n.takeFreeGroups()
 }
 
-// yieldGroups gives up groups that a peer owns under a higher token: upstreams
+// dropSupersededGroups gives up groups that a peer owns under a higher token: upstreams
 // do not listen to this instance any more.
-func (n *Node) yieldGroups() {
+func (n *Node) dropSupersededGroups() {
 	var yielded []*ownedGroup
 	n.mu.Lock()
 	for name, g := range n.groups {
@@ -52,20 +52,20 @@
 	// fenceMargin is added to the time in which two holders must not take
 	// turns.
 	fenceMargin = 200 * time.Millisecond
-	// staleFence is how soon a group is taken again whose upstreams never
+	// staleFenceDelay is how soon a group is taken again whose upstreams never
 	// accepted the token: they remember that of an owner that is gone.
-	staleFence = 100 * time.Millisecond
+	staleFenceDelay = 100 * time.Millisecond
 )
 
-// dropFenced gives up groups whose upstreams follow a higher token that no peer
+// dropFencedGroups gives up groups whose upstreams follow a higher token that no peer
 // claims. They may be taken again, under a token above it, once two holders
 // cannot be taking turns.
-func (n *Node) dropFenced() {
+func (n *Node) dropFencedGroups() {
 	var dropped []*ownedGroup
 	n.mu.Lock()
-	for _, g := range n.ownedGroups() {
+	for _, g := range n.ownedGroupsLocked() {
 		since, joined := g.FencedAt()
-		wait := staleFence
+		wait := staleFenceDelay
 		if joined {
 			wait = n.settings.Timing.MinOwnershipInterval + fenceMargin
 			n.incrementDoublings = 0
@@ -73,8 +73,8 @@
 		if since.IsZero() || clock.Since(since) < wait {
 			continue
 		}
-		n.highestToken += tokenLeap << n.incrementDoublings
-		n.incrementDoublings = min(n.incrementDoublings+1, maxLeaps)
+		n.highestToken += tokenIncrement << n.incrementDoublings
+		n.incrementDoublings = min(n.incrementDoublings+1, maxIncrementDoublings)
 		event.GroupLost.Log(n.log, slog.String("group", g.Name), slog.Uint64("token", g.Token), slog.String("to", "unknown"))
 		delete(n.groups, g.Name)
 		dropped = append(dropped, g)
@@ -86,25 +86,25 @@
 }
 
 const (
-	// tokenLeap raises the next token by a second: the owner that this
+	// tokenIncrement raises the next token by a second: the owner that this
 	// instance was fenced by may have a clock that is ahead. It doubles each
 	// time, at most maxLeaps times.
-	tokenLeap = 1000 << membership.TokenNameBits
-	maxLeaps  = 8
+	tokenIncrement        = 1000 << membership.TokenNameBits
+	maxIncrementDoublings = 8
 )
 
 const (
-	// handBackAfter is how long a group is kept at least: two holders must
+	// minOwnershipTime is how long a group is kept at least: two holders must
 	// not take turns, and each change costs some room for a moment.
-	handBackAfter = 5 * time.Second
-	// muchLarger is how many times the share of a processor another owner
+	minOwnershipTime = 5 * time.Second
+	// muchLargerFactor is how many times the share of a processor another owner
 	// must have to be worth a change.
-	muchLarger = 2
+	muchLargerFactor = 2
 )
 
-// handBack begins to hand one group over to an instance that is much larger, or
+// handOverToBetterOwner begins to hand one group over to an instance that is much larger, or
 // that owns fewer, if it should own it.
-func (n *Node) handBack() {
+func (n *Node) handOverToBetterOwner() {
 	if n.leaving.Load() {
 		return
 	}
@@ -114,14 +114,14 @@
 		return
 	}
 	var given *ownedGroup
-	owners := n.rightfulOwners()
-	for _, g := range n.ownedGroups() {
+	owners := n.assignedOwners()
+	for _, g := range n.ownedGroupsLocked() {
 		if g.handingOver {
 			n.mu.Unlock()
 			return // one at a time
 		}
 		to := owners[g.Name]
-		if given == nil && to != "" && to != n.settings.Name && clock.Since(g.takenAt) > handBackAfter && (n.isForeign(g.Name) || n.betterOwner(to, owners)) {
+		if given == nil && to != "" && to != n.settings.Name && clock.Since(g.takenAt) > minOwnershipTime && (n.isForeign(g.Name) || n.isBetterOwner(to, owners)) {
 			given = g
 		}
 	}
@@ -135,10 +135,10 @@
 	}
 }
 
-// betterOwner reports whether handing a group to a peer is worth the change. The
+// isBetterOwner reports whether handing a group to a peer is worth the change. The
 // lock is held.
-func (n *Node) betterOwner(peer string, owners map[string]string) bool {
-	if !n.neighbours.IsHub || n.lastHeartbeat[peer].GetShare() >= muchLarger*n.settings.CPUShare {
+func (n *Node) isBetterOwner(peer string, owners map[string]string) bool {
+	if !n.neighbours.IsHub || n.lastHeartbeat[peer].GetShare() >= muchLargerFactor*n.settings.CPUShare {
 		return true
 	}
 	fair := 0
@@ -151,18 +151,18 @@
 	return len(n.groups) > fair && len(n.lastHeartbeat[peer].GetClaims())+1 < len(n.groups)
 }
 
-// keepShare is the part of a planned stop in which groups are kept while no
+// keepGroupsFraction is the part of a planned stop in which groups are kept while no
 // other instance of the availability zone can take them: their upstreams would
 // stand idle until one has started. The rest is left for what runs to end.
-const keepShare = 0.4
+const keepGroupsFraction = 0.4
 
-// handOver begins to hand over the groups in a planned stop that lasts until
+// handOverForShutdown begins to hand over the groups in a planned stop that lasts until
 // limit at most and has taken a while.
-func (n *Node) handOver(took, limit time.Duration) {
+func (n *Node) handOverForShutdown(took, limit time.Duration) {
 	var given []*ownedGroup
 	n.mu.Lock()
-	late := took > time.Duration(keepShare*float64(limit))
-	for _, g := range n.ownedGroups() {
+	late := took > time.Duration(keepGroupsFraction*float64(limit))
+	for _, g := range n.ownedGroupsLocked() {
 		if g.handingOver || !late && !n.isForeign(g.Name) && !n.hasSuccessor() {
 			continue
 		}
@@ -182,21 +182,21 @@
 // hasSuccessor reports whether another instance may own the groups of this
 // availability zone. The lock is held.
 func (n *Node) hasSuccessor() bool {
-	return slices.ContainsFunc(n.candidates(), func(c membership.Candidate) bool { return c.Name != n.settings.Name })
+	return slices.ContainsFunc(n.ownZoneCandidates(), func(c membership.Candidate) bool { return c.Name != n.settings.Name })
 }
 
-// release lets go of upstreams in a planned stop, and tells peers at once.
-func (n *Node) release() {
-	if n.releaseGroups() > 0 {
+// releaseAndNotifyPeers lets go of upstreams in a planned stop, and tells peers at once.
+func (n *Node) releaseAndNotifyPeers() {
+	if n.releaseDrained() > 0 {
 		n.sendHeartbeats()
 	}
 }
 
-// releaseGroups lets go of drained upstreams and groups, and returns how many
+// releaseDrained lets go of drained upstreams and groups, and returns how many
 // upstreams it let go.
-func (n *Node) releaseGroups() int {
+func (n *Node) releaseDrained() int {
 	count := 0
-	for _, g := range n.owned() {
+	for _, g := range n.ownedGroups() {
 		n.mu.Lock()
 		handing := g.handingOver
 		n.mu.Unlock()
@@ -220,18 +220,18 @@
 	return count
 }
 
-// takeGroups takes the groups that nobody owns and that this instance should own:
+// takeFreeGroups takes the groups that nobody owns and that this instance should own:
 // of its own availability zone, and of those without any instance.
-func (n *Node) takeGroups() {
+func (n *Node) takeFreeGroups() {
 	if n.leaving.Load() || n.ctx.Err() != nil {
 		return
 	}
 	n.mu.Lock()
 	taken := false
-	if n.neighbours.IsHub && n.settled() && !n.isolated() {
-		taken = n.takeOwn(membership.Assign(n.zoneGroups(), n.candidates()))
-		if orphaned := n.orphaned(); len(orphaned) > 0 {
-			taken = n.takeOwn(membership.Assign(orphaned, n.foreignCandidates())) || taken
+	if n.neighbours.IsHub && n.membershipSettled() && !n.isIsolated() {
+		taken = n.takeAssignedGroups(membership.Assign(n.ownZoneGroups(), n.ownZoneCandidates()))
+		if orphaned := n.orphanedGroups(); len(orphaned) > 0 {
+			taken = n.takeAssignedGroups(membership.Assign(orphaned, n.foreignCandidates())) || taken
 		}
 	}
 	n.mu.Unlock()
@@ -241,21 +241,21 @@
 	}
 }
 
-// takeOwn takes the free groups whose owner should be this instance, and reports
+// takeAssignedGroups takes the free groups whose owner should be this instance, and reports
 // whether there are any. The lock is held.
-func (n *Node) takeOwn(owners map[string]string) bool {
+func (n *Node) takeAssignedGroups(owners map[string]string) bool {
 	taken := false
 	for group, name := range owners {
-		if name == n.settings.Name && n.canTake(group) {
-			n.take(group)
+		if name == n.settings.Name && n.canTakeGroup(group) {
+			n.takeGroup(group)
 			taken = true
 		}
 	}
 	return taken
 }
 
-// take begins to own a group. The lock is held.
-func (n *Node) take(group string) {
+// takeGroup begins to own a group. The lock is held.
+func (n *Node) takeGroup(group string) {
 	n.highestToken = membership.NextToken(clock.WallClock().UnixMilli(), n.highestToken, string(n.self))
 	cfg := schedule.ConfigForMaxLease(n.settings.Timing.MaxTaskLease)
 	cfg.RemoteFactor = n.settings.Timing.RemoteFactor
@@ -263,13 +263,13 @@
 	n.groups[group] = &ownedGroup{Group: owner.NewGroup(group, cfg, n.highestToken, n.upstreamClient, n), takenAt: clock.Now()}
 	n.lastTakenAt = clock.Now()
 	event.GroupTaken.Log(n.log, slog.String("group", group), slog.Uint64("token", n.highestToken),
-		slog.Int("upstreams", len(n.membersOf(group))), slog.Int("candidates", len(n.candidates())))
+		slog.Int("upstreams", len(n.groupMembers(group))), slog.Int("candidates", len(n.ownZoneCandidates())))
 }
 
-// settled reports whether this instance has heard enough to take a group: from
+// membershipSettled reports whether this instance has heard enough to take a group: from
 // every instance of its availability zone that is listed and runs. One that
 // accepts no connection does not. The lock is held.
-func (n *Node) settled() bool {
+func (n *Node) membershipSettled() bool {
 	age := clock.Since(n.startedAt)
 	if age >= busySettleTime {
 		return true
@@ -282,24 +282,24 @@
 	return n.peerListRead && (age >= settleTime || n.peers.Len() > 0)
 }
 
-// canTake reports whether a group is free. The lock is held.
-func (n *Node) canTake(group string) bool {
-	if n.groups[group] != nil || !n.directory.Ready() || len(n.membersOf(group)) == 0 {
+// canTakeGroup reports whether a group is free. The lock is held.
+func (n *Node) canTakeGroup(group string) bool {
+	if n.groups[group] != nil || !n.directory.Ready() || len(n.groupMembers(group)) == 0 {
 		return false
 	}
 	_, claim := n.claimOf(group, false)
 	return claim == nil
 }
 
-// isolatedLimit bounds how long an isolated instance leaves its availability
+// isolationTimeout bounds how long an isolated instance leaves its availability
 // zone to peers that it cannot hear.
-const isolatedLimit = 6 * time.Second
+const isolationTimeout = 6 * time.Second
 
-// isolated reports whether this instance hears no peer at all while the store
+// isIsolated reports whether this instance hears no peer at all while the store
 // lists some of its availability zone that do not refuse connections: it is
 // likely itself that is cut off, and a takeover would take the upstreams from
 // an owner that works. The lock is held.
-func (n *Node) isolated() bool {
+func (n *Node) isIsolated() bool {
 	listed := false
 	for p := range n.peers.All() {
 		switch {
@@ -310,27 +310,27 @@
 			listed = true
 		}
 	}
-	if !listed || clock.Since(n.startedAt) < isolatedLimit {
+	if !listed || clock.Since(n.startedAt) < isolationTimeout {
 		return false // after a restart of all, the list is older than the loss
 	}
 	if n.isolatedSince.IsZero() {
 		n.isolatedSince = clock.Now()
 	}
-	return clock.Since(n.isolatedSince) < isolatedLimit
+	return clock.Since(n.isolatedSince) < isolationTimeout
 }
 
-// candidates returns the instances of the own availability zone that may own
+// ownZoneCandidates returns the instances of the own availability zone that may own
 // groups: its hubs. The lock is held.
-func (n *Node) candidates() []membership.Candidate {
+func (n *Node) ownZoneCandidates() []membership.Candidate {
 	var list []membership.Candidate
 	if n.neighbours.IsHub {
 		list = append(list, membership.Candidate{Name: n.settings.Name, CPUShare: n.settings.CPUShare})
 	}
-	return append(list, n.candidatesOf(n.hubPeers())...)
+	return append(list, n.liveCandidates(n.hubPeers())...)
 }
 
-// candidatesOf returns those of some peers that live. The lock is held.
-func (n *Node) candidatesOf(peers []membership.Peer) []membership.Candidate {
+// liveCandidates returns those of some peers that live. The lock is held.
+func (n *Node) liveCandidates(peers []membership.Peer) []membership.Candidate {
 	return lo.FilterMap(peers, func(p membership.Peer, _ int) (membership.Candidate, bool) {
 		return membership.Candidate{Name: p.Instance, CPUShare: n.lastHeartbeat[p.Instance].GetShare()}, p.State == membership.Alive
 	})
--- a/node/ownership_test.go
+++ b/node/ownership_test.go
@@ -40,7 +40,7 @@
 			p.Claims = append(p.Claims, &inner.Claim{})
 		}
 		n.lastHeartbeat["peer"] = p
-		if got := n.betterOwner("peer", owners); got != c.want {
+		if got := n.isBetterOwner("peer", owners); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -41,7 +41,7 @@
 	n.mu.Unlock()
 	n.applyPeerChanges(changes)
 	n.updateNeighbours()
-	n.reconsider()
+	n.reconcileGroups()
 	n.sendHeartbeats()
 }
 
@@ -51,21 +51,21 @@
 // heartbeat is what peers hear of this instance.
 func (n *Node) heartbeat() *inner.Presence {
 	n.mu.Lock()
-	groups := n.ownedGroups()
+	groups := n.ownedGroupsLocked()
 	p := &inner.Presence{
 		Leaving: n.leaving.Load(), HighestToken: n.highestToken, Share: n.settings.CPUShare,
 		GroupCounts: lo.MapValues(n.groupCounts, func(count int, _ string) uint32 { return uint32(count) }),
 	}
 	n.mu.Unlock()
 	p.ClockMs = n.clockMs()
-	p.Draining = livesTo(n.directory.DrainingSince(clock.Now().Add(-tellDrains)))
-	p.Rooms = roomsTo(n.directory.CapacityReportsSince(clock.Now().Add(-tellDrains)))
+	p.Draining = incarnationsToProto(n.directory.DrainingSince(clock.Now().Add(-tellDrains)))
+	p.Rooms = capacityReportsToProto(n.directory.CapacityReportsSince(clock.Now().Add(-tellDrains)))
 	n.addZoneStates(p)
 	if c := n.config.Load(); c != nil {
 		p.ConfigVersion = c.Version
 	}
 	for _, g := range groups {
-		c := claimFor(g.Group, g.Load())
+		c := claimToProto(g.Group, g.Load())
 		n.mu.Lock()
 		c.Leaving = g.handingOver
 		c.Released = slices.Clone(g.released)
@@ -178,7 +178,7 @@
 	case *inner.Frame_UpstreamsRequest:
 		n.tellUpstreams(body.UpstreamsRequest.GetZone(), reply)
 	case *inner.Frame_ConfigReply:
-		n.takeConfig(body.ConfigReply.GetConfig(), from.Instance())
+		n.applyConfig(body.ConfigReply.GetConfig(), from.Instance())
 	}
 }
 
@@ -229,18 +229,18 @@
 	n.lastHeartbeat[from.Instance()] = p
 	n.highestToken = max(n.highestToken, p.GetHighestToken())
 	for zone, count := range p.GetGroupCounts() {
-		if n.groupCounts[zone] == 0 && count > 0 && count <= mostGroups {
+		if n.groupCounts[zone] == 0 && count > 0 && count <= maxGroupsPerZone {
 			n.groupCounts[zone] = int(count)
 		}
 	}
 	n.mu.Unlock()
-	leaving := n.directory.MarkDraining(clock.Now(), livesFrom(p.GetDraining()))
+	leaving := n.directory.MarkDraining(clock.Now(), incarnationsFromProto(p.GetDraining()))
 	n.logDrains(leaving, from.Instance())
-	resized := n.directory.ApplyCapacityReports(clock.Now(), roomsFrom(p.GetRooms()))
+	resized := n.directory.ApplyCapacityReports(clock.Now(), capacityReportsFromProto(p.GetRooms()))
 	n.applyPeerZones(from.Instance(), p)
 	n.router.handlePeerClock(link, from, p.GetClockMs())
 	n.router.heard(from, p)
-	n.router.heardOf(p.GetRelayed())
+	n.router.handleRelayedOwners(p.GetRelayed())
 	n.applyPeerChanges(changes)
 	if len(changes) > 0 {
 		// It is answered where it spoke: a connection the other way may
@@ -252,7 +252,7 @@
 	}
 	n.handleConfigVersion(link, p.GetConfigVersion())
 	if claimsChanged(before.GetClaims(), p.GetClaims()) {
-		n.reconsider()
+		n.reconcileGroups()
 		n.updateGroups()
 	}
 }
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -28,7 +28,7 @@
 		for i := range zones {
 			n.groupCounts[fmt.Sprintf("%c", 'a'+i)] = 4
 		}
-		n.setPeers(known)
+		n.setPeerList(known)
 		fleet = append(fleet, n)
 	}
 	return fleet
@@ -47,7 +47,7 @@
 			if n.upstreamNeed() != followNothing {
 				readers++
 			}
-			if n.peerWait() == spokeWait {
+			if n.peerWatchWait() == spokeWatchWait {
 				rare++
 			}
 		}
@@ -75,12 +75,16 @@
 func TestSpokesWatchRarely(t *testing.T) {
 	in, hubs, spokes := largeInstallation(t)
 	spoke := in.nodes[spokes[0]]
-	in.until("the spoke hears hubs", func() bool { return spoke.peerWait() == spokeWait && spoke.configWait() == spokeWait })
-	if hub := in.nodes[hubs[0]]; hub.peerWait() != peerWait {
+	in.until("the spoke hears hubs", func() bool {
+		return spoke.peerWatchWait() == spokeWatchWait && spoke.configWatchWait() == spokeWatchWait
+	})
+	if hub := in.nodes[hubs[0]]; hub.peerWatchWait() != hubPeerWatchWait {
 		t.Error("a hub watches the list of instances rarely")
 	}
 	for _, name := range hubs[2:] {
 		in.kill(name)
 	}
-	in.until("it watches closely", func() bool { return spoke.configWait() == closeConfigWait || spoke.upstreamNeed() != followNothing })
+	in.until("it watches closely", func() bool {
+		return spoke.configWatchWait() == shortConfigWatchWait || spoke.upstreamNeed() != followNothing
+	})
 }
--- a/node/registration.go
+++ b/node/registration.go
@@ -21,7 +21,7 @@
 	update := func(items []platform.Item) {
 		for _, item := range items {
 			if zone, isCount := strings.CutPrefix(item.Key, platform.GroupCountPrefix); isCount {
-				n.readCount(zone, item)
+				n.readGroupCount(zone, item)
 				continue
 			}
 			name, isPeer := strings.CutPrefix(item.Key, platform.InstancePrefix)
@@ -39,47 +39,47 @@
 			}
 			known[name] = membership.Listing{Instance: name, Address: e.Address, Region: e.Region, Zone: e.Zone, CPUShare: e.Share}
 		}
-		n.listPeers(known)
+		n.applyPeerList(known)
 	}
 	n.follow(storeFollower{
-		prefix: platform.SedgehatchPrefix, watchWait: n.peerWait, readPause: n.peerRest,
+		prefix: platform.SedgehatchPrefix, watchWait: n.peerWatchWait, readPause: n.peerReadPause,
 		replace: func(items []platform.Item, _ uint64) { clear(known); update(items) },
 		update:  update,
 	})
 }
 
-func (n *Node) readCount(zone string, item platform.Item) {
+func (n *Node) readGroupCount(zone string, item platform.Item) {
 	if item.Deleted {
 		return // it holds for the life of the system
 	}
-	groups, err := parseCount(string(item.Value))
+	groups, err := parseGroupCount(string(item.Value))
 	if !n.refusals.entry(n, item.Key, err) {
-		n.takeCount(zone, groups)
+		n.setGroupCount(zone, groups)
 	}
 }
 
-// mostGroups bounds the groups of one availability zone: some times those of the
+// maxGroupsPerZone bounds the groups of one availability zone: some times those of the
 // largest that is planned for, which has 460 upstreams.
-const mostGroups = 256
+const maxGroupsPerZone = 256
 
-// parseCount reads the number of groups of an availability zone.
-func parseCount(text string) (int, error) {
+// parseGroupCount reads the number of groups of an availability zone.
+func parseGroupCount(text string) (int, error) {
 	groups, err := strconv.Atoi(text)
-	if err != nil || groups < 1 || groups > mostGroups {
-		return 0, failure.Field(failure.Protocol, "groups", "%q is no number from 1 to %d", text, mostGroups)
+	if err != nil || groups < 1 || groups > maxGroupsPerZone {
+		return 0, failure.Field(failure.Protocol, "groups", "%q is no number from 1 to %d", text, maxGroupsPerZone)
 	}
 	return groups, nil
 }
 
-func (n *Node) listPeers(known map[string]membership.Listing) {
-	n.setPeers(known)
+func (n *Node) applyPeerList(known map[string]membership.Listing) {
+	n.setPeerList(known)
 	n.tick() // new peers hear of this instance at once
 }
 
-// setPeers takes the list of instances. Whom of them this instance has to hear
+// setPeerList takes the list of instances. Whom of them this instance has to hear
 // before it takes a group is worked out under the same lock: in between, it would
 // take the groups of peers that it has just read of and has not heard yet.
-func (n *Node) setPeers(known map[string]membership.Listing) {
+func (n *Node) setPeerList(known map[string]membership.Listing) {
 	list := make([]membership.Listing, 0, len(known))
 	for name, l := range known {
 		if name != n.settings.Name {
@@ -98,8 +98,8 @@
 	n.updateNeighboursLocked(used)
 }
 
-// register keeps this instance's entry in the store.
-func (n *Node) register() {
+// keepRegistered keeps this instance's entry in the store.
+func (n *Node) keepRegistered() {
 	value, err := platform.EncodeInstance(fleet.InstanceEntry{Address: n.settings.PeerAddress, Region: n.settings.Region, Zone: n.settings.Zone, Share: n.settings.CPUShare})
 	if err != nil {
 		event.ServeFailed.Log(n.log, slog.String("error", err.Error())) // cannot happen: plain fields
@@ -108,7 +108,7 @@
 	lease := uint64(0)
 	for n.ctx.Err() == nil {
 		if lease == 0 {
-			lease = n.registerOnce(value)
+			lease = n.createRegistration(value)
 		} else if failure.Is(n.store.Renew(lease), failure.NotFound) {
 			lease = 0
 			continue
@@ -121,8 +121,8 @@
 	}
 }
 
-// registerOnce returns the lease of the new entry, or 0.
-func (n *Node) registerOnce(value []byte) uint64 {
+// createRegistration returns the lease of the new entry, or 0.
+func (n *Node) createRegistration(value []byte) uint64 {
 	lease, err := n.store.Grant(max(registrationTTL, n.settings.MinLeaseTTL))
 	if err == nil {
 		err = n.store.Put(platform.InstancePrefix+n.settings.Name, value, lease)
@@ -134,12 +134,12 @@
 	return lease
 }
 
-// restPerPeer is how long the list of peers rests for each of them: each change
+// readPausePerPeer is how long the list of peers rests for each of them: each change
 // is read by all.
-const restPerPeer = time.Millisecond
+const readPausePerPeer = time.Millisecond
 
-func (n *Node) peerRest() time.Duration {
+func (n *Node) peerReadPause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Duration(len(n.registeredZones)) * restPerPeer
+	return time.Duration(len(n.registeredZones)) * readPausePerPeer
 }
--- a/node/relay.go
+++ b/node/relay.go
@@ -13,9 +13,9 @@
 // Hubs pass on what they hear of owners in other availability zones to the
 // instances of their own that hear none of them.
 
-// relays returns what this instance tells the spokes of its zone of owners in
+// ownersToRelay returns what this instance tells the spokes of its zone of owners in
 // others: each hub tells a part.
-func (n *Node) relays() []*inner.RemoteOwner {
+func (n *Node) ownersToRelay() []*inner.RemoteOwner {
 	n.mu.Lock()
 	around := n.neighbours
 	due := len(around.Spokes) > 0 && clock.Since(n.lastRelay) >= relayEvery
@@ -27,7 +27,7 @@
 		return nil
 	}
 	var mine []*inner.RemoteOwner
-	for i, o := range n.router.awayOwners() {
+	for i, o := range n.router.ownersInOtherZones() {
 		if i%around.HubCount == around.Rank {
 			mine = append(mine, o)
 		}
@@ -35,15 +35,15 @@
 	return mine
 }
 
-// awayOwners returns what is known of owners in other availability zones at
+// ownersInOtherZones returns what is known of owners in other availability zones at
 // first hand, by group.
-func (r *router) awayOwners() []*inner.RemoteOwner {
+func (r *router) ownersInOtherZones() []*inner.RemoteOwner {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []*inner.RemoteOwner
 	for _, group := range slices.Sorted(maps.Keys(r.views)) {
 		v := r.views[group]
-		if v.relayed || zoneOf(group) == r.n.settings.Zone {
+		if v.relayed || zoneOfGroup(group) == r.n.settings.Zone {
 			continue
 		}
 		list = append(list, &inner.RemoteOwner{
@@ -56,9 +56,9 @@
 	return list
 }
 
-// heardOf takes what a hub passes on of owners in other availability zones. What
+// handleRelayedOwners takes what a hub passes on of owners in other availability zones. What
 // this instance heard itself lately goes before it.
-func (r *router) heardOf(owners []*inner.RemoteOwner) {
+func (r *router) handleRelayedOwners(owners []*inner.RemoteOwner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range owners {
@@ -69,7 +69,7 @@
 			continue
 		}
 		r.views[c.GetGroup()] = &view{
-			peer: fate.Incarnation(o.GetIncarnation()), token: c.GetToken(), load: loadOf(c.GetGroup(), loadFrom(c)), heard: heard, relayed: true,
+			peer: fate.Incarnation(o.GetIncarnation()), token: c.GetToken(), load: loadOf(c.GetGroup(), loadFromProto(c)), heard: heard, relayed: true,
 		}
 	}
 	for group, v := range r.views {
--- a/node/router.go
+++ b/node/router.go
@@ -92,7 +92,7 @@
 // Loads implements ingress.Owners.
 func (r *router) Loads() []ingress.OwnerLoad {
 	r.n.mu.Lock()
-	own := slices.DeleteFunc(r.n.ownedGroups(), func(g *ownedGroup) bool { return g.handingOver })
+	own := slices.DeleteFunc(r.n.ownedGroupsLocked(), func(g *ownedGroup) bool { return g.handingOver })
 	r.n.mu.Unlock()
 	var fresh, stale []ingress.OwnerLoad
 	for _, g := range own {
@@ -120,7 +120,7 @@
 }
 
 func loadOf(group string, l schedule.Load) ingress.OwnerLoad {
-	return ingress.OwnerLoad{Group: group, Zone: zoneOf(group), Free: l.Free, Waiting: l.Waiting, Capacity: l.Capacity, Closed: l.Closed}
+	return ingress.OwnerLoad{Group: group, Zone: zoneOfGroup(group), Free: l.Free, Waiting: l.Waiting, Capacity: l.Capacity, Closed: l.Closed}
 }
 
 // heard takes what a peer says of the groups that it owns.
@@ -134,7 +134,7 @@
 		if c.GetLeaving() || v != nil && v.token > c.GetToken() {
 			continue
 		}
-		r.views[c.GetGroup()] = &view{peer: from, token: c.GetToken(), load: loadOf(c.GetGroup(), loadFrom(c)), heard: clock.Now()}
+		r.views[c.GetGroup()] = &view{peer: from, token: c.GetToken(), load: loadOf(c.GetGroup(), loadFromProto(c)), heard: clock.Now()}
 	}
 	for group, v := range r.views {
 		if v.peer == from && !claimed[group] {
@@ -175,7 +175,7 @@
 	r.used[peer.Instance()] = clock.Now()
 	aliveMs := aliveOnPeerClock(r.clocks[peer], o.AliveAt)
 	r.mu.Unlock()
-	frame := &inner.Frame{Body: &inner.Frame_Offer{Offer: offerTo(group, o, aliveMs)}}
+	frame := &inner.Frame{Body: &inner.Frame_Offer{Offer: offerToProto(group, o, aliveMs)}}
 	link, err := r.n.mesh.Ask(peer, frame, func(f *inner.Frame, err error) { r.offerEnded(k, f, err) })
 	if err != nil {
 		r.take(k)
@@ -217,8 +217,8 @@
 		r.updateLoad(ended.GetLoad())
 		answer.OfferEnded(schedule.Result{
 			Key: k.key, Outcome: schedule.Outcome(ended.GetOutcome()), Begun: ended.GetBegun(),
-			Done: toInts(ended.GetDone()), Returned: toInts(ended.GetReturned()), History: pastFrom(ended.GetPast()),
-		}, loadFrom(ended.GetLoad()))
+			Done: toInts(ended.GetDone()), Returned: toInts(ended.GetReturned()), History: taskHistoryFromProto(ended.GetPast()),
+		}, loadFromProto(ended.GetLoad()))
 	}
 }
 
@@ -226,7 +226,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if v := r.views[c.GetGroup()]; v != nil && v.token == c.GetToken() {
-		v.load = loadOf(c.GetGroup(), loadFrom(c))
+		v.load = loadOf(c.GetGroup(), loadFromProto(c))
 		v.heard = clock.Now()
 	}
 }
@@ -239,7 +239,7 @@
 	answer := r.sent[k]
 	r.mu.Unlock()
 	if answer != nil {
-		answer.TasksReturned(schedule.Result{Key: k.key, Returned: toInts(m.GetTasks()), History: pastFrom(m.GetPast()), Begun: m.GetBegun()}, loadFrom(m.GetLoad()))
+		answer.TasksReturned(schedule.Result{Key: k.key, Returned: toInts(m.GetTasks()), History: taskHistoryFromProto(m.GetPast()), Begun: m.GetBegun()}, loadFromProto(m.GetLoad()))
 	}
 }
 
@@ -286,14 +286,14 @@
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(failure.Stopping.New("group %s is not owned here", m.GetGroup()))}})
 		return
 	}
-	o := offerFrom(m)
+	o := offerFromProto(m)
 	o.Key.Coordinator = coordinatorOf(link, from)
 	o.AliveAt = r.n.timeOfClock(m.GetAliveMs())
 	err := g.Offer(o, owner.OfferCallbacks{
 		TasksReturned: func(res schedule.Result, l schedule.Load) {
-			_ = link.Send(returnedFrame(g, res, l)) // a closed connection has ended the offer
+			_ = link.Send(offerReturnedFrame(g, res, l)) // a closed connection has ended the offer
 		},
-		OfferEnded: func(res schedule.Result, l schedule.Load) { reply(endedFrame(g, res, l)) },
+		OfferEnded: func(res schedule.Result, l schedule.Load) { reply(offerEndedFrame(g, res, l)) },
 	})
 	if err != nil {
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(err)}})
@@ -310,7 +310,7 @@
 // them for lost, and its customers may send them again.
 func (r *router) linkClosed(link inner.Link, from fate.Incarnation) {
 	coordinator := coordinatorOf(link, from)
-	for _, g := range r.n.owned() {
+	for _, g := range r.n.ownedGroups() {
 		g.WithdrawAll(coordinator, "the connection to the coordinator closed")
 	}
 	r.mu.Lock()
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -50,7 +50,7 @@
 	n := in.nodes["a-1"]
 	limit := n.settings.Timing.Grace - graceMargin
 	handing := func(took time.Duration) bool {
-		n.handOver(took, limit)
+		n.handOverForShutdown(took, limit)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		g := n.groups["a/0"]
@@ -91,7 +91,7 @@
 		if c.absent {
 			n.refusedAt["a-2"] = clock.Now()
 		}
-		if got := n.settled(); got != c.want {
+		if got := n.membershipSettled(); got != c.want {
 			t.Errorf("%s: settled %v, want %v", name, got, c.want)
 		}
 	}
@@ -113,8 +113,8 @@
 // before a group is taken, from the moment on that the list counts.
 func TestSettledOnceListed(t *testing.T) {
 	n := bareNode("a-2", "a")
-	n.setPeers(map[string]membership.Listing{"a-1": {Instance: "a-1", Zone: "a", Address: "there"}})
-	if n.settled() {
+	n.setPeerList(map[string]membership.Listing{"a-1": {Instance: "a-1", Zone: "a", Address: "there"}})
+	if n.membershipSettled() {
 		t.Error("it takes groups without having heard the peer that it has read of")
 	}
 }
--- a/node/timing.go
+++ b/node/timing.go
@@ -70,18 +70,18 @@
 // The store.
 
 const (
-	// closeConfigWait bounds a watch on the configuration of the first hubs of an
+	// shortConfigWatchWait bounds a watch on the configuration of the first hubs of an
 	// availability zone: an answer that is lost is noticed that late, and versions
 	// must be in force within seconds. configWait is that of the other instances.
-	closeConfigWait = 900 * time.Millisecond
-	configWait      = 3 * time.Second
-	// upstreamWait and peerWait bound the other watches.
-	upstreamWait = 1500 * time.Millisecond
-	peerWait     = 3 * time.Second
-	// spokeWait bounds the watches of an instance that hears several hubs: what a lost
+	shortConfigWatchWait = 900 * time.Millisecond
+	hubConfigWatchWait   = 3 * time.Second
+	// upstreamWatchWait and peerWait bound the other watches.
+	upstreamWatchWait = 1500 * time.Millisecond
+	hubPeerWatchWait  = 3 * time.Second
+	// spokeWatchWait bounds the watches of an instance that hears several hubs: what a lost
 	// answer would have told comes with their heartbeats. Most calls to the store are such
 	// watches that end without anything to tell.
-	spokeWait = 15 * time.Second
+	spokeWatchWait = 15 * time.Second
 	// The entries of upstreams change with every heartbeat, so that a watch
 	// returns at once. An owner must hear soon that an upstream drains; others
 	// only need the list for a takeover.
@@ -106,9 +106,9 @@
 	longestRetry = 700 * time.Millisecond
 )
 
-// closeWatchers is how many instances of an availability zone watch the configuration
+// shortConfigWatchers is how many instances of an availability zone watch the configuration
 // closely: one may be lost, and another cut off from the store, at the same time.
-const closeWatchers = 3
+const shortConfigWatchers = 3
 
 const (
 	// registrationTTL is how long the entry of a lost instance stays. Peers
--- a/node/upstreamask.go
+++ b/node/upstreamask.go
@@ -64,7 +64,7 @@
 		event.UpstreamsUntold.Log(n.log, slog.String("peer", string(peer)), slog.String("error", err.Error()))
 		return
 	}
-	list := lo.Map(f.GetUpstreamsReply().GetUpstreams(), func(u *inner.Upstream, _ int) fleet.Upstream { return upstreamFrom(u) })
+	list := lo.Map(f.GetUpstreamsReply().GetUpstreams(), func(u *inner.Upstream, _ int) fleet.Upstream { return upstreamFromProto(u) })
 	event.UpstreamsTold.Log(n.log, slog.String("peer", string(peer)), slog.Int("upstreams", len(list)))
 	n.upstreamsChanged(n.directory.Merge(clock.Now(), list))
 	n.tick() // groups may be taken now
@@ -78,6 +78,6 @@
 	}
 	list := n.directory.ListForPeer(func(u fleet.Upstream) bool { return u.Zone == zone })
 	reply(&inner.Frame{Body: &inner.Frame_UpstreamsReply{UpstreamsReply: &inner.UpstreamsReply{
-		Upstreams: lo.Map(list, func(u fleet.Upstream, _ int) *inner.Upstream { return upstreamTo(u) }),
+		Upstreams: lo.Map(list, func(u fleet.Upstream, _ int) *inner.Upstream { return upstreamToProto(u) }),
 	}}})
 }
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -20,7 +20,7 @@
 func (n *Node) followUpstreams() {
 	n.awaitList()
 	n.follow(storeFollower{
-		prefix: platform.UpstreamPrefix, watchWait: constant(upstreamWait), readPause: n.upstreamRest, mode: n.upstreamNeed, onReadFailure: n.askUpstreams,
+		prefix: platform.UpstreamPrefix, watchWait: constant(upstreamWatchWait), readPause: n.upstreamRest, mode: n.upstreamNeed, onReadFailure: n.askUpstreams,
 		replace: func(items []platform.Item, _ uint64) {
 			n.upstreamsChanged(n.directory.Replace(clock.Now(), n.entries(items)))
 		},
@@ -147,7 +147,7 @@
 		return followNothing
 	case counted && clock.Since(n.startedAt) < standbyFirst && !membership.IsLarge(n.settings.CPUShare, n.listedCandidates()):
 		return followNothing // the larger ones start as well, and read them at this moment
-	case counted && !membership.IsLarge(n.settings.CPUShare, n.candidates()):
+	case counted && !membership.IsLarge(n.settings.CPUShare, n.ownZoneCandidates()):
 		return followPeriodically
 	default:
 		return followContinuously
