--- a/ingress/tworuns_test.go
+++ b/ingress/tworuns_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m, 20261203)) }
 
-func (w *fleetWorld) sortedKeys(m map[schedule.JobKey]owner.Answer) []schedule.JobKey {
+func (w *fleetWorld) sortedKeys(m map[schedule.JobKey]owner.OfferCallbacks) []schedule.JobKey {
 	keys := make([]schedule.JobKey, 0, len(m))
 	for key := range m {
 		keys = append(keys, key)
@@ -79,7 +79,7 @@
 	}
 	for _, zone := range w.zones {
 		c := &modelCoordinator{process: process{w: w, name: "c-" + zone}, links: map[*modelOwner]*modelLink{}, views: map[string]OwnerLoad{}, heardFrom: map[*modelOwner]time.Time{}}
-		c.c = NewSimulated(zone, c, &c.process, DefaultPolicy)
+		c.c = NewSimulatedCoordinator(zone, c, &c.process, DefaultPolicy)
 		c.hearLoads()
 		w.coordinators = append(w.coordinators, c)
 	}
@@ -91,9 +91,9 @@
 		func(r fleet.Run) (time.Duration, fleet.Resources) {
 			return w.jobs[r.Task.Job].takes, fleet.Resources{MilliCPU: 3000}
 		})
-	u.Rate = 0.98 + 0.02*w.Rand.Float64()
-	u.StopTime = func() time.Duration { return w.Millis(0, 50) }
-	u.Began = func(r fleet.Run) { w.began(id, r) }
+	u.ClockRate = 0.98 + 0.02*w.Rand.Float64()
+	u.StopTime = func() time.Duration { return w.RandMillis(0, 50) }
+	u.OnStart = func(r fleet.Run) { w.began(id, r) }
 	w.upstreams[id] = u
 	w.ids = append(w.ids, id)
 }
@@ -151,7 +151,7 @@
 			w.AfterFunc(after(), func() { w.send(j, to+1) })
 		}
 	}
-	pause := func() time.Duration { return modelResend + w.Millis(0, 20) }
+	pause := func() time.Duration { return modelResend + w.RandMillis(0, 20) }
 	later := func() { again(pause) }
 	if w.faultKinds != fewFaults { // it draws the pause first, and the kept seeds with it
 		later = func() {
@@ -170,7 +170,7 @@
 	})
 	w.AfterFunc(modelDeadline, later)
 	if w.Rand.IntN(5) < 2 {
-		w.AfterFunc(w.Millis(0, 700), func() { // its connection is reset
+		w.AfterFunc(w.RandMillis(0, 700), func() { // its connection is reset
 			if conn.read || w.faultKinds == fewFaults {
 				later()
 			} else {
@@ -184,9 +184,9 @@
 func (w *fleetWorld) left(c *modelCoordinator, conn *modelConn) {
 	w.AfterFunc(conn.heard.Sub(w.Now())+modelClientHop, func() {
 		c.do(func() {
-			c.AfterFunc(w.Millis(0, modelWatch), func() {
+			c.AfterFunc(w.RandMillis(0, modelWatch), func() {
 				if conn.job != nil {
-					conn.job.drop(conn.waits, Left, reasonLeft)
+					conn.job.drop(conn.waits, CustomerLeft, reasonLeft)
 				}
 			})
 		})
@@ -200,13 +200,13 @@
 	route := &fleet.Route{Name: "r", Service: "s", Stretch: 1.6, Slack: 300 * time.Millisecond, MaxAttempts: 4}
 	conn.read = true
 	w.note(j.id, "read by %s", c.name)
-	p, me, first := c.c.open(Request{Job: job, Route: route, Patience: modelPatience, HasLeft: func() bool { return conn.closed && !w.Now().Before(conn.heard) }})
+	p, me, first := c.c.open(Request{Job: job, Route: route, Timeout: modelPatience, Disconnected: func() bool { return conn.closed && !w.Now().Before(conn.heard) }})
 	conn.job, conn.waits = p, me
 	c.AfterFunc(modelPatience, func() { p.timeUp(me) })
 	if !first {
 		return // it is answered there; this customer's deadline passes
 	}
-	p.onVerdict = func(a Answered) {
+	p.onVerdict = func(a Response) {
 		w.verdicts[a.Verdict]++
 		w.note(j.id, "%s says %s: %s", c.name, a.Verdict, a.Reason)
 		w.AfterFunc(modelClientHop, func() {
@@ -226,13 +226,13 @@
 func (w *fleetWorld) fault() {
 	switch kind := w.Rand.IntN(w.faultKinds); kind {
 	case 0:
-		w.owners[w.Rand.IntN(len(w.owners))].pause(w.Millis(30, 3000))
+		w.owners[w.Rand.IntN(len(w.owners))].pause(w.RandMillis(30, 3000))
 	case 1:
-		w.coordinators[w.Rand.IntN(len(w.coordinators))].pause(w.Millis(30, 3000))
+		w.coordinators[w.Rand.IntN(len(w.coordinators))].pause(w.RandMillis(30, 3000))
 	case 4:
 		u := w.upstreams[w.ids[w.Rand.IntN(len(w.ids))]]
-		u.Cut = !u.Cut
-		w.note("", "%s cut off: %v", u.ID, u.Cut)
+		u.Partitioned = !u.Partitioned
+		w.note("", "%s cut off: %v", u.ID, u.Partitioned)
 	case 8:
 		w.coordinators[w.Rand.IntN(len(w.coordinators))].stalls = true
 	case 9:
@@ -265,7 +265,7 @@
 		l.silent = true
 		l.o.do(l.closeAtOwner)
 	case 7:
-		late := w.Millis(30, 2000)
+		late := w.RandMillis(30, 2000)
 		w.note("", "what is sent on %s arrives %v late", l.key(), late)
 		l.heldUntil = lo.Latest(l.heldUntil, w.Now().Add(late)) // nothing overtakes what was sent before
 	}
@@ -310,13 +310,13 @@
 		if w.Rand.IntN(100) < c.faults {
 			w.fault()
 		}
-		j := &modelJob{id: fmt.Sprintf("%016x", i+1), tasks: 1 + w.Rand.IntN(3), takes: w.Millis(40, 300)}
+		j := &modelJob{id: fmt.Sprintf("%016x", i+1), tasks: 1 + w.Rand.IntN(3), takes: w.RandMillis(40, 300)}
 		w.jobs[j.id] = j
 		w.send(j, w.Rand.IntN(2))
-		w.Run(w.Now().Add(w.Millis(1, 80)))
+		w.Run(w.Now().Add(w.RandMillis(1, 80)))
 	}
 	for _, u := range w.upstreams {
-		u.Cut, u.LossShare, u.LateShare = false, 0, 0
+		u.Partitioned, u.LossShare, u.LateShare = false, 0, 0
 	}
 	w.Run(w.Now().Add(10 * time.Second))
 	return w
