--- a/entry/http.go
+++ b/entry/http.go
@@ -239,7 +239,7 @@
 		list = append(list, api.InstanceStatus{
 			Instance: p.Instance, Incarnation: string(p.Incarnation), Zone: p.Zone, Role: api.RoleEntry,
 			State: string(p.State), ActiveJobs: p.Heartbeat.ActiveJobs, Revision: p.Heartbeat.Revision,
-			FreeSlots: p.Heartbeat.Free, QueuedTasks: p.Heartbeat.Queued,
+			FreeSlots: p.Heartbeat.FreeSlots, QueuedTasks: p.Heartbeat.QueuedTasks,
 		})
 	}
 	return c.JSON(list)
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -49,7 +49,7 @@
 func (n *Node) heard(from fate.Incarnation, hb *inner.Heartbeat) {
 	load := membership.Heartbeat{
 		Leaving: hb.GetLeaving(), ActiveJobs: hb.GetActiveJobs(), Revision: hb.GetSettingsRevision(),
-		Free: hb.GetFreeSlots(), Queued: hb.GetQueuedTasks(),
+		FreeSlots: hb.GetFreeSlots(), QueuedTasks: hb.GetQueuedTasks(),
 	}
 	n.mu.Lock()
 	changes := n.table.RecordHeartbeat(from, load, time.Now().UnixMilli())
@@ -58,7 +58,7 @@
 	if load.Revision > n.Revision() || !n.settings.Load().known {
 		go n.learnSettings(from)
 	}
-	n.dispatch.SetLoad(from, int(load.Free), int(load.Queued))
+	n.dispatch.SetLoad(from, int(load.FreeSlots), int(load.QueuedTasks))
 	for _, id := range hb.GetLeavingUpstreams() {
 		n.dispatch.UpstreamLeaving(id)
 	}
@@ -82,7 +82,7 @@
 }
 
 func (n *Node) logChange(c membership.Change) {
-	attrs := []slog.Attr{slog.String("peer", string(c.Peer.Incarnation)), slog.String("before", string(c.Before))}
+	attrs := []slog.Attr{slog.String("peer", string(c.Peer.Incarnation)), slog.String("before", string(c.Previous))}
 	switch c.Peer.State {
 	case membership.Alive:
 		event.PeerAlive.Log(n.log, attrs...)
--- a/membership/table.go
+++ b/membership/table.go
@@ -52,12 +52,12 @@
 // Heartbeat is the content of a heartbeat.
 type Heartbeat struct {
 	// Unwanted is set if the sender needs no heartbeats from the receiver.
-	Unwanted   bool
-	Leaving    bool
-	ActiveJobs uint64
-	Revision   uint64 // of the settings or the configuration in force
-	Free       uint64 // free slots
-	Queued     uint64 // queued tasks
+	Unwanted    bool
+	Leaving     bool
+	ActiveJobs  uint64
+	Revision    uint64 // of the settings or the configuration in force
+	FreeSlots   uint64
+	QueuedTasks uint64
 }
 
 // Peer is the known state of another instance.
@@ -72,8 +72,8 @@
 
 // Change is a peer whose state changed.
 type Change struct {
-	Peer   Peer
-	Before State
+	Peer     Peer
+	Previous State
 }
 
 // Table holds the peers of one instance. It is not safe for concurrent use.
@@ -228,7 +228,7 @@
 func (p *Peer) setState(state State) Change {
 	previous := p.State
 	p.State = state
-	return Change{Peer: *p, Before: previous}
+	return Change{Peer: *p, Previous: previous}
 }
 
 // transition sets the peer's state, and returns the change if the state is another one.
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -48,7 +48,7 @@
 			}
 			var b strings.Builder
 			for _, c := range changes {
-				fmt.Fprintf(&b, "%s: %s -> %s\n", c.Peer.Incarnation, c.Before, c.Peer.State)
+				fmt.Fprintf(&b, "%s: %s -> %s\n", c.Peer.Incarnation, c.Previous, c.Peer.State)
 			}
 			return b.String()
 		})
--- a/node/peers.go
+++ b/node/peers.go
@@ -276,7 +276,7 @@
 	for _, c := range changes {
 		attrs := []slog.Attr{
 			slog.String("peer", string(c.Peer.Incarnation)), slog.String("state", string(c.Peer.State)),
-			slog.String("before", string(c.Before)), slog.String("zone", c.Peer.Zone),
+			slog.String("before", string(c.Previous)), slog.String("zone", c.Peer.Zone),
 		}
 		switch c.Peer.State {
 		case membership.Dead:
