--- a/node/node.go
+++ b/node/node.go
@@ -50,7 +50,7 @@
 	decisions              *decisionLog
 	metrics                *metrics.Set
 	store                  *platform.Store
-	upstreamClient         *platform.Upstreams
+	upstreamClient         *platform.UpstreamClient
 	mesh                   *inner.Mesh
 	directory              *directory.Directory // of upstreams; its lock is taken last
 	refusals               entryRefusals
@@ -137,7 +137,7 @@
 	in := do.MustInvoke[fleet.Instance](i)
 	n := &Node{
 		settings: in, self: fate.Incarnation(in.Name + "." + uuid.NewString()[:8]), log: do.MustInvoke[*slog.Logger](i),
-		metrics: do.MustInvoke[*metrics.Set](i), store: do.MustInvoke[*platform.Store](i), upstreamClient: platform.NewUpstreams(), directory: directory.New(),
+		metrics: do.MustInvoke[*metrics.Set](i), store: do.MustInvoke[*platform.Store](i), upstreamClient: platform.NewUpstreamClient(), directory: directory.New(),
 		startedAt: clock.Now(), peerListReady: make(chan struct{}),
 		peers: membership.NewTable(silence), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{}, finalHeartbeatSent: map[string]bool{}, lastHeartbeat: map[string]*inner.Presence{},
 		groups: map[string]*ownedGroup{}, dialing: map[string]bool{}, refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{}, registeredZones: map[string]string{}, emptySince: map[string]time.Time{}, orphanRetryAt: map[string]time.Time{}, groupCounts: map[string]int{},
