--- a/node/follow.go
+++ b/node/follow.go
@@ -50,12 +50,12 @@
 // is known stays.
 func (n *Node) follow(f storeFollower) {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstRetry, longestRetry
+	pause.InitialInterval, pause.MaxInterval = minRetryPause, maxRetryPause
 	revision, known, lost := uint64(0), false, time.Time{}
 	for n.ctx.Err() == nil {
 		if f.currentMode() == followNothing {
 			known = false
-			n.sleep(neededPoll)
+			n.sleep(modePollInterval)
 			continue
 		}
 		items, next, err := n.read(f, known, revision)
@@ -94,10 +94,10 @@
 func (n *Node) waitForNextFullRead(f storeFollower) bool {
 	began, rested := clock.Now(), false
 	for f.currentMode() == followPeriodically && n.ctx.Err() == nil {
-		if clock.Since(began) >= roughRest {
+		if clock.Since(began) >= fullReadInterval {
 			return true
 		}
-		n.sleep(neededPoll)
+		n.sleep(modePollInterval)
 		rested = true
 	}
 	return rested
--- a/node/groups.go
+++ b/node/groups.go
@@ -163,7 +163,7 @@
 	} else if !failure.Is(err, failure.Conflict) { // where it is there already, the watch tells
 		event.RegisterFailed.Log(n.log, slog.String("what", "number of groups"), slog.String("error", err.Error()))
 	}
-	n.sleep(firstRetry)
+	n.sleep(minRetryPause)
 	n.mu.Lock()
 	n.creatingGroupCount = false
 	n.mu.Unlock()
--- a/node/lease.go
+++ b/node/lease.go
@@ -45,7 +45,7 @@
 func (r *router) recordPeerClock(peer fate.Incarnation, ms uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.clocks[peer] = max(r.clocks[peer], ms)
+	r.peerClocks[peer] = max(r.peerClocks[peer], ms)
 }
 
 // leaseRenewInterval is how often a coordinator renews its leases at most: near neighbours speak
@@ -58,12 +58,12 @@
 func (r *router) renewalDue(link inner.Link) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return clock.Since(r.renewed[link.Number()]) >= leaseRenewInterval && r.hasOpenOffers(link)
+	return clock.Since(r.leasesRenewedAt[link.Number()]) >= leaseRenewInterval && r.hasOpenOffers(link)
 }
 
 // hasOpenOffers reports whether an offer on a connection is open. The lock is held.
 func (r *router) hasOpenOffers(link inner.Link) bool {
-	for _, sent := range r.sent {
+	for _, sent := range r.openOffers {
 		if sent.link != nil && sent.link.Number() == link.Number() {
 			return true
 		}
@@ -75,24 +75,24 @@
 // there, it renews the lease of those, once it has looked after the customers of all.
 func (r *router) handlePeerClock(link inner.Link, from fate.Incarnation, clockMs uint64) {
 	r.recordPeerClock(from, clockMs)
-	if !r.renewalDue(link) || !r.n.ingress.EndDisconnected() {
+	if !r.renewalDue(link) || !r.node.ingress.EndDisconnected() {
 		return
 	}
 	r.mu.Lock()
-	r.renewed[link.Number()] = clock.Now()
+	r.leasesRenewedAt[link.Number()] = clock.Now()
 	r.mu.Unlock()
-	r.n.metrics.CountSent("renewal")
+	r.node.metrics.CountSent("renewal")
 	err := link.Send(&inner.Frame{Body: &inner.Frame_Renewal{Renewal: &inner.Renewal{ClockMs: clockMs}}})
 	if err != nil {
-		event.PeerUnsent.Log(r.n.log, slog.String("what", "renewal"), slog.String("error", err.Error()))
+		event.PeerUnsent.Log(r.node.log, slog.String("what", "renewal"), slog.String("error", err.Error()))
 	}
 }
 
 // handleRenewal renews the lease of the coordinator behind a connection.
 func (r *router) handleRenewal(link inner.Link, from fate.Incarnation, m *inner.Renewal) {
-	alive := r.n.timeOfClock(m.GetClockMs())
-	for _, g := range r.n.ownedGroups() {
-		g.Renew(coordinatorOf(link, from), alive)
+	alive := r.node.timeOfClock(m.GetClockMs())
+	for _, g := range r.node.ownedGroups() {
+		g.Renew(coordinatorName(link, from), alive)
 	}
 }
 
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -14,7 +14,7 @@
 
 // updateNeighbours works out anew whom this instance exchanges heartbeats with.
 func (n *Node) updateNeighbours() {
-	used := n.router.inUse()
+	used := n.router.activeOwners()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.updateNeighboursLocked(used)
@@ -145,8 +145,8 @@
 func (n *Node) farHeartbeatDue() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	joining := clock.Since(n.lastTakenAt) < joinTime
-	far := clock.Since(n.lastFarHeartbeat) >= farEvery || joining || n.leaving.Load()
+	joining := clock.Since(n.lastTakenAt) < joinPeriod
+	far := clock.Since(n.lastFarHeartbeat) >= farHeartbeatInterval || joining || n.leaving.Load()
 	if far {
 		n.lastFarHeartbeat = clock.Now()
 	}
@@ -168,7 +168,7 @@
 	for _, name := range missed {
 		n.contactPeer(name)
 	}
-	if alone && clock.Since(n.startedAt) > seedAfter {
+	if alone && clock.Since(n.startedAt) > seedDelay {
 		n.contactSeeds()
 	}
 }
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -127,11 +127,11 @@
 func TestInUse(t *testing.T) {
 	r := newRouter(nil)
 	now := clock.Now()
-	r.sent[offerKey{group: "b/0"}] = &sentOffer{peer: "long"}
-	r.used["long"] = now.Add(-2 * useTime)
-	r.used["lately"] = now.Add(-useTime / 2)
-	r.used["before"] = now.Add(-2 * useTime)
-	used := r.inUse()
+	r.openOffers[offerKey{group: "b/0"}] = &sentOffer{peer: "long"}
+	r.lastOfferAt["long"] = now.Add(-2 * activeOwnerPeriod)
+	r.lastOfferAt["lately"] = now.Add(-activeOwnerPeriod / 2)
+	r.lastOfferAt["before"] = now.Add(-2 * activeOwnerPeriod)
+	used := r.activeOwners()
 	for name, want := range map[string]bool{"long": true, "lately": true, "before": false} {
 		if used[name] != want {
 			t.Errorf("%s in use: %v", name, used[name])
@@ -145,8 +145,8 @@
 	in := newInstallation(t, []string{"a"}, 2, "a-1")
 	in.startSized("a-2", 0.1)
 	small := in.nodes["a-2"]
-	in.until("the smaller one stands by", func() bool { return small.upstreamNeed() == followPeriodically })
-	if in.nodes["a-1"].upstreamNeed() != followContinuously {
+	in.until("the smaller one stands by", func() bool { return small.upstreamFollowMode() == followPeriodically })
+	if in.nodes["a-1"].upstreamFollowMode() != followContinuously {
 		t.Error("the owner reads the upstreams only from time to time")
 	}
 	in.until("it has read them", func() bool { return small.knows("u-a-1") })
@@ -180,7 +180,7 @@
 		t.Helper()
 		before := n.neighbours
 		input()
-		n.updateNeighboursLocked(n.router.inUse())
+		n.updateNeighboursLocked(n.router.activeOwners())
 		if (n.neighbours != before) != want {
 			t.Errorf("%s: worked out anew %v, want %v", what, !want, want)
 		}
@@ -191,6 +191,6 @@
 	change("an instance is lost", func() { n.peers.MarkEnded("a-3.1") }, true)
 	change("another does not run", func() { n.refusedAt["a-5"] = clock.Now() }, true)
 	change("the groups of a zone are counted", func() { n.groupCounts["a"] = 30 }, true)
-	change("an owner is in use", func() { n.router.used["b-2"] = clock.Now() }, true)
-	change("it still is", func() { n.router.used["b-2"] = clock.Now() }, false)
+	change("an owner is in use", func() { n.router.lastOfferAt["b-2"] = clock.Now() }, true)
+	change("it still is", func() { n.router.lastOfferAt["b-2"] = clock.Now() }, false)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -139,7 +139,7 @@
 		settings: in, self: fate.Incarnation(in.Name + "." + uuid.NewString()[:8]), log: do.MustInvoke[*slog.Logger](i),
 		metrics: do.MustInvoke[*metrics.Set](i), store: do.MustInvoke[*platform.Store](i), upstreamClient: platform.NewUpstreamClient(), directory: directory.New(),
 		startedAt: clock.Now(), peerListReady: make(chan struct{}),
-		peers: membership.NewTable(silence), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{}, finalHeartbeatSent: map[string]bool{}, lastHeartbeat: map[string]*inner.Presence{},
+		peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{}, finalHeartbeatSent: map[string]bool{}, lastHeartbeat: map[string]*inner.Presence{},
 		groups: map[string]*ownedGroup{}, dialing: map[string]bool{}, refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{}, registeredZones: map[string]string{}, emptySince: map[string]time.Time{}, orphanRetryAt: map[string]time.Time{}, groupCounts: map[string]int{},
 	}
 	n.decisions = newDecisionLog(n.log)
@@ -322,18 +322,18 @@
 	n.tick()
 	drained := false
 	for !drained && clock.Since(began) < limit {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 		n.handOverForShutdown(clock.Since(began), limit)
 		n.releaseAndNotifyPeers()
 		n.mu.Lock()
 		owns := len(n.groups)
 		n.mu.Unlock()
-		drained = n.ingress.OpenJobs() == 0 && owns == 0 && clock.Since(began) >= minDrain
+		drained = n.ingress.OpenJobs() == 0 && owns == 0 && clock.Since(began) >= minDrainTime
 	}
 	n.drainDeadline.Store(&began) // no job is taken any more
 	jobs := n.ingress.OpenJobs()
 	n.ingress.Abandon()
-	time.Sleep(flushTime)
+	time.Sleep(responseFlushTime)
 	event.NodeStopped.Log(n.log, slog.Bool("drained", drained), slog.Int("jobs", jobs),
 		slog.Duration("took", clock.Since(began)))
 	return drained
--- a/node/peers.go
+++ b/node/peers.go
@@ -22,19 +22,19 @@
 func (n *Node) heartbeatLoop() {
 	for n.ctx.Err() == nil {
 		n.mu.Lock()
-		joining := clock.Since(n.lastTakenAt) < joinTime
+		joining := clock.Since(n.lastTakenAt) < joinPeriod
 		n.mu.Unlock()
 		if joining {
-			n.sleep(joinEvery)
+			n.sleep(joinHeartbeatInterval)
 		} else {
-			n.sleep(presenceEvery)
+			n.sleep(heartbeatInterval)
 		}
 		n.tick()
 	}
 }
 
 func (n *Node) tick() {
-	n.noticeSuspension()
+	n.detectSuspension()
 	n.renewOwnLeases()
 	n.mu.Lock()
 	changes := n.peers.Tick(n.uptimeMs())
@@ -58,8 +58,8 @@
 	}
 	n.mu.Unlock()
 	p.ClockMs = n.clockMs()
-	p.Draining = incarnationsToProto(n.directory.DrainingSince(clock.Now().Add(-tellDrains)))
-	p.Rooms = capacityReportsToProto(n.directory.CapacityReportsSince(clock.Now().Add(-tellDrains)))
+	p.Draining = incarnationsToProto(n.directory.DrainingSince(clock.Now().Add(-recentChangePeriod)))
+	p.Rooms = capacityReportsToProto(n.directory.CapacityReportsSince(clock.Now().Add(-recentChangePeriod)))
 	n.addZoneStates(p)
 	if c := n.config.Load(); c != nil {
 		p.ConfigVersion = c.Version
@@ -87,7 +87,7 @@
 	}
 	go func() {
 		if n.settings.Name > instance {
-			n.sleep(yieldDial) // seeds, which have an address for a name, sort first
+			n.sleep(dialYieldDelay) // seeds, which have an address for a name, sort first
 		}
 		err := n.mesh.Send(fate.Incarnation(instance), n.heartbeatFor(instance)) // it is tried again with the next beat
 		n.recordRefusal(instance, err)
@@ -166,17 +166,17 @@
 	case *inner.Frame_Presence:
 		n.handleHeartbeat(link, from, body.Presence)
 	case *inner.Frame_Offer:
-		n.router.takeOffer(link, from, body.Offer, reply)
+		n.router.handleOffer(link, from, body.Offer, reply)
 	case *inner.Frame_OfferReturned:
-		n.router.takeReturned(body.OfferReturned)
+		n.router.handleReturned(body.OfferReturned)
 	case *inner.Frame_OfferWithdrawn:
-		n.router.takeWithdrawn(link, from, body.OfferWithdrawn)
+		n.router.handleWithdrawal(link, from, body.OfferWithdrawn)
 	case *inner.Frame_Renewal:
 		n.router.handleRenewal(link, from, body.Renewal)
 	case *inner.Frame_ConfigRequest:
 		n.sendConfig(link)
 	case *inner.Frame_UpstreamsRequest:
-		n.tellUpstreams(body.UpstreamsRequest.GetZone(), reply)
+		n.replyWithUpstreams(body.UpstreamsRequest.GetZone(), reply)
 	case *inner.Frame_ConfigReply:
 		n.applyConfig(body.ConfigReply.GetConfig(), from.Instance())
 	}
@@ -197,7 +197,7 @@
 // LinkClosed implements inner.LinkHandler. What came on the connection is
 // dropped; whether the peer is gone is found out at once.
 func (n *Node) LinkClosed(link inner.Link, from fate.Incarnation) {
-	n.router.linkClosed(link, from)
+	n.router.handleLinkClosed(link, from)
 	if n.ctx.Err() != nil || !n.isNeighbour(from.Instance()) {
 		return
 	}
@@ -239,7 +239,7 @@
 	resized := n.directory.ApplyCapacityReports(clock.Now(), capacityReportsFromProto(p.GetRooms()))
 	n.applyPeerZones(from.Instance(), p)
 	n.router.handlePeerClock(link, from, p.GetClockMs())
-	n.router.heard(from, p)
+	n.router.handleClaims(from, p)
 	n.router.handleRelayedOwners(p.GetRelayed())
 	n.applyPeerChanges(changes)
 	if len(changes) > 0 {
@@ -281,7 +281,7 @@
 		switch c.Peer.State {
 		case membership.Dead:
 			event.PeerLost.Log(n.log, attrs...)
-			n.router.lost(c.Peer.Incarnation)
+			n.router.forgetPeer(c.Peer.Incarnation)
 			n.mesh.Sever(c.Peer.Incarnation)
 		case membership.Listed: // neither side needs the other any more
 			n.mesh.Sever(c.Peer.Incarnation)
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -44,7 +44,7 @@
 		readers, rare := 0, 0
 		for _, n := range startingFleet(zones, instances) {
 			n.startedAt = clock.Now()
-			if n.upstreamNeed() != followNothing {
+			if n.upstreamFollowMode() != followNothing {
 				readers++
 			}
 			if n.peerWatchWait() == spokeWatchWait {
@@ -64,8 +64,8 @@
 // has waited for the list of instances.
 func TestReadersWithoutList(t *testing.T) {
 	n := bareNode("a-1", "a")
-	n.awaitList()
-	if n.upstreamNeed() != followContinuously {
+	n.awaitPeerList()
+	if n.upstreamFollowMode() != followContinuously {
 		t.Error("it does not read the upstreams")
 	}
 }
@@ -85,6 +85,6 @@
 		in.kill(name)
 	}
 	in.until("it watches closely", func() bool {
-		return spoke.configWatchWait() == shortConfigWatchWait || spoke.upstreamNeed() != followNothing
+		return spoke.configWatchWait() == shortConfigWatchWait || spoke.upstreamFollowMode() != followNothing
 	})
 }
--- a/node/registration.go
+++ b/node/registration.go
@@ -33,7 +33,7 @@
 				continue
 			}
 			e, err := platform.ParseInstance(item.Value)
-			if n.refusals.entry(n, item.Key, err) {
+			if n.refusals.record(n, item.Key, err) {
 				delete(known, name)
 				continue
 			}
@@ -53,7 +53,7 @@
 		return // it holds for the life of the system
 	}
 	groups, err := parseGroupCount(string(item.Value))
-	if !n.refusals.entry(n, item.Key, err) {
+	if !n.refusals.record(n, item.Key, err) {
 		n.setGroupCount(zone, groups)
 	}
 }
@@ -86,7 +86,7 @@
 			list = append(list, l)
 		}
 	}
-	used := n.router.inUse()
+	used := n.router.activeOwners()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.peerListRead {
@@ -113,9 +113,9 @@
 			lease = 0
 			continue
 		}
-		wait := renewEvery
+		wait := registrationRenewInterval
 		if lease == 0 {
-			wait = firstRetry + rand.N(longestRetry)
+			wait = minRetryPause + rand.N(maxRetryPause)
 		}
 		n.sleep(wait)
 	}
--- a/node/relay.go
+++ b/node/relay.go
@@ -18,7 +18,7 @@
 func (n *Node) ownersToRelay() []*inner.RemoteOwner {
 	n.mu.Lock()
 	around := n.neighbours
-	due := len(around.Spokes) > 0 && clock.Since(n.lastRelay) >= relayEvery
+	due := len(around.Spokes) > 0 && clock.Since(n.lastRelay) >= relayInterval
 	if due {
 		n.lastRelay = clock.Now()
 	}
@@ -41,16 +41,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []*inner.RemoteOwner
-	for _, group := range slices.Sorted(maps.Keys(r.views)) {
-		v := r.views[group]
-		if v.relayed || zoneOfGroup(group) == r.n.settings.Zone {
+	for _, group := range slices.Sorted(maps.Keys(r.peerOwners)) {
+		v := r.peerOwners[group]
+		if v.relayed || zoneOfGroup(group) == r.node.settings.Zone {
 			continue
 		}
 		list = append(list, &inner.RemoteOwner{
 			Claim: &inner.Claim{
 				Group: group, Token: v.token, Free: uint32(max(v.load.Free, 0)), Waiting: uint32(v.load.Waiting), Capacity: v.load.Capacity, Closed: v.load.Closed,
 			},
-			Incarnation: string(v.peer), AgeMs: uint32(clock.Since(v.heard).Milliseconds()),
+			Incarnation: string(v.peer), AgeMs: uint32(clock.Since(v.reportedAt).Milliseconds()),
 		})
 	}
 	return list
@@ -64,17 +64,17 @@
 	for _, o := range owners {
 		c := o.GetClaim()
 		heard := clock.Now().Add(-time.Duration(o.GetAgeMs()) * time.Millisecond)
-		v := r.views[c.GetGroup()]
-		if v != nil && (v.token > c.GetToken() || v.heard.After(heard)) {
+		v := r.peerOwners[c.GetGroup()]
+		if v != nil && (v.token > c.GetToken() || v.reportedAt.After(heard)) {
 			continue
 		}
-		r.views[c.GetGroup()] = &view{
-			peer: fate.Incarnation(o.GetIncarnation()), token: c.GetToken(), load: loadOf(c.GetGroup(), loadFromProto(c)), heard: heard, relayed: true,
+		r.peerOwners[c.GetGroup()] = &peerOwner{
+			peer: fate.Incarnation(o.GetIncarnation()), token: c.GetToken(), load: ownerLoad(c.GetGroup(), loadFromProto(c)), reportedAt: heard, relayed: true,
 		}
 	}
-	for group, v := range r.views {
-		if v.relayed && clock.Since(v.heard) > forgetRelayed {
-			delete(r.views, group)
+	for group, v := range r.peerOwners {
+		if v.relayed && clock.Since(v.reportedAt) > relayedOwnerExpiry {
+			delete(r.peerOwners, group)
 		}
 	}
 }
--- a/node/router.go
+++ b/node/router.go
@@ -21,20 +21,20 @@
 // router passes offers between the coordinator of this instance and the owners
 // of groups, here and on peers.
 type router struct {
-	n  *Node
-	mu sync.Mutex
-	// views holds what is known of owners on peers, by group.
-	views map[string]*view
-	// used holds when an offer was last sent to an instance.
-	used map[string]time.Time
-	// sent holds the offers to peers that have not ended.
-	sent map[offerKey]*sentOffer
-	// renewed holds when the leases of the offers on a connection were renewed last, by
+	node *Node
+	mu   sync.Mutex
+	// peerOwners holds what is known of owners on peers, by group.
+	peerOwners map[string]*peerOwner
+	// lastOfferAt holds when an offer was last sent to an instance.
+	lastOfferAt map[string]time.Time
+	// openOffers holds the offers to peers that have not ended.
+	openOffers map[offerKey]*sentOffer
+	// leasesRenewedAt holds when the leases of the offers on a connection were leasesRenewedAt last, by
 	// its number.
-	renewed map[uint64]time.Time
-	// clocks holds the latest time of its steady clock, in milliseconds, that each peer
+	leasesRenewedAt map[uint64]time.Time
+	// peerClocks holds the latest time of its steady clock, in milliseconds, that each peer
 	// has told.
-	clocks map[fate.Incarnation]uint64
+	peerClocks map[fate.Incarnation]uint64
 }
 
 // sentOffer is an offer to a peer.
@@ -47,42 +47,42 @@
 	reason    string
 }
 
-// view is what is known of the owner of a group on a peer.
-type view struct {
-	peer  fate.Incarnation
-	token uint64
-	load  ingress.OwnerLoad
-	heard time.Time
+// peerOwner is what is known of the owner of a group on a peer.
+type peerOwner struct {
+	peer       fate.Incarnation
+	token      uint64
+	load       ingress.OwnerLoad
+	reportedAt time.Time
 	// relayed is set where a hub has passed it on.
 	relayed bool
 }
 
-// fresh reports whether the owner was heard of lately.
-func (v *view) fresh() bool {
+// isFresh reports whether the owner was heard of lately.
+func (v *peerOwner) isFresh() bool {
 	if v.relayed {
-		return clock.Since(v.heard) < staleRelayed
+		return clock.Since(v.reportedAt) < maxRelayedLoadAge
 	}
-	return clock.Since(v.heard) < staleLoad
+	return clock.Since(v.reportedAt) < maxLoadAge
 }
 
 // offerKey names an offer to a peer.
 type offerKey struct {
 	group string
-	key   schedule.JobKey
+	job   schedule.JobKey
 }
 
 func newRouter(n *Node) *router {
 	return &router{
-		n: n, views: map[string]*view{}, used: map[string]time.Time{}, sent: map[offerKey]*sentOffer{},
-		renewed: map[uint64]time.Time{}, clocks: map[fate.Incarnation]uint64{},
+		node: n, peerOwners: map[string]*peerOwner{}, lastOfferAt: map[string]time.Time{}, openOffers: map[offerKey]*sentOffer{},
+		leasesRenewedAt: map[uint64]time.Time{}, peerClocks: map[fate.Incarnation]uint64{},
 	}
 }
 
-// group returns a group that this instance owns, and whether it takes offers.
-func (r *router) group(name string) (g *owner.Group, open bool) {
-	r.n.mu.Lock()
-	defer r.n.mu.Unlock()
-	h := r.n.groups[name]
+// findGroup returns a findGroup that this instance owns, and whether it takes offers.
+func (r *router) findGroup(name string) (g *owner.Group, open bool) {
+	r.node.mu.Lock()
+	defer r.node.mu.Unlock()
+	h := r.node.groups[name]
 	if h == nil {
 		return nil, false
 	}
@@ -91,22 +91,22 @@
 
 // Loads implements ingress.Owners.
 func (r *router) Loads() []ingress.OwnerLoad {
-	r.n.mu.Lock()
-	own := slices.DeleteFunc(r.n.ownedGroupsLocked(), func(g *ownedGroup) bool { return g.handingOver })
-	r.n.mu.Unlock()
+	r.node.mu.Lock()
+	own := slices.DeleteFunc(r.node.ownedGroupsLocked(), func(g *ownedGroup) bool { return g.handingOver })
+	r.node.mu.Unlock()
 	var fresh, stale []ingress.OwnerLoad
 	for _, g := range own {
-		fresh = append(fresh, loadOf(g.Name, g.Load()))
+		fresh = append(fresh, ownerLoad(g.Name, g.Load()))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for group, v := range r.views {
+	for group, v := range r.peerOwners {
 		if slices.ContainsFunc(own, func(g *ownedGroup) bool { return g.Name == group }) {
 			continue
 		}
 		l := v.load
-		l.Age = clock.Since(v.heard)
-		if v.fresh() {
+		l.Age = clock.Since(v.reportedAt)
+		if v.isFresh() {
 			fresh = append(fresh, l)
 		} else {
 			stale = append(stale, l)
@@ -119,50 +119,50 @@
 	return fresh
 }
 
-func loadOf(group string, l schedule.Load) ingress.OwnerLoad {
+func ownerLoad(group string, l schedule.Load) ingress.OwnerLoad {
 	return ingress.OwnerLoad{Group: group, Zone: zoneOfGroup(group), Free: l.Free, Waiting: l.Waiting, Capacity: l.Capacity, Closed: l.Closed}
 }
 
-// heard takes what a peer says of the groups that it owns.
-func (r *router) heard(from fate.Incarnation, p *inner.Presence) {
+// handleClaims takes what a peer says of the groups that it owns.
+func (r *router) handleClaims(from fate.Incarnation, p *inner.Presence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	claimed := map[string]bool{}
 	for _, c := range p.GetClaims() {
 		claimed[c.GetGroup()] = !c.GetLeaving()
-		v := r.views[c.GetGroup()]
+		v := r.peerOwners[c.GetGroup()]
 		if c.GetLeaving() || v != nil && v.token > c.GetToken() {
 			continue
 		}
-		r.views[c.GetGroup()] = &view{peer: from, token: c.GetToken(), load: loadOf(c.GetGroup(), loadFromProto(c)), heard: clock.Now()}
+		r.peerOwners[c.GetGroup()] = &peerOwner{peer: from, token: c.GetToken(), load: ownerLoad(c.GetGroup(), loadFromProto(c)), reportedAt: clock.Now()}
 	}
-	for group, v := range r.views {
+	for group, v := range r.peerOwners {
 		if v.peer == from && !claimed[group] {
-			delete(r.views, group)
+			delete(r.peerOwners, group)
 		}
 	}
 }
 
-// lost forgets a peer.
-func (r *router) lost(peer fate.Incarnation) {
+// forgetPeer forgets a peer.
+func (r *router) forgetPeer(peer fate.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for group, v := range r.views {
+	for group, v := range r.peerOwners {
 		if v.peer == peer {
-			delete(r.views, group)
+			delete(r.peerOwners, group)
 		}
 	}
-	delete(r.clocks, peer)
+	delete(r.peerClocks, peer)
 }
 
 // Offer implements ingress.Owners.
 func (r *router) Offer(group string, o schedule.Offer, answer owner.OfferCallbacks) error {
-	if g, open := r.group(group); open {
-		o.Key.Coordinator = string(r.n.self)
+	if g, open := r.findGroup(group); open {
+		o.Key.Coordinator = string(r.node.self)
 		return g.Offer(o, answer)
 	}
 	r.mu.Lock()
-	v := r.views[group]
+	v := r.peerOwners[group]
 	if v == nil {
 		r.mu.Unlock()
 		return failure.Unreachable.New("no owner of group %s is known", group)
@@ -170,15 +170,15 @@
 	k := offerKey{group, o.Key}
 	peer := v.peer
 	sent := &sentOffer{OfferCallbacks: answer, peer: peer.Instance()}
-	r.sent[k] = sent
+	r.openOffers[k] = sent
 	v.load.Free -= len(o.Tasks)
-	r.used[peer.Instance()] = clock.Now()
-	aliveMs := aliveOnPeerClock(r.clocks[peer], o.AliveAt)
+	r.lastOfferAt[peer.Instance()] = clock.Now()
+	aliveMs := aliveOnPeerClock(r.peerClocks[peer], o.AliveAt)
 	r.mu.Unlock()
 	frame := &inner.Frame{Body: &inner.Frame_Offer{Offer: offerToProto(group, o, aliveMs)}}
-	link, err := r.n.mesh.Ask(peer, frame, func(f *inner.Frame, err error) { r.offerEnded(k, f, err) })
+	link, err := r.node.mesh.Ask(peer, frame, func(f *inner.Frame, err error) { r.handleOfferEnd(k, f, err) })
 	if err != nil {
-		r.take(k)
+		r.removeOffer(k)
 		return err
 	}
 	r.mu.Lock()
@@ -191,32 +191,32 @@
 	return nil
 }
 
-// take removes an open offer, and returns nil where it is not open.
-func (r *router) take(k offerKey) *sentOffer {
+// removeOffer removes an open offer, and returns nil where it is not open.
+func (r *router) removeOffer(k offerKey) *sentOffer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sent := r.sent[k]
-	delete(r.sent, k)
+	sent := r.openOffers[k]
+	delete(r.openOffers, k)
 	return sent
 }
 
-// offerEnded takes the reply to an offer, or the loss of its connection.
-func (r *router) offerEnded(k offerKey, f *inner.Frame, err error) {
-	answer := r.take(k)
+// handleOfferEnd takes the reply to an offer, or the loss of its connection.
+func (r *router) handleOfferEnd(k offerKey, f *inner.Frame, err error) {
+	answer := r.removeOffer(k)
 	if answer == nil {
 		return
 	}
 	switch {
 	case failure.Is(err, failure.Stopping):
-		answer.OfferEnded(schedule.Result{Key: k.key, Outcome: schedule.Completed}, schedule.Load{})
+		answer.OfferEnded(schedule.Result{Key: k.job, Outcome: schedule.Completed}, schedule.Load{})
 	case err != nil:
-		event.OfferLost.Log(r.n.log, slog.String("job", k.key.ID), slog.String("group", k.group), slog.String("error", err.Error()))
-		answer.OfferEnded(schedule.Result{Key: k.key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
+		event.OfferLost.Log(r.node.log, slog.String("job", k.job.ID), slog.String("group", k.group), slog.String("error", err.Error()))
+		answer.OfferEnded(schedule.Result{Key: k.job, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
 	default:
 		ended := f.GetOfferEnded()
 		r.updateLoad(ended.GetLoad())
 		answer.OfferEnded(schedule.Result{
-			Key: k.key, Outcome: schedule.Outcome(ended.GetOutcome()), Begun: ended.GetBegun(),
+			Key: k.job, Outcome: schedule.Outcome(ended.GetOutcome()), Begun: ended.GetBegun(),
 			Done: toInts(ended.GetDone()), Returned: toInts(ended.GetReturned()), History: taskHistoryFromProto(ended.GetPast()),
 		}, loadFromProto(ended.GetLoad()))
 	}
@@ -225,31 +225,31 @@
 func (r *router) updateLoad(c *inner.Claim) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if v := r.views[c.GetGroup()]; v != nil && v.token == c.GetToken() {
-		v.load = loadOf(c.GetGroup(), loadFromProto(c))
-		v.heard = clock.Now()
+	if v := r.peerOwners[c.GetGroup()]; v != nil && v.token == c.GetToken() {
+		v.load = ownerLoad(c.GetGroup(), loadFromProto(c))
+		v.reportedAt = clock.Now()
 	}
 }
 
-// takeReturned takes tasks back from an owner on a peer.
-func (r *router) takeReturned(m *inner.OfferReturned) {
+// handleReturned takes tasks back from an owner on a peer.
+func (r *router) handleReturned(m *inner.OfferReturned) {
 	r.updateLoad(m.GetLoad())
 	k := offerKey{m.GetGroup(), schedule.JobKey{ID: m.GetJob(), Part: int(m.GetPart())}}
 	r.mu.Lock()
-	answer := r.sent[k]
+	answer := r.openOffers[k]
 	r.mu.Unlock()
 	if answer != nil {
-		answer.TasksReturned(schedule.Result{Key: k.key, Returned: toInts(m.GetTasks()), History: taskHistoryFromProto(m.GetPast()), Begun: m.GetBegun()}, loadFromProto(m.GetLoad()))
+		answer.TasksReturned(schedule.Result{Key: k.job, Returned: toInts(m.GetTasks()), History: taskHistoryFromProto(m.GetPast()), Begun: m.GetBegun()}, loadFromProto(m.GetLoad()))
 	}
 }
 
 // Withdraw implements ingress.Owners.
 func (r *router) Withdraw(group string, key schedule.JobKey, reason string) {
 	k := offerKey{group, key}
-	sent := r.take(k)
+	sent := r.removeOffer(k)
 	if sent == nil {
-		if g, _ := r.group(group); g != nil {
-			key.Coordinator = string(r.n.self)
+		if g, _ := r.findGroup(group); g != nil {
+			key.Coordinator = string(r.node.self)
 			g.Withdraw(key, reason)
 		}
 		return
@@ -267,28 +267,28 @@
 // owner has ended the offer by itself.
 func (r *router) sendWithdrawal(link inner.Link, k offerKey, reason string) {
 	frame := &inner.Frame{Body: &inner.Frame_OfferWithdrawn{OfferWithdrawn: &inner.OfferWithdrawn{
-		Group: k.group, Job: k.key.ID, Part: uint32(k.key.Part), Reason: reason,
+		Group: k.group, Job: k.job.ID, Part: uint32(k.job.Part), Reason: reason,
 	}}}
 	if err := link.Send(frame); err != nil {
-		event.PeerUnsent.Log(r.n.log, slog.String("what", "withdrawal"), slog.String("job", k.key.ID), slog.String("error", err.Error()))
+		event.PeerUnsent.Log(r.node.log, slog.String("what", "withdrawal"), slog.String("job", k.job.ID), slog.String("error", err.Error()))
 	}
 }
 
-// coordinatorOf names the coordinator of the offers that come on a connection.
-func coordinatorOf(link inner.Link, from fate.Incarnation) string {
+// coordinatorName names the coordinator of the offers that come on a connection.
+func coordinatorName(link inner.Link, from fate.Incarnation) string {
 	return string(from) + "#" + strconv.FormatUint(link.Number(), 10)
 }
 
-// takeOffer takes the offer of a peer.
-func (r *router) takeOffer(link inner.Link, from fate.Incarnation, m *inner.Offer, reply func(*inner.Frame)) {
-	g, _ := r.group(m.GetGroup())
+// handleOffer takes the offer of a peer.
+func (r *router) handleOffer(link inner.Link, from fate.Incarnation, m *inner.Offer, reply func(*inner.Frame)) {
+	g, _ := r.findGroup(m.GetGroup())
 	if g == nil {
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(failure.Stopping.New("group %s is not owned here", m.GetGroup()))}})
 		return
 	}
 	o := offerFromProto(m)
-	o.Key.Coordinator = coordinatorOf(link, from)
-	o.AliveAt = r.n.timeOfClock(m.GetAliveMs())
+	o.Key.Coordinator = coordinatorName(link, from)
+	o.AliveAt = r.node.timeOfClock(m.GetAliveMs())
 	err := g.Offer(o, owner.OfferCallbacks{
 		TasksReturned: func(res schedule.Result, l schedule.Load) {
 			_ = link.Send(offerReturnedFrame(g, res, l)) // a closed connection has ended the offer
@@ -300,36 +300,36 @@
 	}
 }
 
-func (r *router) takeWithdrawn(link inner.Link, from fate.Incarnation, m *inner.OfferWithdrawn) {
-	if g, _ := r.group(m.GetGroup()); g != nil {
-		g.Withdraw(schedule.JobKey{Coordinator: coordinatorOf(link, from), ID: m.GetJob(), Part: int(m.GetPart())}, m.GetReason())
+func (r *router) handleWithdrawal(link inner.Link, from fate.Incarnation, m *inner.OfferWithdrawn) {
+	if g, _ := r.findGroup(m.GetGroup()); g != nil {
+		g.Withdraw(schedule.JobKey{Coordinator: coordinatorName(link, from), ID: m.GetJob(), Part: int(m.GetPart())}, m.GetReason())
 	}
 }
 
-// linkClosed ends the offers that came on a connection: their coordinator takes
+// handleLinkClosed ends the offers that came on a connection: their coordinator takes
 // them for lost, and its customers may send them again.
-func (r *router) linkClosed(link inner.Link, from fate.Incarnation) {
-	coordinator := coordinatorOf(link, from)
-	for _, g := range r.n.ownedGroups() {
+func (r *router) handleLinkClosed(link inner.Link, from fate.Incarnation) {
+	coordinator := coordinatorName(link, from)
+	for _, g := range r.node.ownedGroups() {
 		g.WithdrawAll(coordinator, "the connection to the coordinator closed")
 	}
 	r.mu.Lock()
-	delete(r.renewed, link.Number())
+	delete(r.leasesRenewedAt, link.Number())
 	r.mu.Unlock()
 }
 
-// inUse returns the instances that have an offer of this one, or had one lately:
+// activeOwners returns the instances that have an offer of this one, or had one lately:
 // both sides must notice soon when the other is lost.
-func (r *router) inUse() map[string]bool {
+func (r *router) activeOwners() map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	used := map[string]bool{}
-	for _, sent := range r.sent {
+	for _, sent := range r.openOffers {
 		used[sent.peer] = true
 	}
-	for instance, at := range r.used {
-		if clock.Since(at) > useTime {
-			delete(r.used, instance)
+	for instance, at := range r.lastOfferAt {
+		if clock.Since(at) > activeOwnerPeriod {
+			delete(r.lastOfferAt, instance)
 			continue
 		}
 		used[instance] = true
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -43,7 +43,7 @@
 	for name := range in.nodes {
 		in.until(name+" hears every owner", func() bool {
 			loads := in.nodes[name].router.Loads()
-			return len(loads) == 2 && loads[0].Age < staleLoad && loads[1].Age < staleLoad
+			return len(loads) == 2 && loads[0].Age < maxLoadAge && loads[1].Age < maxLoadAge
 		})
 		in.want(name, 2, 20)
 		in.want(name, 6, 20)
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -83,7 +83,7 @@
 		"the list has not been read":   {age: settleTime, unread: true, dial: dialFailed, want: false},
 	} {
 		n := &Node{
-			peers: membership.NewTable(silence), neighbours: &membership.Neighbours{Near: map[string]bool{"a-2": true}},
+			peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{Near: map[string]bool{"a-2": true}},
 			refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{"there": c.dial},
 			startedAt: clock.Now().Add(-c.age), peerListRead: !c.unread,
 		}
@@ -100,7 +100,7 @@
 // bareNode returns an instance that has just begun and knows nobody. It does not run.
 func bareNode(name, zone string) *Node {
 	n := &Node{
-		peers: membership.NewTable(silence), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{},
+		peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{},
 		refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{}, groupCounts: map[string]int{}, startedAt: clock.Now(), log: slog.New(slog.DiscardHandler),
 		peerListReady: make(chan struct{}), ctx: context.Background(), directory: directory.New(),
 	}
--- a/node/suspension.go
+++ b/node/suspension.go
@@ -8,21 +8,21 @@
 	"github.com/sedgehatch/sedgehatch/event"
 )
 
-// shortestSuspension is what counts as a suspension of the machine: as long as one beat, so
+// minSuspension is what counts as a suspension of the machine: as long as one beat, so
 // that peers and owners may have missed one.
-const shortestSuspension = 100 * time.Millisecond
+const minSuspension = 100 * time.Millisecond
 
-// noticeSuspension looks whether the machine was suspended since the last beat. All ages
+// detectSuspension looks whether the machine was suspended since the last beat. All ages
 // count that time; timers do not, and fire late by it.
-func (n *Node) noticeSuspension() {
+func (n *Node) detectSuspension() {
 	total := clock.Suspended()
 	n.mu.Lock()
 	length := total - n.suspendedTotal
-	if length >= shortestSuspension {
+	if length >= minSuspension {
 		n.suspendedTotal = total
 	}
 	n.mu.Unlock()
-	if length < shortestSuspension {
+	if length < minSuspension {
 		return
 	}
 	event.Resumed.Log(n.log, slog.Duration("suspended", length))
--- a/node/timing.go
+++ b/node/timing.go
@@ -11,14 +11,14 @@
 // Heartbeats.
 
 const (
-	// presenceEvery is how often peers hear of this instance, and joinEvery
+	// heartbeatInterval is how often peers hear of this instance, and joinEvery
 	// that while the upstreams of a group that it has just taken join.
-	presenceEvery = 100 * time.Millisecond
-	// farEvery is the same for far neighbours: bytes between availability
+	heartbeatInterval = 100 * time.Millisecond
+	// farHeartbeatInterval is the same for far neighbours: bytes between availability
 	// zones have a price, and a large zone has many instances.
-	farEvery  = 250 * time.Millisecond
-	joinEvery = 20 * time.Millisecond
-	joinTime  = 400 * time.Millisecond
+	farHeartbeatInterval  = 250 * time.Millisecond
+	joinHeartbeatInterval = 20 * time.Millisecond
+	joinPeriod            = 400 * time.Millisecond
 	// dialTimeout bounds opening a connection to a peer: a round trip takes
 	// about a millisecond, and a lost opening packet is sent again only after
 	// seconds.
@@ -31,40 +31,40 @@
 	// nothing yet: it runs, and may own what this instance would take from it. At
 	// the start of all, a small instance stands still for most of a second.
 	busySettleTime = 2 * time.Second
-	// seedAfter is when an instance without peers tries those of its settings.
-	seedAfter = 100 * time.Millisecond
+	// seedDelay is when an instance without peers tries those of its settings.
+	seedDelay = 100 * time.Millisecond
 )
 
-// silence bounds how long a peer may be silent: a job of an instance that is
+// silenceLimits bounds how long a peer may be silent: a job of an instance that is
 // lost must be stopped well before its customer sends it again.
-var silence = membership.Config{SuspectMs: 350, DeadMs: 600, FarFactor: 2}
+var silenceLimits = membership.Config{SuspectMs: 350, DeadMs: 600, FarFactor: 2}
 
-// yieldDial is how long the instance of two whose name sorts last leaves opening
+// dialYieldDelay is how long the instance of two whose name sorts last leaves opening
 // a connection to the other: one between them is enough.
-const yieldDial = 30 * time.Millisecond
+const dialYieldDelay = 30 * time.Millisecond
 
-// tellDrains is how long a drain is passed on: every peer has heard of it then,
+// recentChangePeriod is how long a drain is passed on: every peer has heard of it then,
 // or reads it in the store.
-const tellDrains = 3 * time.Second
+const recentChangePeriod = 3 * time.Second
 
-// relayEvery is how often a hub passes on what it hears of owners in other
+// relayInterval is how often a hub passes on what it hears of owners in other
 // availability zones.
-const relayEvery = 500 * time.Millisecond
+const relayInterval = 500 * time.Millisecond
 
 // Loads of owners.
 
-// staleLoad is how old the load report of an owner may be for jobs to go there while
+// maxLoadAge is how old the load report of an owner may be for jobs to go there while
 // others can take them: it is about to be found lost.
-const staleLoad = 350 * time.Millisecond
+const maxLoadAge = 350 * time.Millisecond
 
 const (
-	// staleRelayed is staleLoad for what a hub passes on, which comes that
+	// maxRelayedLoadAge is staleLoad for what a hub passes on, which comes that
 	// much later.
-	staleRelayed = staleLoad + relayEvery + farEvery
-	// forgetRelayed is when an owner that no hub speaks of is forgotten.
-	forgetRelayed = 3 * time.Second
-	// useTime is how long the owner of an offer counts as in use after it.
-	useTime = 5 * time.Second
+	maxRelayedLoadAge = maxLoadAge + relayInterval + farHeartbeatInterval
+	// relayedOwnerExpiry is when an owner that no hub speaks of is forgotten.
+	relayedOwnerExpiry = 3 * time.Second
+	// activeOwnerPeriod is how long the owner of an offer counts as in use after it.
+	activeOwnerPeriod = 5 * time.Second
 )
 
 // The store.
@@ -85,25 +85,25 @@
 	// The entries of upstreams change with every heartbeat, so that a watch
 	// returns at once. An owner must hear soon that an upstream drains; others
 	// only need the list for a takeover.
-	ownerRest   = 400 * time.Millisecond
-	standbyRest = 1200 * time.Millisecond
-	// roughRest is how often an instance that only stands by for larger ones reads
+	ownerReadPause   = 400 * time.Millisecond
+	standbyReadPause = 1200 * time.Millisecond
+	// fullReadInterval is how often an instance that only stands by for larger ones reads
 	// all upstreams, for the case that it must own them while the store is away: an
 	// entry is some 400 bytes on the wire, and there are some thousand.
-	roughRest = 30 * time.Second
-	// listFirst is how long a new instance waits for the list of instances before it reads
+	fullReadInterval = 30 * time.Second
+	// peerListTimeout is how long a new instance waits for the list of instances before it reads
 	// the upstreams: the store answers in milliseconds, and one that is slow must not
 	// delay a small zone.
-	listFirst = 100 * time.Millisecond
-	// standbyFirst is how long a new instance leaves the upstreams to larger ones that
+	peerListTimeout = 100 * time.Millisecond
+	// standbyDelay is how long a new instance leaves the upstreams to larger ones that
 	// are listed: those own something by then, or are known not to run.
-	standbyFirst = busySettleTime
-	// firstRetry and longestRetry bound the pause after a failed call to the
+	standbyDelay = busySettleTime
+	// minRetryPause and longestRetry bound the pause after a failed call to the
 	// store.
-	firstRetry = 50 * time.Millisecond
-	// neededPoll is how often a follower looks whether its keys are needed.
-	neededPoll   = 50 * time.Millisecond
-	longestRetry = 700 * time.Millisecond
+	minRetryPause = 50 * time.Millisecond
+	// modePollInterval is how often a follower looks whether its keys are needed.
+	modePollInterval = 50 * time.Millisecond
+	maxRetryPause    = 700 * time.Millisecond
 )
 
 // shortConfigWatchers is how many instances of an availability zone watch the configuration
@@ -115,20 +115,20 @@
 	// find each other by it, and one that is cut off from them sees by it that
 	// they live.
 	registrationTTL = 4 * time.Second
-	// renewEvery keeps the entry through a lost renewal or two.
-	renewEvery = 1200 * time.Millisecond
+	// registrationRenewInterval keeps the entry through a lost renewal or two.
+	registrationRenewInterval = 1200 * time.Millisecond
 )
 
 // A planned stop.
 
 const (
-	// drainPoll is how often a planned stop looks whether it is done.
-	drainPoll = 20 * time.Millisecond
-	// minDrain is how long customers may still come after a planned stop
+	// drainPollInterval is how often a planned stop looks whether it is done.
+	drainPollInterval = 20 * time.Millisecond
+	// minDrainTime is how long customers may still come after a planned stop
 	// began: the platform asks once a second and believes the second refusal.
-	minDrain = 3200 * time.Millisecond
+	minDrainTime = 3200 * time.Millisecond
 	// graceMargin is kept of the grace for the end itself, and flushTime of
 	// that for the last answers.
-	graceMargin = 500 * time.Millisecond
-	flushTime   = 50 * time.Millisecond
+	graceMargin       = 500 * time.Millisecond
+	responseFlushTime = 50 * time.Millisecond
 )
--- a/node/upstreamask.go
+++ b/node/upstreamask.go
@@ -20,27 +20,27 @@
 // none. If all that could own a group are replaced in turn meanwhile, their availability zone
 // would stand still until the store is back: so each asks those that have read the list.
 
-// askUpstreams asks a peer for the upstreams of the own availability zone, unless they are
+// requestUpstreams asks a peer for the upstreams of the own availability zone, unless they are
 // known: another one each time.
-func (n *Node) askUpstreams() {
+func (n *Node) requestUpstreams() {
 	if n.directory.Synced() {
 		return
 	}
-	peer, found := n.nextToAsk()
+	peer, found := n.nextUpstreamSource()
 	if !found {
 		return
 	}
 	n.metrics.CountSent("upstreams_request")
 	request := &inner.Frame{Body: &inner.Frame_UpstreamsRequest{UpstreamsRequest: &inner.UpstreamsRequest{Zone: n.settings.Zone}}}
-	_, err := n.mesh.Ask(peer, request, func(f *inner.Frame, err error) { n.takeUpstreams(peer, f, err) })
+	_, err := n.mesh.Ask(peer, request, func(f *inner.Frame, err error) { n.handleUpstreamsReply(peer, f, err) })
 	if err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "upstreams request"), slog.String("error", err.Error()))
 	}
 }
 
-// nextToAsk returns a peer of the own availability zone that may know the upstreams: those
+// nextUpstreamSource returns a peer of the own availability zone that may know the upstreams: those
 // that own groups first, then the other hubs, in turn.
-func (n *Node) nextToAsk() (fate.Incarnation, bool) {
+func (n *Node) nextUpstreamSource() (fate.Incarnation, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	peers := n.peers.Filter(func(p membership.Peer) bool {
@@ -58,20 +58,20 @@
 	return peers[asked].Incarnation, true
 }
 
-// takeUpstreams takes the answer of a peer.
-func (n *Node) takeUpstreams(peer fate.Incarnation, f *inner.Frame, err error) {
+// handleUpstreamsReply takes the answer of a peer.
+func (n *Node) handleUpstreamsReply(peer fate.Incarnation, f *inner.Frame, err error) {
 	if err != nil {
 		event.UpstreamsUntold.Log(n.log, slog.String("peer", string(peer)), slog.String("error", err.Error()))
 		return
 	}
 	list := lo.Map(f.GetUpstreamsReply().GetUpstreams(), func(u *inner.Upstream, _ int) fleet.Upstream { return upstreamFromProto(u) })
 	event.UpstreamsTold.Log(n.log, slog.String("peer", string(peer)), slog.Int("upstreams", len(list)))
-	n.upstreamsChanged(n.directory.Merge(clock.Now(), list))
+	n.applyUpstreamChanges(n.directory.Merge(clock.Now(), list))
 	n.tick() // groups may be taken now
 }
 
-// tellUpstreams answers a peer that asks for the upstreams of an availability zone.
-func (n *Node) tellUpstreams(zone string, reply func(*inner.Frame)) {
+// replyWithUpstreams answers a peer that asks for the upstreams of an availability zone.
+func (n *Node) replyWithUpstreams(zone string, reply func(*inner.Frame)) {
 	if !n.directory.Synced() {
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(failure.NotFound.New("the upstreams are not known here"))}})
 		return
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -18,50 +18,50 @@
 
 // followUpstreams keeps the directory of upstreams up to date until the instance stops.
 func (n *Node) followUpstreams() {
-	n.awaitList()
+	n.awaitPeerList()
 	n.follow(storeFollower{
-		prefix: platform.UpstreamPrefix, watchWait: constant(upstreamWatchWait), readPause: n.upstreamRest, mode: n.upstreamNeed, onReadFailure: n.askUpstreams,
+		prefix: platform.UpstreamPrefix, watchWait: constant(upstreamWatchWait), readPause: n.upstreamReadPause, mode: n.upstreamFollowMode, onReadFailure: n.requestUpstreams,
 		replace: func(items []platform.Item, _ uint64) {
-			n.upstreamsChanged(n.directory.Replace(clock.Now(), n.entries(items)))
+			n.applyUpstreamChanges(n.directory.Replace(clock.Now(), n.parseEntries(items)))
 		},
 		update: func(items []platform.Item) {
-			n.upstreamsChanged(n.directory.Update(clock.Now(), n.entries(items)))
+			n.applyUpstreamChanges(n.directory.Update(clock.Now(), n.parseEntries(items)))
 		},
 	})
 }
 
-// entries decodes the entries of upstreams. What cannot be read is logged.
-func (n *Node) entries(items []platform.Item) []directory.Entry {
+// parseEntries decodes the parseEntries of upstreams. What cannot be read is logged.
+func (n *Node) parseEntries(items []platform.Item) []directory.Entry {
 	list := make([]directory.Entry, 0, len(items))
 	for _, item := range items {
 		e := directory.Entry{ID: platform.UpstreamID(item.Key), Deleted: item.Deleted}
 		if !item.Deleted {
 			var err error
 			e.Upstream, err = platform.ParseUpstream(item.Key, item.Value)
-			e.Invalid = n.refusals.entry(n, item.Key, err)
+			e.Invalid = n.refusals.record(n, item.Key, err)
 		}
 		list = append(list, e)
 	}
 	if n.directory.RecordStartTimes(list) {
-		n.refuseUnborn(list)
+		n.refuseWithoutStartTime(list)
 	}
 	return list
 }
 
-// refuseUnborn refuses the entries that do not tell when their upstream was born, where
+// refuseWithoutStartTime refuses the entries that do not tell when their upstream was born, where
 // upstreams do: somebody else wrote them.
-func (n *Node) refuseUnborn(list []directory.Entry) {
+func (n *Node) refuseWithoutStartTime(list []directory.Entry) {
 	missing := failure.Field(failure.Protocol, "born", "is missing")
 	for i, e := range list {
 		if !e.Deleted && !e.Invalid && e.Upstream.StartedUnixMs == 0 {
-			list[i].Invalid = n.refusals.entry(n, platform.UpstreamPrefix+e.ID, missing)
+			list[i].Invalid = n.refusals.record(n, platform.UpstreamPrefix+e.ID, missing)
 		}
 	}
 }
 
-// upstreamsChanged gives owned groups the list as it is now, and notes the upstreams
+// applyUpstreamChanges gives owned groups the list as it is now, and notes the upstreams
 // that are newly known to drain.
-func (n *Node) upstreamsChanged(draining []fleet.UpstreamIncarnation) {
+func (n *Node) applyUpstreamChanges(draining []fleet.UpstreamIncarnation) {
 	n.logDrains(draining, "store")
 	n.updateGroups()
 }
@@ -79,9 +79,9 @@
 	}
 }
 
-// mostRefused bounds how many refused keys are remembered, so that each is logged once
+// maxRefusedKeys bounds how many refused keys are remembered, so that each is logged once
 // for a reason and not with each read.
-const mostRefused = 1024
+const maxRefusedKeys = 1024
 
 // entryRefusals remembers why entries of the store were refused.
 type entryRefusals struct {
@@ -89,9 +89,9 @@
 	reasons map[string]string // by key
 }
 
-// entry notes whether an entry could be read, and reports whether it is refused. It
+// record notes whether an record could be read, and reports whether it is refused. It
 // logs a reason that is new for its key.
-func (r *entryRefusals) entry(n *Node, key string, err error) bool {
+func (r *entryRefusals) record(n *Node, key string, err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil {
@@ -103,7 +103,7 @@
 	if r.reasons[key] == reason {
 		return true
 	}
-	if r.reasons == nil || len(r.reasons) >= mostRefused {
+	if r.reasons == nil || len(r.reasons) >= maxRefusedKeys {
 		r.reasons = map[string]string{}
 	}
 	r.reasons[key] = reason
@@ -111,11 +111,11 @@
 	return true
 }
 
-// awaitList waits for the list of instances, which tells whether this one may own groups:
+// awaitPeerList waits for the list of instances, which tells whether this one may own groups:
 // at the start of all, each that reads the upstreams takes from the store's link what the
 // owners need. It waits for listFirst at most.
-func (n *Node) awaitList() {
-	timer := time.NewTimer(listFirst)
+func (n *Node) awaitPeerList() {
+	timer := time.NewTimer(peerListTimeout)
 	defer timer.Stop()
 	select {
 	case <-n.peerListReady:
@@ -124,10 +124,10 @@
 	}
 }
 
-// upstreamNeed tells how closely the entries of upstreams have to be followed.
-func (n *Node) upstreamNeed() followMode {
+// upstreamFollowMode tells how closely the entries of upstreams have to be followed.
+func (n *Node) upstreamFollowMode() followMode {
 	n.mu.Lock()
-	how := n.upstreamNeedNow()
+	how := n.upstreamFollowModeLocked()
 	n.mu.Unlock()
 	if how == followNothing {
 		n.directory.MarkUnsynced()
@@ -135,17 +135,17 @@
 	return how
 }
 
-// upstreamNeedNow is upstreamNeed. In large availability zones only hubs own groups, and
+// upstreamFollowModeLocked is upstreamNeed. In large availability zones only hubs own groups, and
 // those of them that are small beside others only once the larger ones are lost: what they
 // have read is for the case that the store does not answer then. The lock is held.
-func (n *Node) upstreamNeedNow() followMode {
+func (n *Node) upstreamFollowModeLocked() followMode {
 	counted := n.groupCounts[n.settings.Zone] > 0 // the number of groups follows from that of upstreams
 	switch {
 	case len(n.groups) > 0:
 		return followContinuously
 	case !n.neighbours.IsHub:
 		return followNothing
-	case counted && clock.Since(n.startedAt) < standbyFirst && !membership.IsLarge(n.settings.CPUShare, n.listedCandidates()):
+	case counted && clock.Since(n.startedAt) < standbyDelay && !membership.IsLarge(n.settings.CPUShare, n.listedCandidates()):
 		return followNothing // the larger ones start as well, and read them at this moment
 	case counted && !membership.IsLarge(n.settings.CPUShare, n.ownZoneCandidates()):
 		return followPeriodically
@@ -162,12 +162,12 @@
 	})
 }
 
-// upstreamRest is the pause between reads of the upstreams' entries.
-func (n *Node) upstreamRest() time.Duration {
+// upstreamReadPause is the pause between reads of the upstreams' entries.
+func (n *Node) upstreamReadPause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.groups) > 0 {
-		return ownerRest
+		return ownerReadPause
 	}
-	return standbyRest
+	return standbyReadPause
 }
