--- a/directory/capacity.go
+++ b/directory/capacity.go
@@ -15,7 +15,7 @@
 // unable to read the platform's list.
 type CapacityReport struct {
 	Incarnation fleet.UpstreamIncarnation
-	Sequence    int64 // of the upstream's entry, as in fleet.Upstream
+	Sequence    int64 // version of the upstream's entry, as in fleet.Upstream
 	Capacity    fleet.Resources
 }
 
--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -12,13 +12,14 @@
 	ReadinessAddress string
 	PeerAddress      string
 	MetricsAddress   string
-	// SeedPeers are the peer addresses of a few instances, which may be stale.
+	// SeedPeers are the PeerAddresses of a few instances, for the first contact with peers.
+	// They may be outdated.
 	SeedPeers []string
 	// FirstStart is set when the whole system starts for the first time.
 	FirstStart bool
 
-	CPUShare float64 // fraction of a core
-	LinkRate float64 // of its network link, in bytes per second; 0 if unknown
+	CPUShare float64 // fraction of a core that the instance may use
+	LinkRate float64 // speed of the instance's network link in bytes per second; 0 if unknown
 
 	StoreAddress string
 	MinLeaseTTL  time.Duration // shortest time to live of a lease that the store accepts
@@ -28,7 +29,7 @@
 
 // InstanceEntry is the entry of an instance in the store, by which other instances find it.
 type InstanceEntry struct {
-	Address string // of the listener for peers
+	Address string // address of the listener for peers
 	Region  string
 	Zone    string
 	Share   float64 // fraction of a core, as Instance.CPUShare
@@ -37,7 +38,7 @@
 // Timing holds the time limits that the operators of an installation set.
 type Timing struct {
 	MaxTaskLease         time.Duration // longest lease that upstreams grant to a task
-	Grace                time.Duration // from SIGTERM to SIGKILL
+	Grace                time.Duration // time between SIGTERM and SIGKILL
 	MinOwnershipInterval time.Duration // within this time the ownership of an upstream must not alternate between two instances
 	// RemoteFactor is the factor by which a task takes longer if it does not run in the
 	// rack of its data.
--- a/fleet/upstream.go
+++ b/fleet/upstream.go
@@ -21,7 +21,7 @@
 // Upstream describes one incarnation of a process that runs tasks.
 type Upstream struct {
 	ID            string
-	StartedUnixMs int64 // as in UpstreamIncarnation
+	StartedUnixMs int64 // start time, as in UpstreamIncarnation
 	Service       string
 	Address       string // host:port
 	Zone          string
--- a/membership/neighbours_test.go
+++ b/membership/neighbours_test.go
@@ -114,20 +114,20 @@
 // neighbour becomes Listed again.
 func TestMutuallyUnneededPeers(t *testing.T) {
 	table := NewTable(Config{SuspectMs: 100, DeadMs: 300, FarFactor: 2})
-	table.SetListed([]Listing{{Instance: "near"}, {Instance: "far"}, {Instance: "parted"}, {Instance: "wanting"}})
+	table.SetListed([]Listing{{Instance: "near"}, {Instance: "far"}, {Instance: "unneeded"}, {Instance: "needing"}})
 	table.SetNeighbours(&Neighbours{Near: map[string]bool{"near": true}, Far: map[string]bool{"far": true}})
-	for _, incarnation := range []string{"near.1", "far.1", "parted.1", "wanting.1"} {
-		table.RecordHeartbeat(fate.Incarnation(incarnation), Heartbeat{Unwanted: incarnation == "parted.1"}, 0)
+	for _, incarnation := range []string{"near.1", "far.1", "unneeded.1", "needing.1"} {
+		table.RecordHeartbeat(fate.Incarnation(incarnation), Heartbeat{Unwanted: incarnation == "unneeded.1"}, 0)
 	}
 	for _, step := range []struct {
 		at   int64
 		want map[string]State
 	}{
-		{150, map[string]State{"near": Suspect, "far": Alive, "parted": Alive, "wanting": Alive}},
-		{250, map[string]State{"near": Suspect, "far": Suspect, "parted": Listed, "wanting": Suspect}},
-		{350, map[string]State{"near": Dead, "far": Suspect, "parted": Listed, "wanting": Suspect}},
-		{650, map[string]State{"near": Dead, "far": Dead, "parted": Listed, "wanting": Dead}},
-		{relistDeadMs, map[string]State{"near": Dead, "far": Dead, "parted": Listed, "wanting": Listed}},
+		{150, map[string]State{"near": Suspect, "far": Alive, "unneeded": Alive, "needing": Alive}},
+		{250, map[string]State{"near": Suspect, "far": Suspect, "unneeded": Listed, "needing": Suspect}},
+		{350, map[string]State{"near": Dead, "far": Suspect, "unneeded": Listed, "needing": Suspect}},
+		{650, map[string]State{"near": Dead, "far": Dead, "unneeded": Listed, "needing": Dead}},
+		{relistDeadMs, map[string]State{"near": Dead, "far": Dead, "unneeded": Listed, "needing": Listed}},
 	} {
 		table.Tick(step.at)
 		for name, want := range step.want {
--- a/membership/table.go
+++ b/membership/table.go
@@ -41,7 +41,7 @@
 // itself.
 type Listing struct {
 	Instance string
-	Address  string // of its listener for peers
+	Address  string // address of its listener for peers
 	Region   string
 	Zone     string
 	Rack     string
