--- a/directory/incarnations_test.go
+++ b/directory/incarnations_test.go
@@ -14,7 +14,7 @@
 func TestIncarnations(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New()
-	entry := func(started, sequence int64, draining bool) []Entry {
+	entries := func(started, sequence int64, draining bool) []Entry {
 		return []Entry{{ID: "u", Upstream: fleet.Upstream{ID: "u", Service: "s", Zone: "a", StartedUnixMs: started, Sequence: sequence, Draining: draining}}}
 	}
 	markDraining := func(started int64) {
@@ -25,19 +25,19 @@
 		do        func()
 		startable bool
 	}{
-		{"the upstream is listed", func() { d.Replace(now, entry(5, 7, false)) }, true},
-		{"it is draining", func() { d.Update(now, entry(5, 8, true)) }, false},
-		{"an older write takes effect late", func() { d.Update(now, entry(5, 7, false)) }, false},
-		{"it restarts, and its sequence numbers start over", func() { d.Update(now, entry(9, 1, false)) }, true},
-		{"a write of the previous incarnation takes effect late", func() { d.Update(now, entry(5, 9, true)) }, true},
-		{"the list is read again", func() { d.Replace(now, entry(9, 1, false)) }, true},
+		{"the upstream is listed", func() { d.Replace(now, entries(5, 7, false)) }, true},
+		{"it is draining", func() { d.Update(now, entries(5, 8, true)) }, false},
+		{"an older write takes effect late", func() { d.Update(now, entries(5, 7, false)) }, false},
+		{"it restarts, and its sequence numbers start over", func() { d.Update(now, entries(9, 1, false)) }, true},
+		{"a write of the previous incarnation takes effect late", func() { d.Update(now, entries(5, 9, true)) }, true},
+		{"the list is read again", func() { d.Replace(now, entries(9, 1, false)) }, true},
 		{"a peer reports that the previous incarnation is draining", func() { markDraining(5) }, true},
 		{"a peer reports that the next incarnation is draining", func() { markDraining(12) }, true},
-		{"the next incarnation is listed", func() { d.Update(now, entry(12, 3, false)) }, false},
-		{"a later incarnation is listed", func() { d.Replace(now, entry(15, 1, false)) }, true},
+		{"the next incarnation is listed", func() { d.Update(now, entries(12, 3, false)) }, false},
+		{"a later incarnation is listed", func() { d.Replace(now, entries(15, 1, false)) }, true},
 		{"its entry is removed and written again", func() {
 			d.Update(now, []Entry{{ID: "u", Deleted: true}})
-			d.Update(now, entry(15, 2, false))
+			d.Update(now, entries(15, 2, false))
 		}, true},
 	} {
 		step.do()
