--- a/client/client.go
+++ b/client/client.go
@@ -261,7 +261,7 @@
 // may be sent again under a new key, also where it is not repeatable.
 func HomeEnded(a *api.Answer) bool {
 	switch a.Reason {
-	case fate.ReasonNeverReached, fate.ReasonWitnessLost, fate.ReasonStopping, fate.ReasonHomeLost:
+	case fate.ReasonNeverReachedWitness, fate.ReasonWitnessLost, fate.ReasonStopping, fate.ReasonHomeLost:
 		return a.Fate == fate.NotRun
 	default:
 		return false
--- a/dispatch/appender.go
+++ b/dispatch/appender.go
@@ -127,7 +127,7 @@
 	}
 	a.mu.Lock()
 	retry := !a.retryAt.IsZero() && !now.Before(a.retryAt)
-	lazy := now.Sub(a.lazyAt) >= a.l.d.cfg.LazyAppend
+	lazy := now.Sub(a.lazyAt) >= a.l.d.cfg.ResultAppendDelay
 	if lazy {
 		a.lazyAt = now
 	}
--- a/dispatch/brokers.go
+++ b/dispatch/brokers.go
@@ -228,7 +228,7 @@
 			RunMs: float64(u.GetRunUs()) / 1000, Failed: int(u.GetFailed()), HoldMs: int64(u.GetHoldMs()), Leaving: u.GetLeaving(),
 		})
 		if u.GetLeaving() {
-			b.d.UpstreamLeaving(u.GetUpstream())
+			b.d.MarkUpstreamLeaving(u.GetUpstream())
 		}
 	}
 	p := b.pool(m.GetPool())
@@ -246,7 +246,7 @@
 		return
 	}
 	p.gathering = true
-	time.AfterFunc(b.d.cfg.Gather, func() {
+	time.AfterFunc(b.d.cfg.GrantDelay, func() {
 		b.run(p, func(k *placement.Broker) []placement.Grant {
 			p.gathering = false
 			return k.Tick(nowMs())
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -35,65 +35,65 @@
 	Zone   string
 	Rack   string
 	Shards int // logs that take sessions side by side, per scope
-	// Keep bounds the answers that are kept, per log.
-	Keep fate.Retention
-	// LogLife is how long a log takes sessions before the next one does.
-	LogLife time.Duration
-	// Lease is how long an upstream may run a task without a renewal.
-	Lease time.Duration
-	// LostAfter is how long an upstream may be silent about a lease before its
+	// Retention bounds the answers that are kept, per log.
+	Retention fate.Retention
+	// RotateLogsAfter is how long a log takes sessions before the next one does.
+	RotateLogsAfter time.Duration
+	// LeaseDuration is how long an upstream may run a task without a renewal.
+	LeaseDuration time.Duration
+	// UpstreamLostAfter is how long an upstream may be silent about a lease before its
 	// task's outcome is unknown.
-	LostAfter time.Duration
+	UpstreamLostAfter time.Duration
 	// WitnessTimeout is how long a witness, or a home asked by its witness, may
 	// be silent before it is taken for lost.
 	WitnessTimeout time.Duration
-	// LazyAppend is how long results may wait for the next append.
-	LazyAppend time.Duration
+	// ResultAppendDelay is how long results may wait for the next append.
+	ResultAppendDelay time.Duration
 	// ReleaseDelay is how long free places may wait for company on their way
 	// back to a broker where nobody waits for them.
 	ReleaseDelay time.Duration
-	// Gather is how long places that came back wait for others before they are
+	// GrantDelay is how long places that came back wait for others before they are
 	// granted together.
-	Gather       time.Duration
+	GrantDelay   time.Duration
 	Broker       placement.BrokerConfig
-	Placing      Placing
+	Placement    PlacementMode
 	DialUpstream upstream.Dial
 	Metrics      *metrics.Set
 	Tracer       *tracing.Tracer
 	Log          *slog.Logger
 }
 
-// Placing is how entries share upstreams. All but PlacingBroker are there to be
+// PlacementMode is how entries share upstreams. All but PlacementBroker are there to be
 // compared with.
-type Placing string
+type PlacementMode string
 
 // The ways to share upstreams.
 const (
-	// PlacingBroker has one broker for each pool, that knows its slots exactly.
-	PlacingBroker Placing = "broker"
-	// PlacingStatic gives each entry upstreams of its own.
-	PlacingStatic Placing = "static"
-	// PlacingGuess has each entry place on all upstreams as if it were alone.
-	PlacingGuess Placing = "guess"
-	// PlacingProbe asks two upstreams drawn at random for each task, and takes
+	// PlacementBroker has one broker for each pool, that knows its slots exactly.
+	PlacementBroker PlacementMode = "broker"
+	// PlacementStatic gives each entry upstreams of its own.
+	PlacementStatic PlacementMode = "static"
+	// PlacementGuess has each entry place on all upstreams as if it were alone.
+	PlacementGuess PlacementMode = "guess"
+	// PlacementProbe asks two upstreams drawn at random for each task, and takes
 	// the first that is free.
-	PlacingProbe Placing = "probe"
+	PlacementProbe PlacementMode = "probe"
 )
 
 // Defaults of Config.
 const (
-	DefaultShards         = 4
-	DefaultLogLife        = 10 * time.Minute
-	DefaultLease          = 10 * time.Second
-	DefaultLostAfter      = 5 * time.Second
-	DefaultWitnessTimeout = 1500 * time.Millisecond
-	DefaultLazyAppend     = 300 * time.Millisecond
-	DefaultReleaseDelay   = 40 * time.Millisecond
-	DefaultGather         = 3 * time.Millisecond
+	DefaultShards            = 4
+	DefaultRotateLogsAfter   = 10 * time.Minute
+	DefaultLeaseDuration     = 10 * time.Second
+	DefaultUpstreamLostAfter = 5 * time.Second
+	DefaultWitnessTimeout    = 1500 * time.Millisecond
+	DefaultResultAppendDelay = 300 * time.Millisecond
+	DefaultReleaseDelay      = 40 * time.Millisecond
+	DefaultGrantDelay        = 3 * time.Millisecond
 )
 
-// DefaultKeep is the retention of one log.
-var DefaultKeep = fate.Retention{Bytes: 8 << 20, Count: 20000, AgeMs: (10 * time.Minute).Milliseconds()}
+// DefaultRetention is the retention of one log.
+var DefaultRetention = fate.Retention{MaxBytes: 8 << 20, MaxCount: 20000, MaxAgeMs: (10 * time.Minute).Milliseconds()}
 
 func (c *Config) fill() {
 	or := func(d *time.Duration, v time.Duration) {
@@ -101,21 +101,21 @@
 			*d = v
 		}
 	}
-	or(&c.LogLife, DefaultLogLife)
-	or(&c.Lease, DefaultLease)
-	or(&c.LostAfter, DefaultLostAfter)
+	or(&c.RotateLogsAfter, DefaultRotateLogsAfter)
+	or(&c.LeaseDuration, DefaultLeaseDuration)
+	or(&c.UpstreamLostAfter, DefaultUpstreamLostAfter)
 	or(&c.WitnessTimeout, DefaultWitnessTimeout)
-	or(&c.LazyAppend, DefaultLazyAppend)
+	or(&c.ResultAppendDelay, DefaultResultAppendDelay)
 	or(&c.ReleaseDelay, DefaultReleaseDelay)
-	or(&c.Gather, DefaultGather)
-	if c.Placing == "" {
-		c.Placing = PlacingBroker
+	or(&c.GrantDelay, DefaultGrantDelay)
+	if c.Placement == "" {
+		c.Placement = PlacementBroker
 	}
 	if c.Shards == 0 {
 		c.Shards = DefaultShards
 	}
-	if c.Keep == (fate.Retention{}) {
-		c.Keep = DefaultKeep
+	if c.Retention == (fate.Retention{}) {
+		c.Retention = DefaultRetention
 	}
 	if c.Broker == (placement.BrokerConfig{}) {
 		c.Broker = placement.DefaultBroker
@@ -130,20 +130,20 @@
 
 // Tuning is what operators may change while an instance runs.
 type Tuning struct {
-	Keep         fate.Retention
+	Retention    fate.Retention
 	MaxQueued    int
 	ReleaseDelay time.Duration
 	// Shares are the parts of services in the fleet.
 	Shares map[string]placement.Share
 }
 
-// Tuned returns the tuning that the instance was configured with.
-func (d *Dispatcher) Tuned() Tuning {
-	return Tuning{Keep: d.cfg.Keep, MaxQueued: d.cfg.Broker.MaxQueued, ReleaseDelay: d.cfg.ReleaseDelay}
+// ConfiguredTuning returns the tuning that the instance was configured with.
+func (d *Dispatcher) ConfiguredTuning() Tuning {
+	return Tuning{Retention: d.cfg.Retention, MaxQueued: d.cfg.Broker.MaxQueued, ReleaseDelay: d.cfg.ReleaseDelay}
 }
 
-// Tune puts t in force.
-func (d *Dispatcher) Tune(t Tuning) {
+// SetTuning puts t in force.
+func (d *Dispatcher) SetTuning(t Tuning) {
 	d.tuning.Store(&t)
 	d.brokers.rebind(d.view.Load())
 }
@@ -172,8 +172,8 @@
 	cfg.fill()
 	d := &Dispatcher{cfg: cfg, peers: peers}
 	d.stop, d.cancel = context.WithCancel(context.Background())
-	d.view.Store(&View{Others: -1})
-	tuned := d.Tuned()
+	d.view.Store(&View{OtherInstances: -1})
+	tuned := d.ConfiguredTuning()
 	d.tuning.Store(&tuned)
 	d.upstreams.init(d)
 	d.homes.init(d)
@@ -217,9 +217,9 @@
 	d.running.Wait()
 }
 
-// Active returns the number of submissions that this instance is home to and
+// ActiveJobs returns the number of submissions that this instance is home to and
 // that have no fate yet.
-func (d *Dispatcher) Active() int { return d.homes.active() }
+func (d *Dispatcher) ActiveJobs() int { return d.homes.active() }
 
 // Load returns the free slots and the queued tasks of the pools that this
 // instance brokers.
--- a/dispatch/frames.go
+++ b/dispatch/frames.go
@@ -8,10 +8,10 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// Frame takes a frame of another instance, as inner.Handler. It reports false
+// HandleFrame takes a frame of another instance, as inner.Handler. It reports false
 // for a frame that is not the dispatcher's. Appends and slots are taken in
 // order; what waits runs on a goroutine of its own.
-func (d *Dispatcher) Frame(from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) bool {
+func (d *Dispatcher) HandleFrame(from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) bool {
 	switch body := f.GetBody().(type) {
 	case *inner.Frame_Append:
 		d.takeAppend(f, body.Append, reply)
@@ -52,7 +52,7 @@
 // serveSubmit answers a call that another instance passed on. Only this
 // instance's own state answers it, so that no call goes round in circles.
 func (d *Dispatcher) serveSubmit(m *inner.Submit, reply func(*inner.Frame)) {
-	c := Call{
+	c := Request{
 		Key: inner.ToKey(m.GetKey()), Job: inner.ToJob(m.GetJob()), Attempt: m.GetAttempt(),
 		Wait: min(time.Duration(m.GetWaitMs())*time.Millisecond, maxWait), Trace: m.GetTrace(),
 	}
@@ -67,7 +67,7 @@
 	reply(&inner.Frame{Body: &inner.Frame_Answer{Answer: fromResult(&r)}})
 }
 
-func (d *Dispatcher) answer(c Call, asWitness bool) (Result, error) {
+func (d *Dispatcher) answer(c Request, asWitness bool) (Result, error) {
 	log, err := c.Key.Session.Log()
 	if err != nil {
 		return Result{}, err
--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -45,7 +45,7 @@
 func newHomeLog(d *Dispatcher, id fate.LogID) *homeLog {
 	l := &homeLog{
 		d: d, id: id, opened: time.Now(),
-		home: fate.NewHome(id, d.tuning.Load().Keep), runs: map[fate.Key]*run{},
+		home: fate.NewHome(id, d.tuning.Load().Retention), runs: map[fate.Key]*run{},
 	}
 	l.home.Tick(nowMs())
 	l.append.l = l
@@ -60,7 +60,7 @@
 
 // closed reports whether the log gives out no more sessions.
 func (l *homeLog) closed() bool {
-	if time.Since(l.opened) > l.d.cfg.LogLife {
+	if time.Since(l.opened) > l.d.cfg.RotateLogsAfter {
 		return true
 	}
 	l.mu.Lock()
@@ -72,17 +72,17 @@
 	l.append.tick(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.home.Keep(l.d.tuning.Load().Keep)
+	l.home.Keep(l.d.tuning.Load().Retention)
 	l.home.Tick(millis(now))
-	if now.Sub(l.opened) > 2*l.d.cfg.LogLife && l != l.d.homes.heir {
+	if now.Sub(l.opened) > 2*l.d.cfg.RotateLogsAfter && l != l.d.homes.heir {
 		l.home.Close()
 	}
 }
 
 // expired reports whether nothing of the log is needed any more.
 func (l *homeLog) expired(now time.Time) bool {
-	keep := time.Duration(l.d.tuning.Load().Keep.AgeMs) * time.Millisecond
-	if now.Sub(l.opened) < 2*l.d.cfg.LogLife+keep {
+	keep := time.Duration(l.d.tuning.Load().Retention.MaxAgeMs) * time.Millisecond
+	if now.Sub(l.opened) < 2*l.d.cfg.RotateLogsAfter+keep {
 		return false
 	}
 	return l.active() == 0
@@ -342,7 +342,7 @@
 	switch {
 	case !again:
 	case lease.Attempt >= maxAttempts:
-		l.giveUp(lease.Key, fate.ReasonOverloaded, uint32(l.d.cfg.LostAfter.Milliseconds()))
+		l.giveUp(lease.Key, fate.ReasonOverloaded, uint32(l.d.cfg.UpstreamLostAfter.Milliseconds()))
 	default:
 		l.seekTask(lease.Key, lease.Task)
 	}
--- a/dispatch/homes.go
+++ b/dispatch/homes.go
@@ -54,7 +54,7 @@
 	l := d.homes.current(lane{scope, d.homes.turn.Add(1) % uint64(d.cfg.Shards)})
 	d.cfg.Metrics.Add("sessions", 1)
 	id := uuid.New()
-	return fate.NewSession(l.id, caller, uuidText(id)), time.Until(l.opened.Add(d.cfg.LogLife)), nil
+	return fate.NewSession(l.id, caller, uuidText(id)), time.Until(l.opened.Add(d.cfg.RotateLogsAfter)), nil
 }
 
 func uuidText(id uuid.UUID) string { return id.String()[:18] }
@@ -122,7 +122,7 @@
 	until := time.Now().Add(h.d.cfg.WitnessTimeout)
 	for {
 		v := h.d.view.Load()
-		if scope == placement.ScopeNone || len(v.Members) > 1 || v.Others == 0 || time.Now().After(until) {
+		if scope == placement.ScopeNone || len(v.Members) > 1 || v.OtherInstances == 0 || time.Now().After(until) {
 			return v
 		}
 		select {
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// Held returns how many places are in use by this instance's jobs.
-func (d *Dispatcher) Held() int {
+// HeldSlots returns how many places are in use by this instance's jobs.
+func (d *Dispatcher) HeldSlots() int {
 	d.slots.mu.Lock()
 	defer d.slots.mu.Unlock()
 	held := 0
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -40,7 +40,7 @@
 	view := s.d.view.Load()
 	s.mu.Lock()
 	var parts []*ticket
-	if s.d.cfg.Placing == PlacingProbe {
+	if s.d.cfg.Placement == PlacementProbe {
 		parts = s.probes(view, t)
 	} else {
 		parts = s.parts(view, t)
@@ -141,7 +141,7 @@
 	var pools []*poolView
 	for _, id := range v.order {
 		p := v.pools[id]
-		static := s.d.cfg.Placing == PlacingStatic && p.broker != s.d.cfg.Self
+		static := s.d.cfg.Placement == PlacementStatic && p.broker != s.d.cfg.Self
 		if p.broker != "" && !static && !t.tried[id] && placement.CanEver(p.Upstreams, t.needs) {
 			pools = append(pools, p)
 		}
@@ -206,8 +206,8 @@
 	s.spread(&again)
 }
 
-// SetLoad takes what a broker last said of its pools.
-func (d *Dispatcher) SetLoad(broker fate.Incarnation, free, queued int) {
+// SetBrokerLoad takes what a broker last said of its pools.
+func (d *Dispatcher) SetBrokerLoad(broker fate.Incarnation, free, queued int) {
 	v := d.view.Load()
 	d.slots.mu.Lock()
 	defer d.slots.mu.Unlock()
--- a/dispatch/starter.go
+++ b/dispatch/starter.go
@@ -66,7 +66,7 @@
 		return upstream.Reply{State: api.LeaseRefused, Refusal: api.RefusedLeaving}, nil
 	}
 	l.d.cfg.Metrics.CountSent("start")
-	length := l.d.cfg.Lease + time.Duration(task.RunMs)*time.Millisecond
+	length := l.d.cfg.LeaseDuration + time.Duration(task.RunMs)*time.Millisecond
 	lease := o.Lease.String()
 	renewal := l.d.renewing(client, lease, length)
 	defer renewal.stop()
@@ -154,7 +154,7 @@
 		l.finish(o.Lease, outcome)
 		return
 	case api.RefusedLeaving:
-		l.d.UpstreamLeaving(o.Upstream)
+		l.d.MarkUpstreamLeaving(o.Upstream)
 		u.Leaving = true
 	default:
 		u.HoldMs = holdBusy.Milliseconds()
@@ -205,7 +205,7 @@
 }
 
 // inquire asks an upstream after a lease until that is over, barred, no longer
-// wanted, or the upstream was silent for LostAfter. A lease that was never
+// wanted, or the upstream was silent for UpstreamLostAfter. A lease that was never
 // seen is barred first, so that a late start cannot follow the answer.
 func (d *Dispatcher) inquire(lease, upstreamID string, wanted func() bool) inquiry {
 	pause := backoff.NewExponentialBackOff()
@@ -222,7 +222,7 @@
 			}
 			continue
 		}
-		if time.Since(heard) > d.cfg.LostAfter {
+		if time.Since(heard) > d.cfg.UpstreamLostAfter {
 			return inquiry{verdict: leaseSilent}
 		}
 		select {
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -15,9 +15,9 @@
 // forwardGrace is added to the wait of a forwarded call for its way back.
 const forwardGrace = 2 * time.Second
 
-// Call is a caller's submission on its way to whoever can answer it. Without a
+// Request is a caller's submission on its way to whoever can answer it. Without a
 // Job it only asks.
-type Call struct {
+type Request struct {
 	Key     fate.Key
 	Job     *fate.Job
 	Attempt uint32
@@ -35,7 +35,7 @@
 // Submit brings a call to its home, or to the witness where the home is lost,
 // and returns the answer. Errors are typed refusals, and mean that this call
 // started nothing.
-func (d *Dispatcher) Submit(ctx context.Context, c Call) (Result, error) {
+func (d *Dispatcher) Submit(ctx context.Context, c Request) (Result, error) {
 	log, err := c.Key.Session.Log()
 	if err != nil {
 		return Result{}, err
@@ -59,7 +59,7 @@
 	return failure.Is(err, failure.Unreachable) || failure.Is(err, failure.Lost) || failure.Is(err, failure.Gone) || failure.Is(err, failure.Timeout)
 }
 
-func (d *Dispatcher) atHome(ctx context.Context, log fate.LogID, c Call) (Result, error) {
+func (d *Dispatcher) atHome(ctx context.Context, log fate.LogID, c Request) (Result, error) {
 	l := d.homes.get(log)
 	if l == nil {
 		return unknown(c.Key, fate.ReasonNoLongerKept), nil
@@ -76,7 +76,7 @@
 }
 
 // await waits for the answer of a submission that this log runs.
-func (l *homeLog) await(ctx context.Context, c Call, answer fate.Answer, wait chan told) Result {
+func (l *homeLog) await(ctx context.Context, c Request, answer fate.Answer, wait chan told) Result {
 	if wait == nil {
 		return Result{Answer: answer}
 	}
@@ -94,7 +94,7 @@
 }
 
 // forward passes a call on to its home, or to its witness.
-func (d *Dispatcher) forward(ctx context.Context, to fate.Incarnation, c Call, asWitness bool) (Result, error) {
+func (d *Dispatcher) forward(ctx context.Context, to fate.Incarnation, c Request, asWitness bool) (Result, error) {
 	span := d.cfg.Tracer.Start(c.Trace, "forward")
 	defer span.End()
 	ctx, cancel := context.WithTimeout(ctx, c.Wait+forwardGrace)
@@ -120,7 +120,7 @@
 }
 
 // atWitness asks the witness of a log whose home cannot be reached.
-func (d *Dispatcher) atWitness(ctx context.Context, log fate.LogID, c Call) (Result, error) {
+func (d *Dispatcher) atWitness(ctx context.Context, log fate.LogID, c Request) (Result, error) {
 	if log.Witness == "" {
 		return unknown(c.Key, fate.ReasonHomeLost), nil
 	}
@@ -129,16 +129,16 @@
 	}
 	r, err := d.forward(ctx, log.Witness, c, true)
 	if unreached(err) {
-		return unknown(c.Key, fate.ReasonHomeAndRecord), nil
+		return unknown(c.Key, fate.ReasonHomeAndWitnessLost), nil
 	}
 	return r, err
 }
 
 // asWitness answers a call as the witness of its log.
-func (d *Dispatcher) asWitness(ctx context.Context, log fate.LogID, c Call) (Result, error) {
+func (d *Dispatcher) asWitness(ctx context.Context, log fate.LogID, c Request) (Result, error) {
 	l := d.witnesses.get(log)
 	if l == nil {
-		return unknown(c.Key, fate.ReasonHomeAndRecord), nil
+		return unknown(c.Key, fate.ReasonHomeAndWitnessLost), nil
 	}
 	if answer, found := l.recall(c.Key); found {
 		return Result{Answer: answer}, nil
@@ -163,7 +163,7 @@
 
 // askHome passes a call on to a home that its sender could not reach. It
 // reports false once the home was silent for WitnessTimeout.
-func (d *Dispatcher) askHome(ctx context.Context, home fate.Incarnation, c Call) (Result, error, bool) {
+func (d *Dispatcher) askHome(ctx context.Context, home fate.Incarnation, c Request) (Result, error, bool) {
 	began := time.Now()
 	for time.Since(began) < d.cfg.WitnessTimeout && ctx.Err() == nil {
 		r, err := d.forward(ctx, home, c, false)
@@ -187,7 +187,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	query := Call{Key: key, Wait: forwardGrace}
+	query := Request{Key: key, Wait: forwardGrace}
 	if log.Home == d.cfg.Self {
 		if l := d.homes.get(log); l != nil {
 			l.giveUp(key, fate.ReasonCancelled, 0)
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -34,12 +34,12 @@
 type View struct {
 	Members   []Member // this instance among them, unless it is leaving
 	Upstreams []UpstreamSpec
-	// Others is how many other entries the platform lists; -1 is not known yet.
-	Others int
-	// Staffed holds the zones that have entries of their own, alive or not. The
+	// OtherInstances is how many other entries the platform lists; -1 is not known yet.
+	OtherInstances int
+	// ZonesWithInstances holds the zones that have entries of their own, alive or not. The
 	// upstreams of such a zone are not used while none of its entries is heard:
 	// the zone is cut off.
-	Staffed map[string]bool
+	ZonesWithInstances map[string]bool
 
 	entries []placement.Entry
 	pools   map[string]*poolView
@@ -56,7 +56,7 @@
 	slots  int
 }
 
-func (v *View) index(placing Placing, self string) {
+func (v *View) index(placing PlacementMode, self string) {
 	incarnations := map[string]fate.Incarnation{}
 	for _, m := range v.Members {
 		v.entries = append(v.entries, m.Entry)
@@ -69,7 +69,7 @@
 			usable = append(usable, u.Upstream)
 		}
 	}
-	for zone := range v.Staffed {
+	for zone := range v.ZonesWithInstances {
 		if v.cutOff(zone) {
 			v.avoid = append(v.avoid, zone)
 		}
@@ -94,14 +94,14 @@
 }
 
 // poolsOf groups upstreams and chooses brokers.
-func poolsOf(placing Placing, upstreams []placement.Upstream, entries []placement.Entry, self string) []brokered {
-	if placing == PlacingStatic || placing == PlacingProbe {
+func poolsOf(placing PlacementMode, upstreams []placement.Upstream, entries []placement.Entry, self string) []brokered {
+	if placing == PlacementStatic || placing == PlacementProbe {
 		return singles(placing, upstreams, entries)
 	}
 	var list []brokered
 	for _, p := range placement.Pools(upstreams) {
 		b := brokered{p, placement.BrokerOf(&p, entries)}
-		if placing == PlacingGuess {
+		if placing == PlacementGuess {
 			b.broker = self
 		}
 		list = append(list, b)
@@ -111,14 +111,14 @@
 
 // singles makes each upstream a pool of its own, or, with static shares, part
 // of the pool of one entry.
-func singles(placing Placing, upstreams []placement.Upstream, entries []placement.Entry) []brokered {
+func singles(placing PlacementMode, upstreams []placement.Upstream, entries []placement.Entry) []brokered {
 	owners := slices.SortedFunc(slices.Values(entries), func(a, b placement.Entry) int { return cmp.Compare(a.Instance, b.Instance) })
 	sorted := slices.SortedFunc(slices.Values(upstreams), func(a, b placement.Upstream) int { return cmp.Compare(a.ID, b.ID) })
 	byID := map[string]*brokered{}
 	for i, u := range sorted {
 		one := placement.Pool{ID: "single/" + u.ID, Region: u.Region, Zone: u.Zone}
 		b := brokered{one, placement.BrokerOf(&one, entries)}
-		if placing == PlacingStatic && len(owners) > 0 {
+		if placing == PlacementStatic && len(owners) > 0 {
 			b.broker = owners[i%len(owners)].Instance
 			b.Pool = placement.Pool{ID: "static/" + b.broker, Region: u.Region}
 		}
@@ -132,7 +132,7 @@
 
 // cutOff reports whether a zone has entries but none of them is heard.
 func (v *View) cutOff(zone string) bool {
-	return v.Staffed[zone] && !slices.ContainsFunc(v.entries, func(e placement.Entry) bool { return e.Zone == zone })
+	return v.ZonesWithInstances[zone] && !slices.ContainsFunc(v.entries, func(e placement.Entry) bool { return e.Zone == zone })
 }
 
 // brokers reports whether an incarnation is the broker of a pool.
@@ -151,7 +151,7 @@
 
 // SetView takes what is now known of the fleet.
 func (d *Dispatcher) SetView(v View) {
-	v.index(d.cfg.Placing, d.cfg.Self.Instance())
+	v.index(d.cfg.Placement, d.cfg.Self.Instance())
 	before := d.view.Swap(&v)
 	d.upstreams.set(v.Upstreams)
 	d.brokers.rebind(&v)
@@ -159,9 +159,9 @@
 	d.homes.retireLogs(&v)
 }
 
-// UpstreamLeaving makes an upstream get no new tasks from now on, ahead of the
+// MarkUpstreamLeaving makes an upstream get no new tasks from now on, ahead of the
 // next view.
-func (d *Dispatcher) UpstreamLeaving(id string) {
+func (d *Dispatcher) MarkUpstreamLeaving(id string) {
 	if d.upstreams.markLeaving(id) {
 		event.UpstreamLeaving.Log(d.cfg.Log, slog.String("upstream", id))
 		d.brokers.rebind(d.view.Load())
@@ -235,8 +235,8 @@
 	}
 }
 
-// Known returns how many entries, this one included, and upstreams are known.
-func (d *Dispatcher) Known() (members, upstreams int) {
+// FleetSize returns how many entries, this one included, and upstreams are known.
+func (d *Dispatcher) FleetSize() (members, upstreams int) {
 	v := d.view.Load()
 	return len(v.Members), len(v.Upstreams)
 }
--- a/dispatch/witnesses.go
+++ b/dispatch/witnesses.go
@@ -47,7 +47,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.logs[id] == nil {
-		l := &witnessLog{witness: fate.NewWitness(id, w.d.tuning.Load().Keep), heard: time.Now()}
+		l := &witnessLog{witness: fate.NewWitness(id, w.d.tuning.Load().Retention), heard: time.Now()}
 		l.witness.Tick(nowMs())
 		w.logs[id] = l
 	}
@@ -70,8 +70,8 @@
 
 // tick lets go of old answers, and of logs that nobody can need.
 func (w *witnesses) tick(now time.Time) {
-	keep := w.d.tuning.Load().Keep
-	idle := 4*w.d.cfg.LogLife + time.Duration(keep.AgeMs)*time.Millisecond
+	keep := w.d.tuning.Load().Retention
+	idle := 4*w.d.cfg.RotateLogsAfter + time.Duration(keep.MaxAgeMs)*time.Millisecond
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, l := range w.logs {
@@ -85,9 +85,9 @@
 	}
 }
 
-// PeerLost takes the news that an incarnation is lost: every log of it that is
+// HandlePeerLost takes the news that an incarnation is lost: every log of it that is
 // witnessed here is sealed, and its jobs go on here.
-func (d *Dispatcher) PeerLost(home fate.Incarnation) {
+func (d *Dispatcher) HandlePeerLost(home fate.Incarnation) {
 	d.brokers.homeGone(home)
 	for _, l := range d.witnesses.of(home) {
 		d.takeOver(l)
@@ -203,9 +203,9 @@
 	return fate.Answer{}, false
 }
 
-// Witnessed returns the number of submissions of other homes that still need
+// WitnessedJobs returns the number of submissions of other homes that still need
 // this instance as their witness.
-func (d *Dispatcher) Witnessed() int {
+func (d *Dispatcher) WitnessedJobs() int {
 	d.witnesses.mu.RLock()
 	defer d.witnesses.mu.RUnlock()
 	n := 0
--- a/entry/config.go
+++ b/entry/config.go
@@ -128,8 +128,8 @@
 	{"peers", "suspect_ms", "1600", false, "40 to 60000", millisInto(func(c *Config) *int64 { return &c.Membership.SuspectMs }, 40, 60000)},
 	{"peers", "dead_ms", "3000", false, "60 to 120000", millisInto(func(c *Config) *int64 { return &c.Membership.DeadMs }, 60, 120000)},
 	{"witness", "timeout_ms", "1500", false, "20 to 60000", duration(func(c *Config) *time.Duration { return &c.Dispatch.WitnessTimeout }, 20, 60000)},
-	{"upstreams", "lease_ms", "10000", false, "100 to 600000", duration(func(c *Config) *time.Duration { return &c.Dispatch.Lease }, 100, 600000)},
-	{"upstreams", "lost_after_ms", "5000", false, "100 to 600000", duration(func(c *Config) *time.Duration { return &c.Dispatch.LostAfter }, 100, 600000)},
+	{"upstreams", "lease_ms", "10000", false, "100 to 600000", duration(func(c *Config) *time.Duration { return &c.Dispatch.LeaseDuration }, 100, 600000)},
+	{"upstreams", "lost_after_ms", "5000", false, "100 to 600000", duration(func(c *Config) *time.Duration { return &c.Dispatch.UpstreamLostAfter }, 100, 600000)},
 }
 
 // LoadConfig reads and checks a file in full. Every problem is in the error
--- a/entry/http.go
+++ b/entry/http.go
@@ -140,7 +140,7 @@
 	if s.WaitMs != nil {
 		wait = min(wait, time.Duration(*s.WaitMs)*time.Millisecond)
 	}
-	r, err := n.dispatch.Submit(n.stop, dispatch.Call{
+	r, err := n.dispatch.Submit(n.stop, dispatch.Request{
 		Key: s.Key(), Job: job, Attempt: s.Attempt, Wait: wait, Trace: span.Traceparent(),
 	})
 	if err != nil {
@@ -206,7 +206,7 @@
 		return failure.Field(failure.InvalidInput, "wait_ms", "is a number from 0 to %d", api.MaxDeadlineMs)
 	}
 	n.metrics.CountSent("poll")
-	r, err := n.dispatch.Submit(n.stop, dispatch.Call{Key: key, Wait: time.Duration(wait) * time.Millisecond})
+	r, err := n.dispatch.Submit(n.stop, dispatch.Request{Key: key, Wait: time.Duration(wait) * time.Millisecond})
 	if err != nil {
 		return err
 	}
@@ -232,7 +232,7 @@
 	free, queued := n.dispatch.Load()
 	list := []api.InstanceStatus{{
 		Instance: n.cfg.Instance, Incarnation: string(n.self), Zone: n.cfg.Zone, Role: api.RoleEntry,
-		State: n.state(), ActiveJobs: uint64(n.dispatch.Active()), Revision: n.Revision(),
+		State: n.state(), ActiveJobs: uint64(n.dispatch.ActiveJobs()), Revision: n.Revision(),
 		FreeSlots: uint64(free), QueuedTasks: uint64(queued),
 	}}
 	for _, p := range n.Peers() {
@@ -255,7 +255,7 @@
 func (n *Node) getStatus(c *fiber.Ctx) error {
 	return c.JSON(api.Status{
 		Instance: n.cfg.Instance, Incarnation: string(n.self), Fleet: n.cfg.Fleet, Zone: n.cfg.Zone,
-		Leaving: n.leaving.Load(), ActiveJobs: n.dispatch.Active(), Messages: metrics.Values(n.metrics.Messages),
+		Leaving: n.leaving.Load(), ActiveJobs: n.dispatch.ActiveJobs(), Messages: metrics.Values(n.metrics.Messages),
 	})
 }
 
--- a/entry/node.go
+++ b/entry/node.go
@@ -198,7 +198,7 @@
 // flight ends, then the instance does. It reports false when its grace, or
 // ctx, ended first.
 func (n *Node) Stop(ctx context.Context) bool {
-	event.Draining.Log(n.log, slog.Int("jobs", n.dispatch.Active()))
+	event.Draining.Log(n.log, slog.Int("jobs", n.dispatch.ActiveJobs()))
 	n.leaving.Store(true)
 	n.dispatch.Drain()
 	n.updateView()
@@ -219,7 +219,7 @@
 	if drained {
 		event.Drained.Log(n.log)
 	} else {
-		event.DrainTimeout.Log(n.log, slog.Int("jobs", n.dispatch.Active()))
+		event.DrainTimeout.Log(n.log, slog.Int("jobs", n.dispatch.ActiveJobs()))
 	}
 	n.Kill()
 	return drained
@@ -237,7 +237,7 @@
 // idle reports whether nobody needs this instance any more: no caller, no job,
 // and no home that has it as witness.
 func (n *Node) idle() bool {
-	return n.inFlight.Load() == 0 && n.dispatch.Active() == 0 && n.dispatch.Witnessed() == 0
+	return n.inFlight.Load() == 0 && n.dispatch.ActiveJobs() == 0 && n.dispatch.WitnessedJobs() == 0
 }
 
 // Kill ends the instance at once, as its death would.
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -43,7 +43,7 @@
 		reply(n.known())
 		return
 	}
-	n.dispatch.Frame(from, f, reply)
+	n.dispatch.HandleFrame(from, f, reply)
 }
 
 func (n *Node) heard(from fate.Incarnation, hb *inner.Heartbeat) {
@@ -58,9 +58,9 @@
 	if load.Revision > n.Revision() || !n.settings.Load().known {
 		go n.learnSettings(from)
 	}
-	n.dispatch.SetLoad(from, int(load.FreeSlots), int(load.QueuedTasks))
+	n.dispatch.SetBrokerLoad(from, int(load.FreeSlots), int(load.QueuedTasks))
 	for _, id := range hb.GetLeavingUpstreams() {
-		n.dispatch.UpstreamLeaving(id)
+		n.dispatch.MarkUpstreamLeaving(id)
 	}
 }
 
@@ -76,7 +76,7 @@
 	for _, c := range changes {
 		if c.Peer.State == membership.Dead {
 			n.mesh.Drop(c.Peer.Instance)
-			go n.dispatch.PeerLost(c.Peer.Incarnation)
+			go n.dispatch.HandlePeerLost(c.Peer.Incarnation)
 		}
 	}
 }
@@ -117,9 +117,9 @@
 func (n *Node) view() dispatch.View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	v := dispatch.View{Staffed: map[string]bool{n.cfg.Zone: true}, Others: n.listedOthers()}
+	v := dispatch.View{ZonesWithInstances: map[string]bool{n.cfg.Zone: true}, OtherInstances: n.listedOthers()}
 	for _, p := range n.table.Peers() {
-		v.Staffed[p.Zone] = true
+		v.ZonesWithInstances[p.Zone] = true
 		if p.State == membership.Alive {
 			v.Members = append(v.Members, dispatch.Member{
 				Entry:       placement.Entry{Instance: p.Instance, Region: p.Region, Zone: p.Zone, Rack: p.Rack},
@@ -192,7 +192,7 @@
 			continue
 		}
 		f := &inner.Frame{Body: &inner.Frame_Heartbeat{Heartbeat: &inner.Heartbeat{
-			Leaving: n.leaving.Load(), ActiveJobs: uint64(n.dispatch.Active()), SettingsRevision: n.settings.Load().revision,
+			Leaving: n.leaving.Load(), ActiveJobs: uint64(n.dispatch.ActiveJobs()), SettingsRevision: n.settings.Load().revision,
 			FreeSlots: uint64(free), QueuedTasks: uint64(queued), LeavingUpstreams: leaving,
 		}}}
 		go n.beatTo(p, f)
@@ -281,7 +281,7 @@
 // Ready reports whether this instance hears members entries, itself included,
 // and knows upstreams.
 func (n *Node) Ready(members, upstreams int) bool {
-	m, u := n.dispatch.Known()
+	m, u := n.dispatch.FleetSize()
 	return m >= members && u >= upstreams
 }
 
@@ -291,7 +291,7 @@
 }
 
 // Held returns how many places at upstreams this instance's jobs hold.
-func (n *Node) Held() int { return n.dispatch.Held() }
+func (n *Node) Held() int { return n.dispatch.HeldSlots() }
 
 // InnerBytes returns the bytes that this instance has sent to others.
 func (n *Node) InnerBytes() int64 { return n.mesh.Sent() }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -170,7 +170,7 @@
 			return false
 		}
 		if n.settings.CompareAndSwap(now, next) {
-			n.dispatch.Tune(n.tuning(tree))
+			n.dispatch.SetTuning(n.tuning(tree))
 			event.SettingsApplied.Log(n.log, slog.Uint64("revision", head.Revision))
 			n.beat() // peers that are behind fetch it
 			return true
@@ -181,7 +181,7 @@
 // tuning returns what the settings say of this instance; where they say
 // nothing, its own configuration stands.
 func (n *Node) tuning(tree *settings.Tree) dispatch.Tuning {
-	t := n.dispatch.Tuned()
+	t := n.dispatch.ConfiguredTuning()
 	t.Shares = n.shares(tree)
 	path := n.path("", "")
 	given := func(key string, take func(int64)) {
@@ -189,8 +189,8 @@
 			take(tree.Int(path, key))
 		}
 	}
-	given(settings.KeyKeepSeconds, func(v int64) { t.Keep.AgeMs = v * 1000 })
-	given(settings.KeyKeepMB, func(v int64) { t.Keep.Bytes = v << 20 })
+	given(settings.KeyKeepSeconds, func(v int64) { t.Retention.MaxAgeMs = v * 1000 })
+	given(settings.KeyKeepMB, func(v int64) { t.Retention.MaxBytes = v << 20 })
 	given(settings.KeyMaxQueued, func(v int64) { t.MaxQueued = int(v) })
 	given(settings.KeyReleaseDelay, func(v int64) { t.ReleaseDelay = time.Duration(v) * time.Millisecond })
 	return t
--- a/experiment/failure_test.go
+++ b/experiment/failure_test.go
@@ -30,7 +30,7 @@
 		s.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
 	s.Membership = membership.Config{SuspectMs: 300, DeadMs: 600}
-	s.Dispatch = dispatch.Config{WitnessTimeout: 300 * time.Millisecond, LostAfter: time.Second}
+	s.Dispatch = dispatch.Config{WitnessTimeout: 300 * time.Millisecond, UpstreamLostAfter: time.Second}
 }
 
 func tasks(n int, sleep time.Duration) client.Job {
@@ -309,7 +309,7 @@
 func TestAnswerAfterTheLease(t *testing.T) {
 	c := small(t, func(s *Spec) {
 		quick(s)
-		s.Dispatch.Lease = 20 * time.Millisecond
+		s.Dispatch.LeaseDuration = 20 * time.Millisecond
 	})
 	job := tasks(4, 200*time.Millisecond)
 	for i := range job.Tasks {
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -239,8 +239,8 @@
 		Heartbeat: heartbeat, Network: network,
 		Membership: membership.Config{SuspectMs: 3 * s.Cluster.HeartbeatMs, DeadMs: 6 * s.Cluster.HeartbeatMs},
 		Dispatch: dispatch.Config{
-			Broker: broker, Placing: dispatch.Placing(s.Cluster.Placing), ReleaseDelay: time.Duration(s.Cluster.ReleaseMs) * time.Millisecond,
-			LostAfter: 2 * time.Second, WitnessTimeout: 2 * heartbeat,
+			Broker: broker, Placement: dispatch.PlacementMode(s.Cluster.Placing), ReleaseDelay: time.Duration(s.Cluster.ReleaseMs) * time.Millisecond,
+			UpstreamLostAfter: 2 * time.Second, WitnessTimeout: 2 * heartbeat,
 		},
 		Settings: "[fleet]\nwitness = " + s.Cluster.Witness + "\n" + s.quotas(),
 	}
--- a/fate/fate.go
+++ b/fate/fate.go
@@ -47,19 +47,19 @@
 
 // The reasons that this package gives.
 const (
-	ReasonNone          Reason = ""
-	ReasonTaskFailed    Reason = "task_failed"
-	ReasonTaskLost      Reason = "task_lost"
-	ReasonCancelled     Reason = "cancelled"
-	ReasonDeadline      Reason = "deadline"
-	ReasonOverloaded    Reason = "overloaded"
-	ReasonNeverFits     Reason = "never_fits"
-	ReasonStopping      Reason = "stopping"
-	ReasonNeverReached  Reason = "never_reached_witness"
-	ReasonWitnessLost   Reason = "witness_lost"
-	ReasonHomeLost      Reason = "home_lost"
-	ReasonNoLongerKept  Reason = "no_longer_kept"
-	ReasonHomeAndRecord Reason = "home_and_witness_lost"
+	ReasonNone                Reason = ""
+	ReasonTaskFailed          Reason = "task_failed"
+	ReasonTaskLost            Reason = "task_lost"
+	ReasonCancelled           Reason = "cancelled"
+	ReasonDeadline            Reason = "deadline"
+	ReasonOverloaded          Reason = "overloaded"
+	ReasonNeverFits           Reason = "never_fits"
+	ReasonStopping            Reason = "stopping"
+	ReasonNeverReachedWitness Reason = "never_reached_witness"
+	ReasonWitnessLost         Reason = "witness_lost"
+	ReasonHomeLost            Reason = "home_lost"
+	ReasonNoLongerKept        Reason = "no_longer_kept"
+	ReasonHomeAndWitnessLost  Reason = "home_and_witness_lost"
 )
 
 // Outcome is how a started task ended.
--- a/fate/home_test.go
+++ b/fate/home_test.go
@@ -7,7 +7,7 @@
 )
 
 var (
-	bound = Retention{Count: 10, Bytes: 1 << 20, AgeMs: 1000}
+	bound = Retention{MaxCount: 10, MaxBytes: 1 << 20, MaxAgeMs: 1000}
 	one   = Key{Session: "s", Sequence: 1}
 )
 
@@ -88,7 +88,7 @@
 	h.Tick(0)
 	mustSubmit(t, h, one, jobOf(1), Accepted)
 	onlyAnswer(t, h.GiveUp(one, ReasonDeadline), NotRun)
-	h.Tick(bound.AgeMs)
+	h.Tick(bound.MaxAgeMs)
 	if answer := mustSubmit(t, h, one, jobOf(1), Answered); answer.Kind != Unknown {
 		t.Errorf("told %s", answer.Kind)
 	}
--- a/fate/retention.go
+++ b/fate/retention.go
@@ -4,9 +4,9 @@
 
 // Retention bounds what is kept of submissions that have their fate.
 type Retention struct {
-	Bytes int64 // of kept answers
-	Count int
-	AgeMs int64 // milliseconds after which an answer is let go; zero is never
+	MaxBytes int64 // of kept answers
+	MaxCount int
+	MaxAgeMs int64 // milliseconds after which an answer is let go; zero is never
 }
 
 // kept remembers which submissions are over, oldest first, and which were let
@@ -44,7 +44,7 @@
 func (k *kept) tick(now int64) []Key {
 	k.now = now
 	var dropped []Key
-	for k.bound.AgeMs > 0 && k.order.Len() > 0 && k.order.Front().Value.(keptItem).at+k.bound.AgeMs <= now {
+	for k.bound.MaxAgeMs > 0 && k.order.Len() > 0 && k.order.Front().Value.(keptItem).at+k.bound.MaxAgeMs <= now {
 		dropped = append(dropped, k.dropOldest())
 	}
 	return dropped
@@ -54,7 +54,7 @@
 	if k.order.Len() <= 1 {
 		return false
 	}
-	return k.bytes > k.bound.Bytes || k.order.Len() > k.bound.Count
+	return k.bytes > k.bound.MaxBytes || k.order.Len() > k.bound.MaxCount
 }
 
 func (k *kept) dropOldest() Key {
--- a/fate/witness.go
+++ b/fate/witness.go
@@ -174,6 +174,6 @@
 	case w.kept.mayHaveGone(key):
 		return &Answer{Key: key, Kind: Unknown, Reason: ReasonNoLongerKept}, nil
 	default:
-		return &Answer{Key: key, Kind: NotRun, Reason: ReasonNeverReached}, nil
+		return &Answer{Key: key, Kind: NotRun, Reason: ReasonNeverReachedWitness}, nil
 	}
 }
--- a/fate/world_test.go
+++ b/fate/world_test.go
@@ -69,11 +69,11 @@
 var homeLogID = LogID{Home: "h.1", Witness: "w.1", Number: 1}
 
 func newWorld(c chooser, broken mutation) *world {
-	bound := Retention{Count: 1 + c.below(3), Bytes: 1 << 20}
+	bound := Retention{MaxCount: 1 + c.below(3), MaxBytes: 1 << 20}
 	return &world{
 		choose: c, broken: broken, homeUp: true, witUp: true,
 		home: NewHome(homeLogID, bound), witness: NewWitness(homeLogID, bound),
-		heir:   NewHome(LogID{Home: "w.1"}, Retention{Count: 100, Bytes: 1 << 20}),
+		heir:   NewHome(LogID{Home: "w.1"}, Retention{MaxCount: 100, MaxBytes: 1 << 20}),
 		leases: map[string]leaseState{}, started: map[string][]string{}, told: map[Key][]Answer{},
 		permits: map[Key][][]Permit{},
 	}
--- a/inner/frame_test.go
+++ b/inner/frame_test.go
@@ -58,7 +58,7 @@
 			return
 		}
 		if a := frame.GetAppend(); a != nil {
-			w := fate.NewWitness(ToLogID(a.GetLog()), fate.Retention{Count: 1, Bytes: 1})
+			w := fate.NewWitness(ToLogID(a.GetLog()), fate.Retention{MaxCount: 1, MaxBytes: 1})
 			w.Append(ToAppend(a))
 		}
 		_, _ = AppendFrame(nil, frame)
