--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -172,7 +172,7 @@
 	in := newInstallation(t, []string{"a"}, 2, "a-1")
 	in.store.SetFault(standin.Unavailable, 0)
 	in.upstreams[0].Close()
-	in.store.Forget()
+	in.store.DropHistory()
 	in.configure(5, "/checks/")
 	in.store.SetFault(standin.NoFault, 0)
 	n := in.nodes["a-1"]
--- a/soak/run.go
+++ b/soak/run.go
@@ -179,7 +179,7 @@
 			}
 		}
 	case 10:
-		return func(time.Duration) { in.store.Forget() }
+		return func(time.Duration) { in.store.DropHistory() }
 	case 11:
 		if err := in.configure(); err != nil {
 			t.breaks("a configuration is not written: %v", err)
