--- a/schedule/closed.go
+++ b/schedule/closed.go
@@ -9,7 +9,7 @@
 // admits reports whether anything new may start on an upstream, as far as it, the
 // operators and the platform's list have a say.
 func (p *Pool) admits(u *upstream) bool {
-	gone := !u.listed && p.now.Sub(u.removed) > p.cfg.Removal
+	gone := !u.listed && p.now.Sub(u.unlistedAt) > p.cfg.RemovalGrace
 	return !u.Draining && !u.Closed && !gone
 }
 
--- a/schedule/coordinator.go
+++ b/schedule/coordinator.go
@@ -36,16 +36,16 @@
 		p.coordinators[j.Key.Coordinator] = c
 	}
 	c.jobs++
-	j.from = c
+	j.coordinatorLease = c
 }
 
 // leave makes a job count no more.
 func (p *Pool) leave(j *job) {
-	if j.from == nil {
+	if j.coordinatorLease == nil {
 		return
 	}
-	j.from.jobs--
-	if j.from.jobs == 0 {
+	j.coordinatorLease.jobs--
+	if j.coordinatorLease.jobs == 0 {
 		delete(p.coordinators, j.Key.Coordinator)
 	}
 }
@@ -65,23 +65,23 @@
 // that was long on its way may come behind a renewal that was sent after its job had
 // ended: it counts only once its coordinator was alive after it came.
 func (p *Pool) aliveAt(j *job) time.Time {
-	late := j.offered.Sub(j.AliveAt) > p.cfg.AliveToStart
-	if late && j.from.renewed.Before(j.offered) || j.from.renewed.Before(j.AliveAt) {
+	late := j.offeredAt.Sub(j.AliveAt) > p.cfg.CoordinatorStaleAfter
+	if late && j.coordinatorLease.renewed.Before(j.offeredAt) || j.coordinatorLease.renewed.Before(j.AliveAt) {
 		return j.AliveAt
 	}
-	return j.from.renewed
+	return j.coordinatorLease.renewed
 }
 
 // mayStart reports whether the coordinator of a job was alive lately enough for tasks
 // to start.
 func (p *Pool) mayStart(j *job) bool {
-	return j.from == nil || p.now.Sub(p.aliveAt(j)) <= p.cfg.AliveToStart
+	return j.coordinatorLease == nil || p.now.Sub(p.aliveAt(j)) <= p.cfg.CoordinatorStaleAfter
 }
 
 // unheard reports whether nothing was heard of the coordinator of a job for so long that
 // it is given up.
 func (p *Pool) unheard(j *job) bool {
-	return j.from != nil && p.now.Sub(lo.Latest(p.aliveAt(j), j.offered)) > p.cfg.AliveToKeep
+	return j.coordinatorLease != nil && p.now.Sub(lo.Latest(p.aliveAt(j), j.offeredAt)) > p.cfg.CoordinatorExpiresAfter
 }
 
 // doubtful reports whether a run may not be wanted any more, or is known not to be for
@@ -89,10 +89,10 @@
 // customer has the task run elsewhere, also if no stop can be delivered.
 func (p *Pool) doubtful(r *run) bool {
 	switch {
-	case r.unknown:
+	case r.foreign:
 		return false // nothing starts and no lease is renewed while there is one
 	case r.job == nil:
-		return p.now.Sub(r.unwanted) > p.cfg.AliveToStart
+		return p.now.Sub(r.unwantedSince) > p.cfg.CoordinatorStaleAfter
 	default:
 		return !p.mayStart(r.job)
 	}
@@ -119,7 +119,7 @@
 func (p *Pool) weighLeases() {
 	p.leasesAt = p.now
 	for _, u := range p.sorted {
-		u.held = !p.mayRenew(u)
+		u.renewalBlocked = !p.mayRenew(u)
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	slices.SortFunc(unheard, func(a, b *job) int { return compareKeys(a.Key, b.Key) })
 	for _, j := range unheard {
-		for _, t := range j.order {
+		for _, t := range j.taskList {
 			if r := p.byTask[p.ref(j, t)]; r != nil && r.job == j {
 				p.stop(r, reasonUnheard) // its task waits again once it is over
 			}
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -157,7 +157,7 @@
 
 // isConvicted reports whether a task of a job must not be started any more.
 func (p *Pool) isConvicted(j *job) bool {
-	return slices.ContainsFunc(j.order, func(t *task) bool { return p.crashes.convicted(p.ref(j, t)) })
+	return slices.ContainsFunc(j.taskList, func(t *task) bool { return p.crashes.convicted(p.ref(j, t)) })
 }
 
 // isSuspected reports whether an upstream has crashed under a task.
--- a/schedule/forecast.go
+++ b/schedule/forecast.go
@@ -57,15 +57,15 @@
 // that is known.
 func (r *run) expectedEnd(now time.Time) time.Time {
 	if r.job == nil {
-		return now.Add(stopRetry) // it is being stopped
+		return now.Add(minResendInterval) // it is being stopped
 	}
 	expect := r.expect()
-	end := r.ordered.Add(expect)
-	if r.percent > 0 && r.seen.After(r.ordered) {
-		age := r.seen.Sub(r.ordered)
-		end = r.seen.Add(age * time.Duration(100-min(r.percent, 100)) / time.Duration(r.percent))
+	end := r.orderedAt.Add(expect)
+	if r.percent > 0 && r.percentAt.After(r.orderedAt) {
+		age := r.percentAt.Sub(r.orderedAt)
+		end = r.percentAt.Add(age * time.Duration(100-min(r.percent, 100)) / time.Duration(r.percent))
 	}
-	if latest := now.Add(time.Duration(overdueShare * float64(expect))); r.ordered.Add(expect).Before(now) && end.Before(latest) {
+	if latest := now.Add(time.Duration(overdueShare * float64(expect))); r.orderedAt.Add(expect).Before(now) && end.Before(latest) {
 		return latest
 	}
 	return end
@@ -76,7 +76,7 @@
 	if r.job == nil {
 		return 0
 	}
-	return r.longer(r.job.expect)
+	return r.longer(r.job.expectedTaskDuration)
 }
 
 // add takes room that is free now.
@@ -91,7 +91,7 @@
 func (f *forecast) startBegun(queue []*job, but *job) {
 	for _, j := range queue {
 		if j != but && j.hasBegun() {
-			f.start(j.waitingTasks(), j.expect)
+			f.start(j.waitingTasks(), j.expectedTaskDuration)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 // waitingTasks counts the tasks of a job that wait.
 func (j *job) waitingTasks() int {
 	n := 0
-	for _, t := range j.order {
+	for _, t := range j.taskList {
 		if t.state == waiting {
 			n++
 		}
@@ -130,7 +130,7 @@
 
 // endsBy is when a job is expected to end whose last task starts at a time.
 func (j *job) endsBy(start time.Time) time.Time {
-	return start.Add(time.Duration(longestTask * float64(j.expect)))
+	return start.Add(time.Duration(longestTask * float64(j.expectedTaskDuration)))
 }
 
 // rejectHopeless rejects the jobs of which nothing began and that are expected to
@@ -180,12 +180,12 @@
 	tasks := j.waitingTasks()
 	carried := f.carried + p.link.takes(float64(tasks)*orderBytes(j))
 	if j.hasBegun() {
-		f.start(tasks, j.expect)
+		f.start(tasks, j.expectedTaskDuration)
 		f.carried = carried
 		return false
 	}
 	before := append(freeTimes(nil), f.free...)
-	start, found := f.start(tasks, j.expect)
+	start, found := f.start(tasks, j.expectedTaskDuration)
 	if arrives := p.now.Add(carried); arrives.After(start) {
 		start = arrives
 	}
@@ -201,7 +201,7 @@
 // rejected.
 func (j *job) dueBy() time.Time {
 	latest := j.sent().Add(time.Duration(inTimeShare * float64(j.allowed())))
-	if waits := j.offered.Add(j.Timeout); waits.Before(latest) {
+	if waits := j.offeredAt.Add(j.Timeout); waits.Before(latest) {
 		return waits
 	}
 	return latest
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -42,12 +42,12 @@
 // blame takes a failed run: its upstream is doubted at once. Few jobs fail by
 // their own fault, and one that fails on a second upstream acquits the first.
 func (p *Pool) blame(r *run) {
-	j, u := r.job, r.up
-	if len(j.failed) == 0 {
-		j.blamed = u
+	j, u := r.job, r.upstream
+	if len(j.failedOn) == 0 {
+		j.failureChargedTo = u
 	}
-	j.failed[u.ID] = true
-	if j.blamed != u {
+	j.failedOn[u.ID] = true
+	if j.failureChargedTo != u {
 		p.acquit(j)
 		return
 	}
@@ -60,8 +60,8 @@
 
 // acquit takes back the failure that an upstream was blamed for.
 func (p *Pool) acquit(j *job) {
-	u := j.blamed
-	j.blamed = nil
+	u := j.failureChargedTo
+	j.failureChargedTo = nil
 	if u == nil {
 		return
 	}
@@ -113,14 +113,14 @@
 func (p *Pool) progressed(r *run, percent int) {
 	if r.state == starting {
 		r.state = running
-		r.acked = p.now
+		r.startAckedAt = p.now
 	}
-	r.shown = true
+	r.reported = true
 	if percent >= r.percent+progressRise {
-		r.moved = p.now
+		r.percentRoseAt = p.now
 	}
 	r.percent = percent
-	r.seen = p.now
+	r.percentAt = p.now
 	if r.state == running {
 		p.checkProgress(r)
 	}
@@ -133,8 +133,8 @@
 		return
 	}
 	t := j.tasks[r.id.Task.Index]
-	age, expect := r.seen.Sub(r.ordered), r.expect()
-	if t.moves >= maxMoves || r.seen == r.moved && r.percent == 0 || age < lookAge(expect) {
+	age, expect := r.percentAt.Sub(r.orderedAt), r.expect()
+	if t.moves >= maxMoves || r.percentAt == r.percentRoseAt && r.percent == 0 || age < lookAge(expect) {
 		return
 	}
 	remaining := p.remaining(r, age)
@@ -146,12 +146,12 @@
 	if remaining < expect*3/2+max(moveCost, moveAnswers*p.answerTime) {
 		return
 	}
-	if !stalled && p.chooseBut(j, r.up.ID) == nil {
+	if !stalled && p.chooseBut(j, r.upstream.ID) == nil {
 		return // nowhere to go: slow is better than waiting
 	}
 	t.moves++
 	if p.cfg.Policy.DoubtSlow {
-		p.doubt(r.up, "slow")
+		p.doubt(r.upstream, "slow")
 	}
 	p.stop(r, "slow")
 }
@@ -159,11 +159,11 @@
 // judge learns the speed of an upstream from the pace of a run, once, before it
 // has ended.
 func (p *Pool) judge(r *run, age, remaining time.Duration) {
-	if r.judged || remaining == forever {
+	if r.speedLearned || remaining == forever {
 		return
 	}
-	r.judged = true
-	p.learnSpeed(r, age+remaining-r.began().Sub(r.ordered))
+	r.speedLearned = true
+	p.learnSpeed(r, age+remaining-r.began().Sub(r.orderedAt))
 }
 
 // lookAge is how old a run must be before its pace is judged.
@@ -176,7 +176,7 @@
 
 // stalls reports whether a run has stood still.
 func (p *Pool) stalls(r *run) bool {
-	return r.seen.Sub(r.moved) >= max(stalledFor, stalledAnswers*p.answerTime)
+	return r.percentAt.Sub(r.percentRoseAt) >= max(stalledFor, stalledAnswers*p.answerTime)
 }
 
 // remaining projects how much longer a run takes at its pace so far.
@@ -190,13 +190,13 @@
 // reportWait is how long the next report of an upstream may wait for an end:
 // until the first of its runs is old enough to be judged.
 func (p *Pool) reportWait(u *upstream) time.Duration {
-	wait := p.cfg.Report
+	wait := p.cfg.ReportWait
 	for _, r := range u.runs {
 		if r.job == nil {
 			wait = shortestReport
 			continue
 		}
-		age := p.now.Sub(r.ordered)
+		age := p.now.Sub(r.orderedAt)
 		due := lookAge(r.expect()) - age
 		if due <= 0 {
 			due = r.expect() / 2
@@ -253,7 +253,7 @@
 
 // learn takes the time of one task of a job: the others are much like it.
 func (j *job) learn(took time.Duration) {
-	j.expect = max(took, time.Millisecond)
+	j.expectedTaskDuration = max(took, time.Millisecond)
 }
 
 func compareRuns(a, b fleet.Run) int {
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -24,11 +24,11 @@
 		case err != nil:
 			p.stop(r, "start without answer")
 		case refusal == fleet.RefusedNot:
-			u.misses = 0
-			r.acked = now
+			u.missedReports = 0
+			r.startAckedAt = now
 			if r.state == starting {
 				r.state = running
-				r.moved, r.seen = now, now
+				r.percentRoseAt, r.percentAt = now, now
 			}
 		default:
 			p.refused(r, refusal)
@@ -38,7 +38,7 @@
 
 // refused takes a start that certainly did not happen.
 func (p *Pool) refused(r *run, refusal fleet.Refusal) {
-	u := r.up
+	u := r.upstream
 	p.remove(r)
 	if refusal == fleet.RefusedFence {
 		p.fenced(u)
@@ -49,7 +49,7 @@
 		t := r.job.tasks[r.id.Task.Index]
 		switch refusal {
 		case fleet.RefusedOldRun:
-			t.number += oldRunStep
+			t.lastRun += runNumberStep
 		case fleet.RefusedUnhealthy, fleet.RefusedRoom, fleet.RefusedBad:
 			if p.cfg.Policy.DoubtRefusing {
 				p.doubt(u, string(refusal))
@@ -85,9 +85,9 @@
 		r := u.runs[id]
 		switch {
 		case err == nil:
-			u.misses = 0
+			u.missedReports = 0
 			r.state = stopped
-			r.stopAcked, r.looked = now, now
+			r.stopAckedAt, r.polledAt = now, now
 			p.out.Polls = append(p.out.Polls, u.ID)
 		case failure.Is(err, failure.Gone):
 			p.gone(u, "another life answers")
@@ -108,10 +108,10 @@
 	p.now = now
 	o := fleet.HoldOrder{Token: p.token, SeenEnds: p.seenEnds(u)}
 	// Runs of a former owner are over at the latest with the leases that it granted.
-	if u.joined && !u.silent && u.unknown == 0 && p.mayRenew(u) {
+	if u.accepted && !u.silent && u.foreignRuns == 0 && p.mayRenew(u) {
 		o.LeaseUntilMs = p.grant(u)
 	}
-	if u.joined && u.misses == 0 {
+	if u.accepted && u.missedReports == 0 {
 		o.WaitMs = p.reportWait(u).Milliseconds()
 	}
 	return u.Upstream, o, true
@@ -122,7 +122,7 @@
 // A process that goes down leaves a call without an answer, unless this one stood still
 // meanwhile.
 func (p *Pool) seenEnds(u *upstream) uint64 {
-	if u.misses > 0 || !p.heardLately(u) {
+	if u.missedReports > 0 || !p.heardLately(u) {
 		return 0
 	}
 	return u.seenEnds
@@ -157,13 +157,13 @@
 }
 
 func (p *Pool) missed(u *upstream) {
-	u.misses++
+	u.missedReports++
 	p.reports.count(true)
-	if u.silent || u.misses < p.missesToSilent() {
+	if u.silent || u.missedReports < p.missesToSilent() {
 		return
 	}
 	u.silent = true
-	p.decide(Decision{Kind: DecidedSilent, Upstream: u.ID, Task: len(u.runs), Age: p.now.Sub(u.clockAt)})
+	p.decide(Decision{Kind: DecidedSilent, Upstream: u.ID, Task: len(u.runs), Age: p.now.Sub(u.clockReadAt)})
 }
 
 // missesToSilent is how many reports in a row must not come before an upstream
@@ -177,25 +177,25 @@
 
 func (p *Pool) reported(u *upstream, sent time.Time, report fleet.Report) {
 	if u.silent {
-		p.decide(Decision{Kind: DecidedResponding, Upstream: u.ID, Age: p.now.Sub(u.clockAt)})
-		p.crashes.takeBack(u.suspects)
-		u.suspects = nil
+		p.decide(Decision{Kind: DecidedResponding, Upstream: u.ID, Age: p.now.Sub(u.clockReadAt)})
+		p.crashes.takeBack(u.suspectedTasks)
+		u.suspectedTasks = nil
 	}
-	u.misses, u.silent = 0, false
+	u.missedReports, u.silent = 0, false
 	p.reports.count(false)
-	u.clockMs, u.clockAt = report.ClockMs, p.now
+	u.clockMs, u.clockReadAt = report.ClockMs, p.now
 	for _, e := range report.Ended {
 		if e.Sequence > u.seenEnds {
 			u.seenEnds = e.Sequence
 			p.ended(u, e)
 		}
 	}
-	if sent.Before(u.reported) {
+	if sent.Before(u.reportRequestedAt) {
 		return // a newer report has been read
 	}
-	u.reported = sent
+	u.reportRequestedAt = sent
 	p.readRunning(u, sent, report.Running)
-	u.joined = true
+	u.accepted = true
 	p.everJoined = true
 }
 
@@ -216,11 +216,11 @@
 			continue
 		}
 		switch {
-		case r.state == stopped && sent.After(r.stopAcked):
+		case r.state == stopped && sent.After(r.stopAckedAt):
 			u.leaveUnresolved(r)
 			p.remove(r)
 			p.again(r, "stopped")
-		case r.state == running && sent.After(r.acked):
+		case r.state == running && sent.After(r.startAckedAt):
 			p.remove(r)
 			p.again(r, "vanished")
 		}
@@ -240,19 +240,19 @@
 // found takes a run that nobody here ordered: one of an owner before. It is
 // stopped, and nothing starts on the upstream until it is gone.
 func (p *Pool) found(u *upstream, id fleet.Run) {
-	if slices.Contains(u.over, id) {
+	if slices.Contains(u.recentEnds, id) {
 		return
 	}
-	r := &run{id: id, up: u, unknown: true, state: running, ordered: p.now, acked: p.now, moved: p.now, seen: p.now}
+	r := &run{id: id, upstream: u, foreign: true, state: running, orderedAt: p.now, startAckedAt: p.now, percentRoseAt: p.now, percentAt: p.now}
 	p.add(r)
 	p.stop(r, "started by a former owner")
 }
 
 // ended takes one end of a run.
 func (p *Pool) ended(u *upstream, e fleet.EndedRun) {
-	u.over = append(u.over, e.Run)
-	if len(u.over) > rememberedEnds {
-		u.over = u.over[1:]
+	u.recentEnds = append(u.recentEnds, e.Run)
+	if len(u.recentEnds) > maxRecentEnds {
+		u.recentEnds = u.recentEnds[1:]
 	}
 	r := u.runs[e.Run]
 	if r == nil {
@@ -276,9 +276,9 @@
 	j := r.job
 	t := j.tasks[r.id.Task.Index]
 	p.setState(j, t, ended)
-	j.left--
+	j.unfinished--
 	j.done = append(j.done, t.index)
-	took := p.now.Sub(r.ordered)
+	took := p.now.Sub(r.orderedAt)
 	p.learnSpeed(r, p.now.Sub(r.began()))
 	if p.cfg.Policy.LearnTimes {
 		p.timesOf(j.Route).learn(r.near(took))
@@ -286,8 +286,8 @@
 	if p.cfg.Policy.LearnJob {
 		j.learn(r.near(took))
 	}
-	p.trust(r.up)
-	if j.left == 0 {
+	p.trust(r.upstream)
+	if j.unfinished == 0 {
 		p.forget(j)
 		p.result(j, Completed, nil)
 	}
@@ -296,9 +296,9 @@
 func (p *Pool) failed(r *run) {
 	j := r.job
 	t := j.tasks[r.id.Task.Index]
-	t.attempts++
+	t.failedRuns++
 	p.blame(r)
-	if t.attempts >= j.MaxAttempts {
+	if t.failedRuns >= j.MaxAttempts {
 		p.end(j, Failed)
 		return
 	}
--- a/schedule/link.go
+++ b/schedule/link.go
@@ -83,5 +83,5 @@
 
 // repeatPause is the pause before an order without an answer is sent again.
 func (p *Pool) repeatPause() time.Duration {
-	return max(stopRetry, p.answerTime+p.link.queued(p.now))
+	return max(minResendInterval, p.answerTime+p.link.queued(p.now))
 }
--- a/schedule/lives.go
+++ b/schedule/lives.go
@@ -37,7 +37,7 @@
 // itself so lately that it cannot have done so since: that takes a second or more, and a
 // lease is shorter.
 func (p *Pool) heardLately(u *upstream) bool {
-	return u.Born == 0 || p.now.Sub(u.clockAt) <= p.cfg.Lease
+	return u.Born == 0 || p.now.Sub(u.clockReadAt) <= p.cfg.Lease
 }
 
 // restarted replaces an upstream by its next life. What ran in the former life is over. A
@@ -48,7 +48,7 @@
 	suspects := p.crashed(u, runs)
 	p.drop(u)
 	life := p.insert(next)
-	life.listed, life.removed = u.listed, u.removed
+	life.listed, life.unlistedAt = u.listed, u.unlistedAt
 	for _, r := range runs {
 		if r.mayOutlive() {
 			p.carryOver(r, life)
@@ -58,7 +58,7 @@
 		p.again(r, "its upstream has started again")
 	}
 	p.giveUpConvicted(suspects)
-	for _, id := range u.unresolved {
+	for _, id := range u.unresolvedStarts {
 		p.out.Stops = append(p.out.Stops, Stop{Upstream: life.Upstream, Run: id})
 	}
 	return life
@@ -67,15 +67,15 @@
 // mayOutlive reports whether a run may be at work in the next life of its upstream, or may
 // begin there: no report of this life has shown it. The order may still be on its way, or
 // the answer to it may be of the next life. A stop that was answered binds no other life.
-func (r *run) mayOutlive() bool { return !r.unknown && !r.shown }
+func (r *run) mayOutlive() bool { return !r.foreign && !r.reported }
 
 // carryOver puts a run into the books of the upstream's next life, where it is being
 // stopped.
 func (p *Pool) carryOver(r *run, to *upstream) {
-	delete(r.up.runs, r.id)
+	delete(r.upstream.runs, r.id)
 	to.runs[r.id] = r
 	to.used = to.used.Plus(r.demand)
-	r.up, r.state = to, starting
+	r.upstream, r.state = to, starting
 	p.stop(r, "its upstream has started again, and may run it")
 }
 
@@ -90,9 +90,9 @@
 	if !r.mayOutlive() {
 		return
 	}
-	u.unresolved = append(u.unresolved, r.id)
-	if len(u.unresolved) > mostUnresolved {
-		u.unresolved = u.unresolved[1:]
+	u.unresolvedStarts = append(u.unresolvedStarts, r.id)
+	if len(u.unresolvedStarts) > mostUnresolved {
+		u.unresolvedStarts = u.unresolvedStarts[1:]
 	}
 }
 
--- a/schedule/load.go
+++ b/schedule/load.go
@@ -48,7 +48,7 @@
 func (p *Pool) usualSize() int64 {
 	sum, n := int64(0), int64(0)
 	for _, r := range p.byTask {
-		if !r.unknown {
+		if !r.foreign {
 			sum += r.demand.MilliCPU
 			n++
 		}
--- a/schedule/modelcheck_test.go
+++ b/schedule/modelcheck_test.go
@@ -25,7 +25,7 @@
 func (w *world) checkWaiting() {
 	count := 0
 	for _, j := range w.pool.queue {
-		for _, t := range j.order {
+		for _, t := range j.taskList {
 			if t.state != waiting {
 				continue
 			}
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -54,7 +54,7 @@
 }
 
 func (j *job) hasWaiting() bool {
-	return slices.ContainsFunc(j.order, func(t *task) bool { return t.state == waiting })
+	return slices.ContainsFunc(j.taskList, func(t *task) bool { return t.state == waiting })
 }
 
 // longestTask is how much longer the longest task of a job takes than expected
@@ -67,18 +67,18 @@
 
 // allowed is how long the job may take from its first sending.
 func (j *job) allowed() time.Duration {
-	return time.Duration(j.Stretch*longestTask*float64(j.expect)) + j.Slack
+	return time.Duration(j.Stretch*longestTask*float64(j.expectedTaskDuration)) + j.Slack
 }
 
-func (j *job) sent() time.Time { return j.offered.Add(-j.Age) }
+func (j *job) sent() time.Time { return j.offeredAt.Add(-j.Age) }
 
 // latestStart is when a task has to start for its job to be in time.
-func (j *job) latestStart() time.Time { return j.sent().Add(j.allowed() - j.expect) }
+func (j *job) latestStart() time.Time { return j.sent().Add(j.allowed() - j.expectedTaskDuration) }
 
 // expiry is when the job is given up if tasks of it still wait for room.
 func (j *job) expiry() time.Time {
 	useful := j.sent().Add(lateFactor * j.allowed())
-	if waits := j.offered.Add(j.Timeout); waits.Before(useful) {
+	if waits := j.offeredAt.Add(j.Timeout); waits.Before(useful) {
 		return waits
 	}
 	return useful
@@ -97,7 +97,7 @@
 		case y.BegunFirst && a.hasBegun() != b.hasBegun():
 			return 1
 		case !y.EarliestFirst:
-			return a.offered.Compare(b.offered)
+			return a.offeredAt.Compare(b.offeredAt)
 		default:
 			return cmp.Or(a.latestStart().Compare(b.latestStart()), cmp.Compare(a.Priority, b.Priority))
 		}
@@ -105,13 +105,13 @@
 }
 
 // hasBegun reports whether a task of the job began, here or elsewhere, or may have.
-func (j *job) hasBegun() bool { return j.begun || j.Begun || j.blocked > 0 }
+func (j *job) hasBegun() bool { return j.begun || j.Begun || j.blockedTasks > 0 }
 
 // placeJob starts the tasks of a job that find room, and reports whether there
 // are any.
 func (p *Pool) placeJob(j *job) bool {
 	started := false
-	for _, t := range j.order {
+	for _, t := range j.taskList {
 		if t.state != waiting {
 			continue
 		}
@@ -153,10 +153,10 @@
 	f := p.newForecast(j.Service)
 	f.startBegun(p.queue, j)
 	f.add(free)
-	start, found := f.start(tasks, j.expect)
+	start, found := f.start(tasks, j.expectedTaskDuration)
 	limit := j.latestStart()
 	if limit.Before(p.now) {
-		limit = j.expiry().Add(-j.expect)
+		limit = j.expiry().Add(-j.expectedTaskDuration)
 	}
 	return !found || !start.After(limit)
 }
@@ -250,14 +250,14 @@
 // inTime reports whether a job would be in time if a task of it started now on
 // an upstream that takes that many times longer.
 func (p *Pool) inTime(j *job, slowness float64) bool {
-	ends := p.now.Add(time.Duration(slowness * longestTask * float64(j.expect)))
+	ends := p.now.Add(time.Duration(slowness * longestTask * float64(j.expectedTaskDuration)))
 	return ends.Before(j.sent().Add(j.allowed()))
 }
 
 // usable reports whether an upstream may get a task now.
 func (p *Pool) usable(u *upstream, now time.Time) bool {
 	switch {
-	case !u.joined, u.silent, u.unknown > 0, !p.admits(u), u.held, !p.heardLately(u):
+	case !u.accepted, u.silent, u.foreignRuns > 0, !p.admits(u), u.renewalBlocked, !p.heardLately(u):
 		return false
 	case u.health.doubted:
 		return now.After(u.health.until) && (len(u.runs) == 0 || !p.cfg.Policy.SingleTrial)
@@ -267,16 +267,16 @@
 }
 
 func (p *Pool) start(j *job, t *task, u *upstream) {
-	t.number++
+	t.lastRun++
 	p.setState(j, t, placed)
 	j.begun = true
 	carried := p.link.carry(p.now, orderBytes(j))
 	leaves := p.now.Add(carried)
 	r := &run{
-		id: fleet.Run{Task: p.ref(j, t), Number: t.number}, job: j, up: u, demand: j.Demand,
-		state: starting, ordered: leaves, moved: leaves, seen: leaves, remote: p.remoteness(j, u),
+		id: fleet.Run{Task: p.ref(j, t), Number: t.lastRun}, job: j, upstream: u, demand: j.Demand,
+		state: starting, orderedAt: leaves, percentRoseAt: leaves, percentAt: leaves, remoteFactor: p.remoteness(j, u),
 	}
-	r.expected = r.longer(j.expect)
+	r.expectedDuration = r.longer(j.expectedTaskDuration)
 	p.add(r)
 	p.out.Starts = append(p.out.Starts, Start{
 		Upstream:  u.Upstream,
@@ -285,17 +285,17 @@
 		SendBy:    p.now.Add(p.cfg.Lease),
 	})
 	p.decide(Decision{
-		Kind: DecidedStart, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: t.index, Run: t.number, Upstream: u.ID,
-		FreeMilliCPU: u.Capacity.Minus(u.used).MilliCPU, Age: p.now.Sub(j.offered),
+		Kind: DecidedStart, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: t.index, Run: t.lastRun, Upstream: u.ID,
+		FreeMilliCPU: u.Capacity.Minus(u.used).MilliCPU, Age: p.now.Sub(j.offeredAt),
 	})
 }
 
 func (p *Pool) add(r *run) {
-	r.up.runs[r.id] = r
+	r.upstream.runs[r.id] = r
 	p.byTask[r.id.Task] = r
-	r.up.used = r.up.used.Plus(r.demand)
-	if r.unknown {
-		r.up.unknown++
+	r.upstream.used = r.upstream.used.Plus(r.demand)
+	if r.foreign {
+		r.upstream.foreignRuns++
 		p.block(r.id.Task)
 	}
 }
@@ -303,36 +303,36 @@
 // remove takes a run out of the books: it is certain that it is not at work
 // and cannot begin any more.
 func (p *Pool) remove(r *run) {
-	if r.up.runs[r.id] != r {
+	if r.upstream.runs[r.id] != r {
 		return
 	}
-	delete(r.up.runs, r.id)
+	delete(r.upstream.runs, r.id)
 	if p.byTask[r.id.Task] == r {
 		delete(p.byTask, r.id.Task)
 		p.unblock(r.id.Task)
 	}
-	r.up.used = r.up.used.Minus(r.demand)
-	if r.unknown {
-		r.up.unknown--
+	r.upstream.used = r.upstream.used.Minus(r.demand)
+	if r.foreign {
+		r.upstream.foreignRuns--
 	}
 }
 
 // clock estimates what an upstream's clock shows.
 func (u *upstream) clock(now time.Time) int64 {
-	return u.clockMs + now.Sub(u.clockAt).Milliseconds()
+	return u.clockMs + now.Sub(u.clockReadAt).Milliseconds()
 }
 
 // grant returns the end of a lease from now, on the upstream's clock.
 func (p *Pool) grant(u *upstream) int64 {
 	until := u.clock(p.now) + p.cfg.Lease.Milliseconds()
-	u.grantedMs = max(u.grantedMs, until)
+	u.maxLeaseUntilMs = max(u.maxLeaseUntilMs, until)
 	return until
 }
 
 // lapsed returns when every lease that was granted is certainly over.
 func (u *upstream) lapsed() time.Time {
-	left := time.Duration(float64(u.grantedMs-u.clockMs)/slowClock) * time.Millisecond
-	return u.clockAt.Add(max(left, 0) + lapseMargin)
+	left := time.Duration(float64(u.maxLeaseUntilMs-u.clockMs)/minClockRate) * time.Millisecond
+	return u.clockReadAt.Add(max(left, 0) + leaseLapseMargin)
 }
 
 // again puts a task back into the queue after a run of it is over.
@@ -352,8 +352,8 @@
 		p.enqueue(j)
 	}
 	p.decide(Decision{
-		Kind: DecidedRetry, Job: j.Key.ID, Task: t.index, Run: t.number, Upstream: r.up.ID, Reason: reason,
-		Age: p.now.Sub(j.offered),
+		Kind: DecidedRetry, Job: j.Key.ID, Task: t.index, Run: t.lastRun, Upstream: r.upstream.ID, Reason: reason,
+		Age: p.now.Sub(j.offeredAt),
 	})
 }
 
@@ -365,12 +365,12 @@
 	r.state = stopping
 	p.sendStop(r)
 	p.decide(Decision{
-		Kind: DecidedStop, Job: r.id.Task.Job, Task: r.id.Task.Index, Run: r.id.Number, Upstream: r.up.ID,
-		Reason: reason, Age: p.now.Sub(r.ordered),
+		Kind: DecidedStop, Job: r.id.Task.Job, Task: r.id.Task.Index, Run: r.id.Number, Upstream: r.upstream.ID,
+		Reason: reason, Age: p.now.Sub(r.orderedAt),
 	})
 }
 
 func (p *Pool) sendStop(r *run) {
-	r.stopSent = p.now
-	p.out.Stops = append(p.out.Stops, Stop{Upstream: r.up.Upstream, Run: r.id})
+	r.stopSentAt = p.now
+	p.out.Stops = append(p.out.Stops, Stop{Upstream: r.upstream.Upstream, Run: r.id})
 }
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -79,7 +79,7 @@
 		for _, u := range p.sorted {
 			if u.listed && !listed[u.ID] {
 				u.listed = false
-				u.removed = now
+				u.unlistedAt = now
 			}
 		}
 		p.returnClosed()
@@ -158,16 +158,16 @@
 
 func (p *Pool) offer(o Offer) {
 	p.supersede(o.Key)
-	j := &job{Offer: o, offered: p.now, tasks: map[int]*task{}, left: len(o.Tasks), failed: map[string]bool{}, past: map[int]TaskHistory{}}
-	j.expect = p.timesOf(o.Route).expect(o.Estimate)
+	j := &job{Offer: o, offeredAt: p.now, tasks: map[int]*task{}, unfinished: len(o.Tasks), failedOn: map[string]bool{}, history: map[int]TaskHistory{}}
+	j.expectedTaskDuration = p.timesOf(o.Route).expect(o.Estimate)
 	for _, index := range o.Tasks {
-		t := &task{index: index, number: o.History[index].LastRun, attempts: o.History[index].FailedRuns}
+		t := &task{index: index, lastRun: o.History[index].LastRun, failedRuns: o.History[index].FailedRuns}
 		j.tasks[index] = t
-		j.order = append(j.order, t)
+		j.taskList = append(j.taskList, t)
 		p.crashes.learn(p.now, p.ref(j, t), o.History[index].Crashes)
 	}
-	p.waiting += len(j.order)
-	for _, t := range j.order {
+	p.waiting += len(j.taskList)
+	for _, t := range j.taskList {
 		if p.byTask[p.ref(j, t)] != nil {
 			p.setState(j, t, blocked)
 		}
@@ -180,7 +180,7 @@
 		p.returnAll(j, "draining")
 	case p.isConvicted(j):
 		p.end(j, Crashed)
-	case j.blocked == 0 && !p.everFits(j):
+	case j.blockedTasks == 0 && !p.everFits(j):
 		p.end(j, NeverFits)
 	case !j.hasBegun() && !p.fitsRoom(j):
 		p.end(j, Expired)
@@ -294,7 +294,7 @@
 		delete(p.byID, j.Key.ID)
 	}
 	p.queue = slices.DeleteFunc(p.queue, func(o *job) bool { return o == j })
-	for _, t := range j.order {
+	for _, t := range j.taskList {
 		if t.state == waiting || t.state == blocked {
 			p.setState(j, t, ended)
 		}
@@ -307,25 +307,25 @@
 	case waiting:
 		p.waiting--
 	case blocked:
-		j.blocked--
+		j.blockedTasks--
 	}
 	t.state = s
 	switch s {
 	case waiting:
 		p.waiting++
 	case blocked:
-		j.blocked++
+		j.blockedTasks++
 	}
 }
 
 // stopRuns stops what still runs of a job.
 func (p *Pool) stopRuns(j *job, reason string) {
-	for _, t := range j.order {
+	for _, t := range j.taskList {
 		r := p.byTask[p.ref(j, t)]
 		if r == nil || r.job != j {
 			continue
 		}
-		r.job, r.unwanted = nil, p.now
+		r.job, r.unwantedSince = nil, p.now
 		p.stop(r, reason)
 	}
 }
@@ -336,7 +336,7 @@
 
 // end ends a job with an outcome: what runs of it is stopped.
 func (p *Pool) end(j *job, outcome Outcome) {
-	j.begun = j.begun || j.blocked > 0
+	j.begun = j.begun || j.blockedTasks > 0
 	p.forget(j)
 	p.stopRuns(j, string(outcome))
 	var returned []int
@@ -348,10 +348,10 @@
 
 func (p *Pool) result(j *job, outcome Outcome, returned []int) {
 	p.out.Results = append(p.out.Results, Result{
-		Key: j.Key, Outcome: outcome, Done: j.done, Returned: returned, History: j.past, Begun: j.begun,
+		Key: j.Key, Outcome: outcome, Done: j.done, Returned: returned, History: j.history, Begun: j.begun,
 	})
 	p.decide(Decision{
-		Kind: DecidedResult, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: len(j.done), Reason: string(outcome), Age: p.now.Sub(j.offered),
+		Kind: DecidedResult, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: len(j.done), Reason: string(outcome), Age: p.now.Sub(j.offeredAt),
 		Late: p.now.After(j.sent().Add(j.allowed())),
 	})
 }
--- a/schedule/rack.go
+++ b/schedule/rack.go
@@ -19,12 +19,12 @@
 
 // longer is a time on an upstream near the data, as it is on the upstream of a run.
 func (r *run) longer(near time.Duration) time.Duration {
-	return time.Duration(max(r.remote, 1) * float64(near))
+	return time.Duration(max(r.remoteFactor, 1) * float64(near))
 }
 
 // near is what a run took, as it would have been near its data.
 func (r *run) near(took time.Duration) time.Duration {
-	return time.Duration(float64(took) / max(r.remote, 1))
+	return time.Duration(float64(took) / max(r.remoteFactor, 1))
 }
 
 // placesApart returns how many more tasks of a job may be at work on an upstream, up to most,
--- a/schedule/return.go
+++ b/schedule/return.go
@@ -10,7 +10,7 @@
 
 // returnWaiting gives the tasks that wait and never began back to the coordinator.
 func (p *Pool) returnWaiting(j *job, reason string) {
-	p.returnTasks(j, reason, func(t *task) bool { return t.number == 0 })
+	p.returnTasks(j, reason, func(t *task) bool { return t.lastRun == 0 })
 }
 
 // returnAll gives all tasks that wait back to the coordinator, also those whose runs
@@ -23,28 +23,28 @@
 // returnTasks gives those of the tasks that wait back to the coordinator that it may.
 func (p *Pool) returnTasks(j *job, reason string, may func(*task) bool) {
 	var returned []int
-	for _, t := range j.order {
+	for _, t := range j.taskList {
 		if t.state != waiting || !may(t) {
 			continue
 		}
 		p.setState(j, t, ended)
-		j.left--
+		j.unfinished--
 		returned = append(returned, t.index)
-		if past, ran := t.past(); ran {
+		if past, ran := t.history(); ran {
 			past.Crashes = p.crashes.of(p.ref(j, t))
-			j.past[t.index] = past
+			j.history[t.index] = past
 		}
 	}
 	if len(returned) == 0 {
 		return
 	}
 	p.decide(Decision{Kind: DecidedReturn, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: len(returned), Reason: reason})
-	if j.left == 0 {
+	if j.unfinished == 0 {
 		p.forget(j)
 		p.result(j, Completed, returned)
 		return
 	}
-	p.out.Returns = append(p.out.Returns, Result{Key: j.Key, Returned: returned, History: maps.Clone(j.past), Begun: j.begun})
+	p.out.Returns = append(p.out.Returns, Result{Key: j.Key, Returned: returned, History: maps.Clone(j.history), Begun: j.begun})
 }
 
 // returnUnplaced gives back what was blocked when its job was offered, and would have
--- a/schedule/scenario_test.go
+++ b/schedule/scenario_test.go
@@ -260,7 +260,7 @@
 // TestLapseWaitsForSlowClocks: a lease of 700 ms on a clock that runs 2% slow
 // lasts 714 ms; before that nothing of it may start again.
 func TestLapseWaitsForSlowClocks(t *testing.T) {
-	u := &upstream{clockMs: 5000, clockAt: epochZero, grantedMs: 5700}
+	u := &upstream{clockMs: 5000, clockReadAt: epochZero, maxLeaseUntilMs: 5700}
 	lease, rate := 700*time.Millisecond, 0.98
 	real := time.Duration(float64(lease) / rate)
 	if lapsed := u.lapsed(); lapsed.Sub(epochZero) < real {
--- a/schedule/speed.go
+++ b/schedule/speed.go
@@ -37,16 +37,16 @@
 // began is when a run began, as far as that is known: the answer to its start may
 // be late, or lost.
 func (r *run) began() time.Time {
-	if r.acked.IsZero() {
-		return r.ordered
+	if r.startAckedAt.IsZero() {
+		return r.orderedAt
 	}
-	return r.acked
+	return r.startAckedAt
 }
 
 // learnSpeed takes how long a run takes.
 func (p *Pool) learnSpeed(r *run, takes time.Duration) {
-	u := r.up
-	value := math.Log(max(takes, time.Millisecond).Seconds() / max(r.expected, time.Millisecond).Seconds())
+	u := r.upstream
+	value := math.Log(max(takes, time.Millisecond).Seconds() / max(r.expectedDuration, time.Millisecond).Seconds())
 	p.meanSpeed += meanSpeedWeight * (value - p.meanSpeed)
 	before := u.speed.now(p.now)
 	u.speed.log = before + speedWeight*(value-p.meanSpeed-before)
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -30,17 +30,17 @@
 	}
 	for _, r := range sortedRuns(u) {
 		switch {
-		case r.state == stopping && p.now.Sub(r.stopSent) >= p.repeatPause() && !u.silent:
+		case r.state == stopping && p.now.Sub(r.stopSentAt) >= p.repeatPause() && !u.silent:
 			p.sendStop(r)
-		case r.state == stopped && p.now.Sub(r.looked) >= p.repeatPause() && !u.silent:
-			r.looked = p.now
+		case r.state == stopped && p.now.Sub(r.polledAt) >= p.repeatPause() && !u.silent:
+			r.polledAt = p.now
 			p.out.Polls = append(p.out.Polls, u.ID)
 		case r.state == running:
 			p.lookIfOverdue(r)
 			p.checkProgress(r)
 		}
 	}
-	if !u.listed && len(u.runs) == 0 && p.now.Sub(u.removed) > p.cfg.Removal {
+	if !u.listed && len(u.runs) == 0 && p.now.Sub(u.unlistedAt) > p.cfg.RemovalGrace {
 		p.decide(Decision{Kind: DecidedGone, Upstream: u.ID, Reason: "its entry is gone"})
 		p.drop(u)
 	}
@@ -51,7 +51,7 @@
 func (p *Pool) lapse(u *upstream) {
 	runs := sortedRuns(u)
 	suspects := p.crashed(u, runs)
-	u.suspects = append(u.suspects, suspects...)
+	u.suspectedTasks = append(u.suspectedTasks, suspects...)
 	for _, r := range runs {
 		u.leaveUnresolved(r)
 		p.remove(r)
@@ -64,14 +64,14 @@
 // reports get lost: the next one may tell of the end only after its timeout, up to
 // 400 ms later. On a sound network it asks for nothing.
 func (p *Pool) lookIfOverdue(r *run) {
-	u := r.up
-	if !p.cfg.Policy.LookOverdue || p.reports.share < lossyShare || u.silent || p.now.Before(r.expectedEnd(p.now)) && !p.now.After(r.ordered.Add(r.expect())) {
+	u := r.upstream
+	if !p.cfg.Policy.LookOverdue || p.reports.share < lossyShare || u.silent || p.now.Before(r.expectedEnd(p.now)) && !p.now.After(r.orderedAt.Add(r.expect())) {
 		return
 	}
-	if p.now.Sub(u.reported) < overdueLook || p.now.Sub(r.looked) < overdueLook {
+	if p.now.Sub(u.reportRequestedAt) < overdueLook || p.now.Sub(r.polledAt) < overdueLook {
 		return
 	}
-	r.looked = p.now
+	r.polledAt = p.now
 	p.out.Polls = append(p.out.Polls, u.ID)
 }
 
@@ -80,13 +80,13 @@
 // may still be at work goes on, and so does one that has begun while any upstream
 // is left that could run the rest: it is served late rather than for nothing.
 func (p *Pool) expire(j *job) {
-	if !p.cfg.Policy.GiveUp || p.jobs[j.Key] != j || p.now.Add(j.expect/2).Before(j.expiry()) {
+	if !p.cfg.Policy.GiveUp || p.jobs[j.Key] != j || p.now.Add(j.expectedTaskDuration/2).Before(j.expiry()) {
 		return
 	}
 	if j.hasBegun() && p.anyLeft(j) {
 		return
 	}
-	for _, t := range j.order {
+	for _, t := range j.taskList {
 		if t.state == waiting {
 			p.end(j, Expired)
 			return
@@ -97,5 +97,5 @@
 // anyLeft reports whether any upstream that answers could run a task of j, now or
 // once it is not doubted any more.
 func (p *Pool) anyLeft(j *job) bool {
-	return p.fitsAny(j, func(u *upstream) bool { return u.joined && !u.silent && p.admits(u) })
+	return p.fitsAny(j, func(u *upstream) bool { return u.accepted && !u.silent && p.admits(u) })
 }
