--- a/schedule/input.go
+++ b/schedule/input.go
@@ -23,7 +23,7 @@
 			p.gone(u, "another life answers")
 		case err != nil:
 			p.stop(r, "start without answer")
-		case refusal == fleet.RefusedNot:
+		case refusal == fleet.NotRefused:
 			u.missedReports = 0
 			r.startAckedAt = now
 			if r.state == starting {
@@ -50,7 +50,7 @@
 		switch refusal {
 		case fleet.RefusedOldRun:
 			t.lastRun += runNumberStep
-		case fleet.RefusedUnhealthy, fleet.RefusedRoom, fleet.RefusedBad:
+		case fleet.RefusedUnhealthy, fleet.RefusedNoRoom, fleet.RefusedInvalid:
 			if p.cfg.Policy.DoubtRefusing {
 				p.doubt(u, string(refusal))
 			}
--- a/schedule/lives.go
+++ b/schedule/lives.go
@@ -37,7 +37,7 @@
 // itself so lately that it cannot have done so since: that takes a second or more, and a
 // lease is shorter.
 func (p *Pool) heardLately(u *upstream) bool {
-	return u.Born == 0 || p.now.Sub(u.clockReadAt) <= p.cfg.Lease
+	return u.StartedUnixMs == 0 || p.now.Sub(u.clockReadAt) <= p.cfg.Lease
 }
 
 // restarted replaces an upstream by its next life. What ran in the former life is over. A
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -108,11 +108,11 @@
 	Service     string
 	Route       string
 	Spec        string
-	Demand      fleet.Demand  // of each task
-	Estimate    time.Duration // duration of one task, as declared by the customer
-	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // failed runs of one task after which the job has failed
-	Tasks       []int         // indexes within the step
+	Demand      fleet.Resources // of each task
+	Estimate    time.Duration   // duration of one task, as declared by the customer
+	Priority    int             // 0 is the most urgent
+	MaxAttempts int             // failed runs of one task after which the job has failed
+	Tasks       []int           // indexes within the step
 	// History holds the earlier runs, in other pools, of those tasks that had any.
 	// All of these runs have ended, and none can start any more.
 	History map[int]TaskHistory
@@ -261,8 +261,8 @@
 	id               fleet.Run
 	job              *job // nil once the run is no longer wanted
 	upstream         *upstream
-	demand           fleet.Demand // zero for a foreign run, whose demand is not known
-	foreign          bool         // reported by the upstream, but ordered by a former owner
+	demand           fleet.Resources // zero for a foreign run, whose demand is not known
+	foreign          bool            // reported by the upstream, but ordered by a former owner
 	state            runState
 	orderedAt        time.Time
 	startAckedAt     time.Time // when the answer to the start, or the first report of the run, came
@@ -325,7 +325,7 @@
 	accepted        bool // it has accepted the fencing token: its first report has come
 	listed          bool // the store has an entry of it
 	unlistedAt      time.Time
-	used            fleet.Demand
+	used            fleet.Resources
 	runs            map[fleet.Run]*run
 	foreignRuns     int
 	clockMs         int64       // its clock, as of the last report
