--- a/schedule/closed.go
+++ b/schedule/closed.go
@@ -2,41 +2,46 @@
 
 import "slices"
 
-// A pool is closed to a job once none of its upstreams may start anything of it any
-// more: they are leaving, their availability zone is evacuated, they are gone. Tasks
-// that wait there go back to the coordinator at once and find room elsewhere.
+// A pool is closed for a job when none of its upstreams accepts tasks of the job any
+// more, because they drain, their availability zone is evacuated, or their entries have
+// been removed from the store. The waiting tasks then go back to the coordinator at once,
+// which offers them to other pools.
 
-// admits reports whether anything new may start on an upstream, as far as it, the
-// operators and the platform's list have a say.
-func (p *Pool) admits(u *upstream) bool {
-	gone := !u.listed && p.now.Sub(u.unlistedAt) > p.cfg.RemovalGrace
-	return !u.Draining && !u.Closed && !gone
+// acceptsStarts reports whether an upstream accepts new tasks: it does not drain, is not
+// closed by the operators, and its entry in the store has not been missing for too long.
+// It ignores health and free capacity.
+func (p *Pool) acceptsStarts(u *upstream) bool {
+	removed := !u.listed && p.now.Sub(u.unlistedAt) > p.cfg.RemovalGrace
+	return !u.Draining && !u.Closed && !removed
 }
 
-// closed reports whether nothing may start on any upstream.
-func (p *Pool) closed() bool { return p.told && !slices.ContainsFunc(p.sorted, p.admits) }
+// closed reports whether no upstream accepts new tasks.
+func (p *Pool) closed() bool {
+	return p.upstreamsListed && !slices.ContainsFunc(p.sortedUpstreams, p.acceptsStarts)
+}
 
-// closedTo reports whether nothing of a job may start on any upstream. One that does
-// not answer, or is doubted, may do so soon, and counts.
-func (p *Pool) closedTo(j *job) bool {
-	return p.told && !p.fitsAny(j, p.admits)
+// closedFor reports whether no upstream that is large enough for a task of a job accepts
+// new tasks. Silent and ejected upstreams count as accepting, because they may recover
+// soon.
+func (p *Pool) closedFor(j *job) bool {
+	return p.upstreamsListed && !p.fitsAnyUpstream(j, p.acceptsStarts)
 }
 
-// fitsAny reports whether a task of a job fits, when it is empty and its room is as large as
-// it has been, on any upstream of its service for which may holds.
-func (p *Pool) fitsAny(j *job, may func(*upstream) bool) bool {
-	return slices.ContainsFunc(p.sorted, func(u *upstream) bool {
-		return u.Service == j.Service && j.Demand.Within(u.Capacity.Max(u.LargestCapacity)) && may(u)
+// fitsAnyUpstream reports whether a task of a job would fit on any eligible upstream of
+// its service if that upstream were empty and had its largest capacity so far.
+func (p *Pool) fitsAnyUpstream(j *job, eligible func(*upstream) bool) bool {
+	return slices.ContainsFunc(p.sortedUpstreams, func(u *upstream) bool {
+		return u.Service == j.Service && j.Demand.Within(u.Capacity.Max(u.LargestCapacity)) && eligible(u)
 	})
 }
 
-// fitsRoom reports whether a task of a job fits, when it is empty, on any upstream of its
-// service that is known to take something, with the room that it has now. Rooms shrink and
-// grow: a job that fits none may do so later, but nobody knows when.
-func (p *Pool) fitsRoom(j *job) bool {
+// fitsCurrentCapacity reports false if a task of a job fits on no empty upstream now but
+// would fit if the capacity of one had not shrunk. Such a job may fit again, but it is
+// not known when. Only upstreams of the job's service that accept new tasks count.
+func (p *Pool) fitsCurrentCapacity(j *job) bool {
 	shrunk := false
-	for _, u := range p.sorted {
-		if u.Service != j.Service || !p.admits(u) {
+	for _, u := range p.sortedUpstreams {
+		if u.Service != j.Service || !p.acceptsStarts(u) {
 			continue
 		}
 		if j.Demand.Within(u.Capacity) {
--- a/schedule/coordinator.go
+++ b/schedule/coordinator.go
@@ -30,10 +30,10 @@
 	if j.AliveAt.IsZero() {
 		return
 	}
-	c := p.coordinators[j.Key.Coordinator]
+	c := p.coordinatorLeases[j.Key.Coordinator]
 	if c == nil {
 		c = &coordinator{}
-		p.coordinators[j.Key.Coordinator] = c
+		p.coordinatorLeases[j.Key.Coordinator] = c
 	}
 	c.jobs++
 	j.coordinatorLease = c
@@ -46,20 +46,20 @@
 	}
 	j.coordinatorLease.jobs--
 	if j.coordinatorLease.jobs == 0 {
-		delete(p.coordinators, j.Key.Coordinator)
+		delete(p.coordinatorLeases, j.Key.Coordinator)
 	}
 }
 
 // RenewCoordinator takes that a coordinator was alive at a time, with the customers of all jobs that
 // it has not withdrawn.
 func (p *Pool) RenewCoordinator(coordinator string, alive time.Time) {
-	if c := p.coordinators[coordinator]; c != nil && alive.After(c.renewed) {
+	if c := p.coordinatorLeases[coordinator]; c != nil && alive.After(c.renewed) {
 		c.renewed = alive
 	}
 }
 
 // HasLeasedJobs reports whether the pool has jobs of a coordinator under a lease.
-func (p *Pool) HasLeasedJobs(coordinator string) bool { return p.coordinators[coordinator] != nil }
+func (p *Pool) HasLeasedJobs(coordinator string) bool { return p.coordinatorLeases[coordinator] != nil }
 
 // aliveAt is when the customer of a job under a lease was certainly there, last. An offer
 // that was long on its way may come behind a renewal that was sent after its job had
@@ -117,8 +117,8 @@
 // weighLeases notes which upstreams have no leases to be renewed now. It is done while time
 // passes: each placement looks at all upstreams, and would look at all runs.
 func (p *Pool) weighLeases() {
-	p.leasesAt = p.now
-	for _, u := range p.sorted {
+	p.renewalsCheckedAt = p.now
+	for _, u := range p.sortedUpstreams {
 		u.renewalBlocked = !p.mayRenew(u)
 	}
 }
@@ -126,7 +126,7 @@
 // leasesKnown makes sure that the note is of now: a pool whose process stood still reads
 // what came meanwhile before time passes for it.
 func (p *Pool) leasesKnown() {
-	if p.now.Sub(p.leasesAt) > leasesWeighed {
+	if p.now.Sub(p.renewalsCheckedAt) > leasesWeighed {
 		p.weighLeases()
 	}
 }
@@ -138,7 +138,7 @@
 // long, and gives back what waits of their jobs: a coordinator that was only slow has it
 // run elsewhere, if its customer is still there.
 func (p *Pool) giveUpUnheard() {
-	if len(p.coordinators) == 0 {
+	if len(p.coordinatorLeases) == 0 {
 		return
 	}
 	var unheard []*job
@@ -150,10 +150,10 @@
 	slices.SortFunc(unheard, func(a, b *job) int { return compareKeys(a.Key, b.Key) })
 	for _, j := range unheard {
 		for _, t := range j.taskList {
-			if r := p.byTask[p.ref(j, t)]; r != nil && r.job == j {
+			if r := p.runByTask[p.taskRef(j, t)]; r != nil && r.job == j {
 				p.stop(r, reasonUnheard) // its task waits again once it is over
 			}
 		}
-		p.returnAll(j, reasonUnheard)
+		p.returnAllWaiting(j, reasonUnheard)
 	}
 }
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -129,12 +129,12 @@
 	for _, r := range runs {
 		tasks = append(tasks, r.id.Task)
 	}
-	suspects := p.crashes.add(p.now, tasks)
+	suspects := p.crashHistory.add(p.now, tasks)
 	for _, ref := range suspects {
-		if len(p.byID[ref.Job]) > 0 {
-			p.decide(Decision{
+		if len(p.jobsByID[ref.Job]) > 0 {
+			p.addDecision(Decision{
 				Kind: DecidedSuspect, Job: ref.Job, Task: ref.Index, Upstream: u.ID,
-				Reason: "upstream " + strconv.Itoa(p.crashes.of(ref)) + " that crashes under it",
+				Reason: "upstream " + strconv.Itoa(p.crashHistory.of(ref)) + " that crashes under it",
 			})
 		}
 	}
@@ -144,12 +144,12 @@
 // giveUpConvicted ends the jobs of tasks under which upstreams have crashed too often.
 func (p *Pool) giveUpConvicted(suspects []fleet.TaskRef) {
 	for _, ref := range suspects {
-		if !p.crashes.convicted(ref) {
+		if !p.crashHistory.convicted(ref) {
 			continue
 		}
-		for _, j := range slices.Clone(p.byID[ref.Job]) {
+		for _, j := range slices.Clone(p.jobsByID[ref.Job]) {
 			if j.tasks[ref.Index] != nil {
-				p.end(j, Crashed)
+				p.endJob(j, Crashed)
 			}
 		}
 	}
@@ -157,18 +157,18 @@
 
 // isConvicted reports whether a task of a job must not be started any more.
 func (p *Pool) isConvicted(j *job) bool {
-	return slices.ContainsFunc(j.taskList, func(t *task) bool { return p.crashes.convicted(p.ref(j, t)) })
+	return slices.ContainsFunc(j.taskList, func(t *task) bool { return p.crashHistory.convicted(p.taskRef(j, t)) })
 }
 
 // isSuspected reports whether an upstream has crashed under a task.
-func (p *Pool) isSuspected(ref fleet.TaskRef) bool { return p.crashes.of(ref) > 0 }
+func (p *Pool) isSuspected(ref fleet.TaskRef) bool { return p.crashHistory.of(ref) > 0 }
 
 // chooseApart returns the upstream for a suspected task: the one with the fewest suspected
 // tasks and then the least work beside it, or nil.
 func (p *Pool) chooseApart(j *job) *upstream {
 	var best *upstream
 	var suspects, least int
-	for _, u := range p.sorted {
+	for _, u := range p.sortedUpstreams {
 		if u.Service != j.Service || !p.usable(u, p.now) || !j.Demand.Within(u.Capacity.Minus(u.used)) || placesApart(j, u, 1) == 0 {
 			continue
 		}
--- a/schedule/forecast.go
+++ b/schedule/forecast.go
@@ -41,7 +41,7 @@
 // newForecast returns the forecast for the tasks of one service.
 func (p *Pool) newForecast(service string) *forecast {
 	f := &forecast{now: p.now, carried: p.link.queued(p.now)}
-	for _, u := range p.sorted {
+	for _, u := range p.sortedUpstreams {
 		if u.Service != service || !p.usable(u, p.now) || !u.used.Within(u.Capacity) {
 			continue // what ends on one whose room has shrunk frees nothing yet
 		}
@@ -141,7 +141,7 @@
 	if !p.cfg.Policy.RejectEarly || len(p.queue) == 0 {
 		return
 	}
-	p.weighed = p.now
+	p.forecastAt = p.now
 	p.sortQueue()
 	forecasts := map[string]*forecast{}
 	var hopeless []*job
@@ -156,7 +156,7 @@
 		}
 	}
 	for _, j := range hopeless {
-		p.end(j, Expired)
+		p.endJob(j, Expired)
 	}
 }
 
@@ -166,7 +166,7 @@
 
 // rejectAtArrival is rejectHopeless unless the queue has just been weighed.
 func (p *Pool) rejectAtArrival() {
-	if p.now.Sub(p.weighed) >= weighEvery {
+	if p.now.Sub(p.forecastAt) >= weighEvery {
 		p.rejectHopeless()
 	}
 }
@@ -174,7 +174,7 @@
 // hopeless reports whether a job is expected to end late. The room of one that is
 // not is taken from the forecast.
 func (p *Pool) hopeless(j *job, f *forecast) bool {
-	if !j.hasBegun() && !p.fitsRoom(j) {
+	if !j.hasBegun() && !p.fitsCurrentCapacity(j) {
 		return true
 	}
 	tasks := j.waitingTasks()
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -36,7 +36,7 @@
 	h.pause = min(max(2*h.pause, firstDoubt), longestDoubt)
 	h.doubted = true
 	h.until = p.now.Add(h.pause)
-	p.decide(Decision{Kind: DecidedEject, Upstream: u.ID, Reason: reason, Task: h.failures, Age: h.pause})
+	p.addDecision(Decision{Kind: DecidedEject, Upstream: u.ID, Reason: reason, Task: h.failures, Age: h.pause})
 }
 
 // blame takes a failed run: its upstream is doubted at once. Few jobs fail by
@@ -73,7 +73,7 @@
 // trust takes a success.
 func (p *Pool) trust(u *upstream) {
 	if u.health.doubted {
-		p.decide(Decision{Kind: DecidedReadmit, Upstream: u.ID})
+		p.addDecision(Decision{Kind: DecidedReadmit, Upstream: u.ID})
 	}
 	u.health = health{}
 }
@@ -143,7 +143,7 @@
 	if !stalled && age+remaining < slowFactor*expect {
 		return
 	}
-	if remaining < expect*3/2+max(moveCost, moveAnswers*p.answerTime) {
+	if remaining < expect*3/2+max(moveCost, moveAnswers*p.answerTimeout) {
 		return
 	}
 	if !stalled && p.chooseBut(j, r.upstream.ID) == nil {
@@ -176,7 +176,7 @@
 
 // stalls reports whether a run has stood still.
 func (p *Pool) stalls(r *run) bool {
-	return r.percentAt.Sub(r.percentRoseAt) >= max(stalledFor, stalledAnswers*p.answerTime)
+	return r.percentAt.Sub(r.percentRoseAt) >= max(stalledFor, stalledAnswers*p.answerTimeout)
 }
 
 // remaining projects how much longer a run takes at its pace so far.
@@ -216,10 +216,10 @@
 const learnWeight = 0.02
 
 func (p *Pool) timesOf(route string) *runTimes {
-	t := p.times[route]
+	t := p.durationsByRoute[route]
 	if t == nil {
 		t = &runTimes{}
-		p.times[route] = t
+		p.durationsByRoute[route] = t
 	}
 	return t
 }
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -10,7 +10,7 @@
 
 // HandleStartResponse takes the answer to a start that was ordered of a life.
 func (p *Pool) HandleStartResponse(now time.Time, of fleet.UpstreamIncarnation, id fleet.Run, refusal fleet.Refusal, err error) Effects {
-	return p.do(now, func() {
+	return p.handle(now, func() {
 		u := p.upstreams[of.ID]
 		if u == nil || u.runs[id] == nil {
 			return // it has ended by now
@@ -62,22 +62,22 @@
 // lose ends the job of a run whose fate this pool cannot learn.
 func (p *Pool) lose(r *run) {
 	if r.job != nil && p.jobs[r.job.Key] == r.job {
-		p.end(r.job, Unknown)
+		p.endJob(r.job, Unknown)
 	}
 }
 
 // loseBlocked ends the jobs that a run keeps back of which nothing more will be known.
 func (p *Pool) loseBlocked(ref fleet.TaskRef) {
-	for _, j := range slices.Clone(p.byID[ref.Job]) {
+	for _, j := range slices.Clone(p.jobsByID[ref.Job]) {
 		if t := j.tasks[ref.Index]; t != nil && t.state == blocked {
-			p.end(j, Unknown)
+			p.endJob(j, Unknown)
 		}
 	}
 }
 
 // HandleStopResponse takes the answer to a stop that was ordered of a life.
 func (p *Pool) HandleStopResponse(now time.Time, of fleet.UpstreamIncarnation, id fleet.Run, err error) Effects {
-	return p.do(now, func() {
+	return p.handle(now, func() {
 		u := p.current(of, 0)
 		if u == nil || u.runs[id] == nil {
 			return
@@ -88,7 +88,7 @@
 			u.missedReports = 0
 			r.state = stopped
 			r.stopAckedAt, r.polledAt = now, now
-			p.out.Polls = append(p.out.Polls, u.ID)
+			p.effects.Polls = append(p.effects.Polls, u.ID)
 		case failure.Is(err, failure.Gone):
 			p.gone(u, "another life answers")
 		case failure.Is(err, failure.Conflict):
@@ -125,7 +125,7 @@
 	if u.missedReports > 0 || !p.heardLately(u) {
 		return 0
 	}
-	return u.seenEnds
+	return u.lastEndSequence
 }
 
 // PollOrder returns an order that asks for a report at once.
@@ -140,7 +140,7 @@
 
 // HandleHoldResponse takes the answer to a hold or a look that was sent to a life at a time.
 func (p *Pool) HandleHoldResponse(now time.Time, to fleet.UpstreamIncarnation, sent time.Time, report fleet.Report, err error) Effects {
-	return p.do(now, func() {
+	return p.handle(now, func() {
 		u := p.current(to, report.StartedUnixMs)
 		switch {
 		case u == nil:
@@ -158,12 +158,12 @@
 
 func (p *Pool) missed(u *upstream) {
 	u.missedReports++
-	p.reports.count(true)
+	p.missRate.count(true)
 	if u.silent || u.missedReports < p.missesToSilent() {
 		return
 	}
 	u.silent = true
-	p.decide(Decision{Kind: DecidedSilent, Upstream: u.ID, Task: len(u.runs), Age: p.now.Sub(u.clockReadAt)})
+	p.addDecision(Decision{Kind: DecidedSilent, Upstream: u.ID, Task: len(u.runs), Age: p.now.Sub(u.clockReadAt)})
 }
 
 // missesToSilent is how many reports in a row must not come before an upstream
@@ -172,21 +172,21 @@
 	if !p.cfg.Policy.ComparePeers {
 		return fewestMisses
 	}
-	return p.reports.enough()
+	return p.missRate.enough()
 }
 
 func (p *Pool) reported(u *upstream, sent time.Time, report fleet.Report) {
 	if u.silent {
-		p.decide(Decision{Kind: DecidedResponding, Upstream: u.ID, Age: p.now.Sub(u.clockReadAt)})
-		p.crashes.takeBack(u.suspectedTasks)
+		p.addDecision(Decision{Kind: DecidedResponding, Upstream: u.ID, Age: p.now.Sub(u.clockReadAt)})
+		p.crashHistory.takeBack(u.suspectedTasks)
 		u.suspectedTasks = nil
 	}
 	u.missedReports, u.silent = 0, false
-	p.reports.count(false)
+	p.missRate.count(false)
 	u.clockMs, u.clockReadAt = report.ClockMs, p.now
 	for _, e := range report.Ended {
-		if e.Sequence > u.seenEnds {
-			u.seenEnds = e.Sequence
+		if e.Sequence > u.lastEndSequence {
+			u.lastEndSequence = e.Sequence
 			p.ended(u, e)
 		}
 	}
@@ -196,7 +196,7 @@
 	u.reportRequestedAt = sent
 	p.readRunning(u, sent, report.Running)
 	u.accepted = true
-	p.everJoined = true
+	p.everAccepted = true
 }
 
 // readRunning compares what an upstream runs with the books.
@@ -275,7 +275,7 @@
 func (p *Pool) done(r *run) {
 	j := r.job
 	t := j.tasks[r.id.Task.Index]
-	p.setState(j, t, ended)
+	p.setTaskState(j, t, ended)
 	j.unfinished--
 	j.done = append(j.done, t.index)
 	took := p.now.Sub(r.orderedAt)
@@ -288,8 +288,8 @@
 	}
 	p.trust(r.upstream)
 	if j.unfinished == 0 {
-		p.forget(j)
-		p.result(j, Completed, nil)
+		p.removeJob(j)
+		p.addResult(j, Completed, nil)
 	}
 }
 
@@ -299,7 +299,7 @@
 	t.failedRuns++
 	p.blame(r)
 	if t.failedRuns >= j.MaxAttempts {
-		p.end(j, Failed)
+		p.endJob(j, Failed)
 		return
 	}
 	p.again(r, "failed")
@@ -307,7 +307,7 @@
 
 // gone takes the end of an upstream's life: nothing of it runs.
 func (p *Pool) gone(u *upstream, reason string) {
-	p.decide(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: reason})
+	p.addDecision(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: reason})
 	runs := sortedRuns(u)
 	suspects := p.crashed(u, runs)
 	p.drop(u)
@@ -324,7 +324,7 @@
 	if p.upstreams[u.ID] != u {
 		return
 	}
-	p.decide(Decision{Kind: DecidedFenced, Upstream: u.ID, Task: len(u.runs)})
+	p.addDecision(Decision{Kind: DecidedFenced, Upstream: u.ID, Task: len(u.runs)})
 	if len(p.fencedIDs) == 0 {
 		p.fencedAt = p.now
 	}
@@ -339,5 +339,5 @@
 
 func (p *Pool) drop(u *upstream) {
 	delete(p.upstreams, u.ID)
-	p.sorted = slices.DeleteFunc(p.sorted, func(o *upstream) bool { return o == u })
+	p.sortedUpstreams = slices.DeleteFunc(p.sortedUpstreams, func(o *upstream) bool { return o == u })
 }
--- a/schedule/link.go
+++ b/schedule/link.go
@@ -79,9 +79,9 @@
 
 // SetAnswerTimeout tells how long an answer may take before it counts as overdue, by
 // those that came lately. Orders are not repeated before that.
-func (p *Pool) SetAnswerTimeout(d time.Duration) { p.answerTime = d }
+func (p *Pool) SetAnswerTimeout(d time.Duration) { p.answerTimeout = d }
 
 // repeatPause is the pause before an order without an answer is sent again.
 func (p *Pool) repeatPause() time.Duration {
-	return max(minResendInterval, p.answerTime+p.link.queued(p.now))
+	return max(minResendInterval, p.answerTimeout+p.link.queued(p.now))
 }
--- a/schedule/lives.go
+++ b/schedule/lives.go
@@ -43,7 +43,7 @@
 // restarted replaces an upstream by its next life. What ran in the former life is over. A
 // run that may have begun in the next life, or may still begin there, is stopped first.
 func (p *Pool) restarted(u *upstream, next fleet.Upstream) *upstream {
-	p.decide(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: "it has started again"})
+	p.addDecision(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: "it has started again"})
 	runs := sortedRuns(u)
 	suspects := p.crashed(u, runs)
 	p.drop(u)
@@ -59,7 +59,7 @@
 	}
 	p.giveUpConvicted(suspects)
 	for _, id := range u.unresolvedStarts {
-		p.out.Stops = append(p.out.Stops, Stop{Upstream: life.Upstream, Run: id})
+		p.effects.Stops = append(p.effects.Stops, Stop{Upstream: life.Upstream, Run: id})
 	}
 	return life
 }
@@ -97,10 +97,10 @@
 }
 
 // insert puts an upstream into the books that is not there.
-func (p *Pool) insert(listed fleet.Upstream) *upstream {
-	u := &upstream{Upstream: listed, listed: true, runs: map[fleet.Run]*run{}}
+func (p *Pool) insert(entry fleet.Upstream) *upstream {
+	u := &upstream{Upstream: entry, listed: true, runs: map[fleet.Run]*run{}}
 	p.upstreams[u.ID] = u
-	p.sorted = append(p.sorted, u)
-	slices.SortFunc(p.sorted, func(a, b *upstream) int { return strings.Compare(a.ID, b.ID) })
+	p.sortedUpstreams = append(p.sortedUpstreams, u)
+	slices.SortFunc(p.sortedUpstreams, func(a, b *upstream) int { return strings.Compare(a.ID, b.ID) })
 	return u
 }
--- a/schedule/load.go
+++ b/schedule/load.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Waiting returns how many tasks wait.
-func (p *Pool) Waiting() int { return p.waiting }
+// Waiting returns the number of waiting tasks.
+func (p *Pool) Waiting() int { return p.waitingTasks }
 
-// Load is what a pool tells its coordinators.
+// Load is the load of a pool, as reported to coordinators.
 type Load struct {
-	Free     int   // tasks of the usual size that would fit now
-	Waiting  int   // tasks that wait
-	Capacity int64 // thousandths of a core of all usable upstreams
-	// Closed is set where nothing may start on any upstream. A pool that is handed
-	// over is not closed: another takes its place.
+	Free     int   // how many tasks of average size could start now
+	Waiting  int   // waiting tasks
+	Capacity int64 // of all usable upstreams, thousandths of a core
+	// Closed is set if no upstream accepts new tasks. It is not set for a pool that
+	// is draining, because the pool of another owner takes its place.
 	Closed bool
 }
 
-// Load returns the load of the pool. The room of slow upstreams counts only where
-// all are slow.
+// Load returns the load of the pool. The capacity of slow upstreams counts only if
+// all upstreams are slow.
 func (p *Pool) Load(now time.Time) Load {
 	p.now = now
 	l := Load{Waiting: p.Waiting(), Closed: !p.draining && p.closed()}
 	var slow Load
-	size := p.usualSize()
-	for _, u := range p.sorted {
+	taskMilliCPU := p.meanTaskMilliCPU()
+	for _, u := range p.sortedUpstreams {
 		if !p.usable(u, now) {
 			continue
 		}
-		into := &l
+		sum := &l
 		if p.slowness(u) > 1 {
-			into = &slow
+			sum = &slow
 		}
-		into.Capacity += u.Capacity.MilliCPU
-		into.Free += int(max(u.Capacity.Minus(u.used).MilliCPU, 0) / size)
+		sum.Capacity += u.Capacity.MilliCPU
+		sum.Free += int(max(u.Capacity.Minus(u.used).MilliCPU, 0) / taskMilliCPU)
 	}
 	if l.Capacity == 0 {
 		l.Capacity, l.Free = slow.Capacity, slow.Free
@@ -40,25 +40,26 @@
 	return l
 }
 
-// unknownSize is taken for the size of a task, in thousandths of a core, before
-// one has been seen.
-const unknownSize = 1000
+// defaultTaskMilliCPU is the assumed CPU demand of a task, in thousandths of a core,
+// while the pool has no task.
+const defaultTaskMilliCPU = 1000
 
-// usualSize is the mean demand of what runs and waits.
-func (p *Pool) usualSize() int64 {
-	sum, n := int64(0), int64(0)
-	for _, r := range p.byTask {
+// meanTaskMilliCPU returns the mean CPU demand, in thousandths of a core, of the tracked
+// runs and the queued jobs.
+func (p *Pool) meanTaskMilliCPU() int64 {
+	total, n := int64(0), int64(0)
+	for _, r := range p.runByTask {
 		if !r.foreign {
-			sum += r.demand.MilliCPU
+			total += r.demand.MilliCPU
 			n++
 		}
 	}
 	for _, j := range p.queue {
-		sum += j.Demand.MilliCPU
+		total += j.Demand.MilliCPU
 		n++
 	}
-	if n == 0 || sum == 0 {
-		return unknownSize
+	if n == 0 || total == 0 {
+		return defaultTaskMilliCPU
 	}
-	return sum / n
+	return total / n
 }
--- a/schedule/modelcheck_test.go
+++ b/schedule/modelcheck_test.go
@@ -30,7 +30,7 @@
 				continue
 			}
 			count++
-			if r := w.pool.byTask[w.pool.ref(j, t)]; r != nil {
+			if r := w.pool.runByTask[w.pool.taskRef(j, t)]; r != nil {
 				w.t.Fatalf("task %d of %s waits for a place while %v is in the books", t.index, j.Key.ID, r.id)
 			}
 		}
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -45,7 +45,7 @@
 // mostRoom is the most that is free on one upstream, thousandths of a core.
 func (p *Pool) mostRoom() int64 {
 	most := int64(0)
-	for _, u := range p.sorted {
+	for _, u := range p.sortedUpstreams {
 		if left := u.Capacity.MilliCPU - u.used.MilliCPU; left > most && p.usable(u, p.now) {
 			most = left
 		}
@@ -164,7 +164,7 @@
 // roomFor counts the tasks of a job that fit now, up to most.
 func (p *Pool) roomFor(j *job, most int) int {
 	n, slow, fast := 0, 0, false
-	for _, u := range p.sorted {
+	for _, u := range p.sortedUpstreams {
 		if u.Service != j.Service || !p.usable(u, p.now) {
 			continue
 		}
@@ -199,14 +199,14 @@
 
 // hasOther reports whether any upstream but one could run a task of j.
 func (p *Pool) hasOther(j *job, but string) bool {
-	return slices.ContainsFunc(p.sorted, func(u *upstream) bool {
+	return slices.ContainsFunc(p.sortedUpstreams, func(u *upstream) bool {
 		return u.ID != but && u.Service == j.Service && j.Demand.Within(u.Capacity) && p.usable(u, p.now)
 	})
 }
 
 // chooseFor returns the upstream for a task, or nil.
 func (p *Pool) chooseFor(j *job, t *task) *upstream {
-	if p.isSuspected(p.ref(j, t)) {
+	if p.isSuspected(p.taskRef(j, t)) {
 		return p.chooseApart(j)
 	}
 	return p.choose(j)
@@ -222,7 +222,7 @@
 	var best, slow *upstream
 	var least int64
 	leastSlow, fast := 0.0, false
-	for _, u := range p.sorted {
+	for _, u := range p.sortedUpstreams {
 		if u.Service != j.Service || !p.usable(u, p.now) || u.ID == but {
 			continue
 		}
@@ -257,7 +257,7 @@
 // usable reports whether an upstream may get a task now.
 func (p *Pool) usable(u *upstream, now time.Time) bool {
 	switch {
-	case !u.accepted, u.silent, u.foreignRuns > 0, !p.admits(u), u.renewalBlocked, !p.heardLately(u):
+	case !u.accepted, u.silent, u.foreignRuns > 0, !p.acceptsStarts(u), u.renewalBlocked, !p.heardLately(u):
 		return false
 	case u.health.doubted:
 		return now.After(u.health.until) && (len(u.runs) == 0 || !p.cfg.Policy.SingleTrial)
@@ -268,23 +268,23 @@
 
 func (p *Pool) start(j *job, t *task, u *upstream) {
 	t.lastRun++
-	p.setState(j, t, placed)
+	p.setTaskState(j, t, placed)
 	j.begun = true
 	carried := p.link.carry(p.now, orderBytes(j))
 	leaves := p.now.Add(carried)
 	r := &run{
-		id: fleet.Run{Task: p.ref(j, t), Number: t.lastRun}, job: j, upstream: u, demand: j.Demand,
+		id: fleet.Run{Task: p.taskRef(j, t), Number: t.lastRun}, job: j, upstream: u, demand: j.Demand,
 		state: starting, orderedAt: leaves, percentRoseAt: leaves, percentAt: leaves, remoteFactor: p.remoteness(j, u),
 	}
 	r.expectedDuration = r.longer(j.expectedTaskDuration)
 	p.add(r)
-	p.out.Starts = append(p.out.Starts, Start{
+	p.effects.Starts = append(p.effects.Starts, Start{
 		Upstream:  u.Upstream,
 		Order:     fleet.StartOrder{Run: r.id, Spec: j.Spec, LeaseUntilMs: p.grant(u), Token: p.token},
 		LinkDelay: carried,
 		SendBy:    p.now.Add(p.cfg.Lease),
 	})
-	p.decide(Decision{
+	p.addDecision(Decision{
 		Kind: DecidedStart, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: t.index, Run: t.lastRun, Upstream: u.ID,
 		FreeMilliCPU: u.Capacity.Minus(u.used).MilliCPU, Age: p.now.Sub(j.offeredAt),
 	})
@@ -292,11 +292,11 @@
 
 func (p *Pool) add(r *run) {
 	r.upstream.runs[r.id] = r
-	p.byTask[r.id.Task] = r
+	p.runByTask[r.id.Task] = r
 	r.upstream.used = r.upstream.used.Plus(r.demand)
 	if r.foreign {
 		r.upstream.foreignRuns++
-		p.block(r.id.Task)
+		p.blockTasks(r.id.Task)
 	}
 }
 
@@ -307,9 +307,9 @@
 		return
 	}
 	delete(r.upstream.runs, r.id)
-	if p.byTask[r.id.Task] == r {
-		delete(p.byTask, r.id.Task)
-		p.unblock(r.id.Task)
+	if p.runByTask[r.id.Task] == r {
+		delete(p.runByTask, r.id.Task)
+		p.unblockTasks(r.id.Task)
 	}
 	r.upstream.used = r.upstream.used.Minus(r.demand)
 	if r.foreign {
@@ -345,13 +345,13 @@
 	if t.state != placed {
 		return
 	}
-	if p.byTask[p.ref(j, t)] != nil {
-		p.setState(j, t, blocked) // a run of a former owner was found meanwhile
+	if p.runByTask[p.taskRef(j, t)] != nil {
+		p.setTaskState(j, t, blocked) // a run of a former owner was found meanwhile
 	} else {
-		p.setState(j, t, waiting)
+		p.setTaskState(j, t, waiting)
 		p.enqueue(j)
 	}
-	p.decide(Decision{
+	p.addDecision(Decision{
 		Kind: DecidedRetry, Job: j.Key.ID, Task: t.index, Run: t.lastRun, Upstream: r.upstream.ID, Reason: reason,
 		Age: p.now.Sub(j.offeredAt),
 	})
@@ -364,7 +364,7 @@
 	}
 	r.state = stopping
 	p.sendStop(r)
-	p.decide(Decision{
+	p.addDecision(Decision{
 		Kind: DecidedStop, Job: r.id.Task.Job, Task: r.id.Task.Index, Run: r.id.Number, Upstream: r.upstream.ID,
 		Reason: reason, Age: p.now.Sub(r.orderedAt),
 	})
@@ -372,5 +372,5 @@
 
 func (p *Pool) sendStop(r *run) {
 	r.stopSentAt = p.now
-	p.out.Stops = append(p.out.Stops, Stop{Upstream: r.upstream.Upstream, Run: r.id})
+	p.effects.Stops = append(p.effects.Stops, Stop{Upstream: r.upstream.Upstream, Run: r.id})
 }
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -9,74 +9,75 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// Pool holds a group of upstreams under one fencing token, and the jobs that
-// run or wait there. It is not safe for concurrent use.
+// Pool schedules jobs on a group of upstreams, which it owns under one fencing
+// token. It is not safe for concurrent use.
 type Pool struct {
-	cfg       Config
-	token     uint64
-	weighed   time.Time // when the queue was last weighed against the forecast
-	upstreams map[string]*upstream
-	sorted    []*upstream // by id
-	jobs      map[JobKey]*job
-	byID      map[string][]*job
-	byTask    map[fleet.TaskRef]*run
-	// coordinators are those with jobs here that work under a lease.
-	coordinators map[string]*coordinator
-	leasesAt     time.Time // when it was noted which upstreams have no leases to be renewed
-	queue        []*job    // with waiting tasks
-	waiting      int       // tasks that wait
-	times        map[string]*runTimes
-	crashes      crashes
-	reports      missRate // of all upstreams
-	meanSpeed    float64  // of all upstreams, as in speed
-	link         link
-	answerTime   time.Duration   // after which an answer is overdue
-	fencedIDs    map[string]bool // upstreams that have seen a higher token
-	fencedAt     time.Time       // when the first of them was lost
-	everJoined   bool
-	told         bool // the upstreams have been listed once
-	draining     bool
-	out          *Effects
-	now          time.Time
+	cfg             Config
+	token           uint64
+	forecastAt      time.Time // when the queue was last checked against a forecast
+	upstreams       map[string]*upstream
+	sortedUpstreams []*upstream // by ID
+	jobs            map[JobKey]*job
+	jobsByID        map[string][]*job
+	runByTask       map[fleet.TaskRef]*run
+	// coordinatorLeases has an entry for each coordinator that needs a lease and has
+	// jobs in the pool.
+	coordinatorLeases map[string]*coordinator
+	renewalsCheckedAt time.Time // when renewalBlocked of the upstreams was last updated
+	queue             []*job    // jobs with waiting tasks
+	waitingTasks      int
+	durationsByRoute  map[string]*runTimes
+	crashHistory      crashes
+	missRate          missRate // over all upstreams
+	meanSpeed         float64  // mean over all upstreams of the logarithm of actual to expected duration
+	link              link
+	answerTimeout     time.Duration   // after which an answer is overdue
+	fencedIDs         map[string]bool // upstreams that have seen a higher fencing token
+	fencedAt          time.Time       // when the first of them was lost
+	everAccepted      bool            // some upstream has accepted the fencing token
+	upstreamsListed   bool            // SetUpstreams has been called
+	draining          bool
+	effects           *Effects // of the input that is being handled
+	now               time.Time
 }
 
-// NewPool returns an empty pool whose orders carry a fencing token.
+// NewPool returns an empty pool whose orders carry the given fencing token.
 func NewPool(cfg Config, token uint64) *Pool {
 	return &Pool{
-		cfg: cfg, token: token, link: link{rate: linkShare * cfg.LinkRate}, upstreams: map[string]*upstream{}, jobs: map[JobKey]*job{}, byID: map[string][]*job{},
-		byTask: map[fleet.TaskRef]*run{}, coordinators: map[string]*coordinator{}, times: map[string]*runTimes{},
-		fencedIDs: map[string]bool{}, crashes: crashes{tasks: map[fleet.TaskRef]crashRecord{}},
+		cfg: cfg, token: token, link: link{rate: linkShare * cfg.LinkRate}, upstreams: map[string]*upstream{}, jobs: map[JobKey]*job{}, jobsByID: map[string][]*job{},
+		runByTask: map[fleet.TaskRef]*run{}, coordinatorLeases: map[string]*coordinator{}, durationsByRoute: map[string]*runTimes{},
+		fencedIDs: map[string]bool{}, crashHistory: crashes{tasks: map[fleet.TaskRef]crashRecord{}},
 	}
 }
 
-// Token returns the fencing token of the pool.
 func (p *Pool) Token() uint64 { return p.token }
 
-// do runs one input and returns its effects.
-func (p *Pool) do(now time.Time, input func()) Effects {
-	var out Effects
-	p.out, p.now = &out, now
+// handle runs one input, starts waiting tasks that fit now, and returns the effects.
+func (p *Pool) handle(now time.Time, input func()) Effects {
+	var effects Effects
+	p.effects, p.now = &effects, now
 	input()
 	p.place()
-	p.out = nil
-	return out
+	p.effects = nil
+	return effects
 }
 
-// SetUpstreams takes the group's upstreams as the store lists them. It returns
-// those that are new: the first report of each is still to be asked for.
+// SetUpstreams replaces the list of the group's upstreams by the entries in the
+// store. It returns the IDs of those that are new: the caller must request the
+// first report of each.
 func (p *Pool) SetUpstreams(now time.Time, list []fleet.Upstream) ([]string, Effects) {
 	var added []string
-	effects := p.do(now, func() {
-		p.told = true
+	effects := p.handle(now, func() {
+		p.upstreamsListed = true
 		listed := map[string]bool{}
 		for _, u := range list {
 			listed[u.ID] = true
-			known := p.upstreams[u.ID] != nil
-			if !p.fencedIDs[u.ID] && (known || !p.draining) && p.upsert(u) {
+			tracked := p.upstreams[u.ID] != nil
+			if !p.fencedIDs[u.ID] && (tracked || !p.draining) && p.upsert(u) {
 				added = append(added, u.ID)
 			}
 		}
-		for _, u := range p.sorted {
+		for _, u := range p.sortedUpstreams {
 			if u.listed && !listed[u.ID] {
 				u.listed = false
 				u.unlistedAt = now
@@ -87,49 +88,50 @@
 	return added, effects
 }
 
-// upsert reports whether the upstream is new. One that is draining stays so for
-// the rest of its life.
-func (p *Pool) upsert(listed fleet.Upstream) bool {
-	u := p.upstreams[listed.ID]
+// upsert adds or updates the upstream of an entry, and reports whether it is new. An
+// upstream that drains does so until its incarnation ends.
+func (p *Pool) upsert(entry fleet.Upstream) bool {
+	u := p.upstreams[entry.ID]
 	switch {
 	case u == nil:
-		p.insert(listed)
+		p.insert(entry)
 		return true
-	case listed.StartedUnixMs > u.StartedUnixMs:
-		u = p.restarted(u, listed)
-	case listed.StartedUnixMs == u.StartedUnixMs:
-		listed.Draining = listed.Draining || u.Draining
-		u.Upstream = listed
+	case entry.StartedUnixMs > u.StartedUnixMs:
+		u = p.restarted(u, entry)
+	case entry.StartedUnixMs == u.StartedUnixMs:
+		entry.Draining = entry.Draining || u.Draining
+		u.Upstream = entry
 	}
-	u.listed = true // an entry of a former life tells no more than that
+	u.listed = true // also if the entry is of a former incarnation, and is out of date otherwise
 	return false
 }
 
-// FencedAt returns when the pool lost the first of the upstreams that have seen
-// a higher token; zero where it has lost none.
+// FencedAt returns when the pool lost its first upstream to another owner, which is
+// noticed when the upstream has seen a higher fencing token. It returns the zero time
+// if the pool has lost none.
 func (p *Pool) FencedAt() time.Time { return p.fencedAt }
 
-// EverAccepted reports whether any upstream has accepted the pool's token.
-func (p *Pool) EverAccepted() bool { return p.everJoined }
+// EverAccepted reports whether any upstream has accepted the pool's fencing token.
+func (p *Pool) EverAccepted() bool { return p.everAccepted }
 
-// Drain makes the pool start nothing more. What waits is returned.
+// Drain stops the pool from starting tasks. Waiting tasks are returned.
 func (p *Pool) Drain(now time.Time) Effects {
-	return p.do(now, func() {
+	return p.handle(now, func() {
 		p.draining = true
 		for _, j := range slices.Clone(p.queue) {
-			p.returnAll(j, "draining")
+			p.returnAllWaiting(j, "draining")
 		}
 	})
 }
 
-// Release gives up the upstreams of a draining pool on which nothing runs, and
-// returns their ids: another owner may take them.
+// Release removes the upstreams of a draining pool that run nothing, and returns
+// their IDs: another owner may take them over.
 func (p *Pool) Release() []string {
 	if !p.draining {
 		return nil
 	}
 	var released []string
-	for _, u := range slices.Clone(p.sorted) {
+	for _, u := range slices.Clone(p.sortedUpstreams) {
 		if len(u.runs) == 0 {
 			p.drop(u)
 			released = append(released, u.ID)
@@ -138,12 +140,13 @@
 	return released
 }
 
-// Idle reports whether nothing runs or waits.
+// Idle reports whether the pool has no jobs and no runs. Runs on silent upstreams do
+// not count.
 func (p *Pool) Idle() bool {
 	if len(p.jobs) > 0 {
 		return false
 	}
-	for _, u := range p.sorted {
+	for _, u := range p.sortedUpstreams {
 		if len(u.runs) > 0 && !u.silent {
 			return false
 		}
@@ -151,12 +154,12 @@
 	return true
 }
 
-// Offer takes a job.
+// Offer adds a job to the pool.
 func (p *Pool) Offer(now time.Time, o Offer) Effects {
-	return p.do(now, func() { p.offer(o) })
+	return p.handle(now, func() { p.addOffer(o) })
 }
 
-func (p *Pool) offer(o Offer) {
+func (p *Pool) addOffer(o Offer) {
 	p.supersede(o.Key)
 	j := &job{Offer: o, offeredAt: p.now, tasks: map[int]*task{}, unfinished: len(o.Tasks), failedOn: map[string]bool{}, history: map[int]TaskHistory{}}
 	j.expectedTaskDuration = p.timesOf(o.Route).expect(o.Estimate)
@@ -164,94 +167,94 @@
 		t := &task{index: index, lastRun: o.History[index].LastRun, failedRuns: o.History[index].FailedRuns}
 		j.tasks[index] = t
 		j.taskList = append(j.taskList, t)
-		p.crashes.learn(p.now, p.ref(j, t), o.History[index].Crashes)
+		p.crashHistory.learn(p.now, p.taskRef(j, t), o.History[index].Crashes)
 	}
-	p.waiting += len(j.taskList)
+	p.waitingTasks += len(j.taskList)
 	for _, t := range j.taskList {
-		if p.byTask[p.ref(j, t)] != nil {
-			p.setState(j, t, blocked)
+		if p.runByTask[p.taskRef(j, t)] != nil {
+			p.setTaskState(j, t, blocked)
 		}
 	}
 	p.jobs[o.Key] = j
 	p.attend(j)
-	p.byID[o.Key.ID] = append(p.byID[o.Key.ID], j)
+	p.jobsByID[o.Key.ID] = append(p.jobsByID[o.Key.ID], j)
 	switch {
 	case p.draining:
-		p.returnAll(j, "draining")
+		p.returnAllWaiting(j, "draining")
 	case p.isConvicted(j):
-		p.end(j, Crashed)
-	case j.blockedTasks == 0 && !p.everFits(j):
-		p.end(j, NeverFits)
-	case !j.hasBegun() && !p.fitsRoom(j):
-		p.end(j, Expired)
+		p.endJob(j, Crashed)
+	case j.blockedTasks == 0 && !p.mayEverFit(j):
+		p.endJob(j, NeverFits)
+	case !j.hasBegun() && !p.fitsCurrentCapacity(j):
+		p.endJob(j, Expired)
 	default:
 		p.enqueue(j)
 		p.place()
 		switch {
 		case p.jobs[o.Key] != j || !j.hasWaiting():
-		case p.closedTo(j):
-			p.returnAll(j, "nothing may start here")
+		case p.closedFor(j):
+			p.returnAllWaiting(j, "nothing may start here")
 		case !j.MayQueue:
-			p.returnWaiting(j, "no room")
+			p.returnUnstarted(j, "no room")
 		default:
 			p.rejectAtArrival()
 		}
 	}
 }
 
-// block keeps back the tasks that wait for a place while a run of theirs is in the
-// books that was not ordered for them. They get no second run beside it, and are not
-// said never to have begun until it is certain that nothing of them is at work.
-func (p *Pool) block(ref fleet.TaskRef) {
-	for _, j := range p.byID[ref.Job] {
+// blockTasks blocks the waiting tasks that ref names, because a run of them is tracked
+// that was not ordered for their jobs. They must not get a second run beside it, and
+// must not be returned as never started before that run is certain to be over.
+func (p *Pool) blockTasks(ref fleet.TaskRef) {
+	for _, j := range p.jobsByID[ref.Job] {
 		if t := j.tasks[ref.Index]; t != nil && t.state == waiting {
-			p.setState(j, t, blocked)
+			p.setTaskState(j, t, blocked)
 		}
 	}
 }
 
-// unblock lets the tasks wait for a place again that such a run kept back.
-func (p *Pool) unblock(ref fleet.TaskRef) {
-	for _, j := range p.byID[ref.Job] {
+// unblockTasks lets the tasks that ref names wait for an upstream again.
+func (p *Pool) unblockTasks(ref fleet.TaskRef) {
+	for _, j := range p.jobsByID[ref.Job] {
 		if t := j.tasks[ref.Index]; t != nil && t.state == blocked {
-			p.setState(j, t, waiting)
+			p.setTaskState(j, t, waiting)
 			p.enqueue(j)
 		}
 	}
 }
 
-// enqueue puts a job with waiting tasks into the queue, unless it is there.
+// enqueue adds a job with waiting tasks to the queue, unless the queue has it already.
 func (p *Pool) enqueue(j *job) {
 	if !slices.Contains(p.queue, j) {
 		p.queue = append(p.queue, j)
 	}
 }
 
-// supersede ends what another coordinator offered of the same job: its customer
-// has left it, and sent it again.
+// supersede ends the offers that other coordinators made of the same job: its customer
+// has disconnected from them and submitted the job again.
 func (p *Pool) supersede(by JobKey) {
-	for _, j := range slices.Clone(p.byID[by.ID]) {
+	for _, j := range slices.Clone(p.jobsByID[by.ID]) {
 		if j.Key.Coordinator != by.Coordinator {
-			p.end(j, Unknown)
+			p.endJob(j, Unknown)
 		}
 	}
 }
 
-// everFits reports whether any upstream could run a task of j. A pool that
-// knows no upstream yet cannot tell, and says yes.
-func (p *Pool) everFits(j *job) bool {
-	known := slices.ContainsFunc(p.sorted, func(u *upstream) bool { return u.Service == j.Service })
-	return !known || p.fitsAny(j, func(*upstream) bool { return true })
+// mayEverFit reports whether any upstream is large enough for a task of j. It also
+// reports true while the pool has no upstream of the job's service.
+func (p *Pool) mayEverFit(j *job) bool {
+	hasService := slices.ContainsFunc(p.sortedUpstreams, func(u *upstream) bool { return u.Service == j.Service })
+	return !hasService || p.fitsAnyUpstream(j, func(*upstream) bool { return true })
 }
 
-// Withdraw ends a job that its coordinator does not want any more.
+// Withdraw ends a job that its coordinator no longer wants.
 func (p *Pool) Withdraw(now time.Time, key JobKey, reason string) Effects {
-	return p.do(now, func() { p.withdraw(key, reason) })
+	return p.handle(now, func() { p.withdraw(key, reason) })
 }
 
-// WithdrawAll ends all jobs of a coordinator that is gone.
+// WithdrawAll ends all jobs of a coordinator that has disconnected or failed.
 func (p *Pool) WithdrawAll(now time.Time, coordinator, reason string) Effects {
-	return p.do(now, func() {
+	return p.handle(now, func() {
 		for _, key := range p.jobKeys() {
 			if key.Coordinator == coordinator {
 				p.withdraw(key, reason)
@@ -279,49 +282,50 @@
 	if j == nil {
 		return
 	}
-	p.forget(j)
+	p.removeJob(j)
 	p.stopRuns(j, reason)
 }
 
-// forget takes a job out of the books. Its runs stay until they have ended.
-func (p *Pool) forget(j *job) {
+// removeJob stops tracking a job. Its runs stay tracked until they have ended.
+func (p *Pool) removeJob(j *job) {
 	if p.jobs[j.Key] == j {
 		delete(p.jobs, j.Key)
 		p.leave(j)
 	}
-	p.byID[j.Key.ID] = slices.DeleteFunc(p.byID[j.Key.ID], func(o *job) bool { return o == j })
-	if len(p.byID[j.Key.ID]) == 0 {
-		delete(p.byID, j.Key.ID)
+	p.jobsByID[j.Key.ID] = slices.DeleteFunc(p.jobsByID[j.Key.ID], func(o *job) bool { return o == j })
+	if len(p.jobsByID[j.Key.ID]) == 0 {
+		delete(p.jobsByID, j.Key.ID)
 	}
 	p.queue = slices.DeleteFunc(p.queue, func(o *job) bool { return o == j })
 	for _, t := range j.taskList {
 		if t.state == waiting || t.state == blocked {
-			p.setState(j, t, ended)
+			p.setTaskState(j, t, ended)
 		}
 	}
 }
 
-// setState changes the state of a task, and counts those that wait or are blocked.
-func (p *Pool) setState(j *job, t *task, s taskState) {
+// setTaskState changes the state of a task and updates the counts of waiting and blocked
+// tasks.
+func (p *Pool) setTaskState(j *job, t *task, s taskState) {
 	switch t.state {
 	case waiting:
-		p.waiting--
+		p.waitingTasks--
 	case blocked:
 		j.blockedTasks--
 	}
 	t.state = s
 	switch s {
 	case waiting:
-		p.waiting++
+		p.waitingTasks++
 	case blocked:
 		j.blockedTasks++
 	}
 }
 
-// stopRuns stops what still runs of a job.
+// stopRuns stops the remaining runs of a job, which are no longer wanted.
 func (p *Pool) stopRuns(j *job, reason string) {
 	for _, t := range j.taskList {
-		r := p.byTask[p.ref(j, t)]
+		r := p.runByTask[p.taskRef(j, t)]
 		if r == nil || r.job != j {
 			continue
 		}
@@ -330,33 +334,34 @@
 	}
 }
 
-func (p *Pool) ref(j *job, t *task) fleet.TaskRef {
+func (p *Pool) taskRef(j *job, t *task) fleet.TaskRef {
 	return fleet.TaskRef{Job: j.Key.ID, Index: t.index}
 }
 
-// end ends a job with an outcome: what runs of it is stopped.
-func (p *Pool) end(j *job, outcome Outcome) {
+// endJob ends a job with an outcome and stops its runs. Its tasks are returned if none of
+// them has started.
+func (p *Pool) endJob(j *job, outcome Outcome) {
 	j.begun = j.begun || j.blockedTasks > 0
-	p.forget(j)
+	p.removeJob(j)
 	p.stopRuns(j, string(outcome))
 	var returned []int
 	if !j.begun {
 		returned = j.Tasks
 	}
-	p.result(j, outcome, returned)
+	p.addResult(j, outcome, returned)
 }
 
-func (p *Pool) result(j *job, outcome Outcome, returned []int) {
-	p.out.Results = append(p.out.Results, Result{
+func (p *Pool) addResult(j *job, outcome Outcome, returned []int) {
+	p.effects.Results = append(p.effects.Results, Result{
 		Key: j.Key, Outcome: outcome, Done: j.done, Returned: returned, History: j.history, Begun: j.begun,
 	})
-	p.decide(Decision{
+	p.addDecision(Decision{
 		Kind: DecidedResult, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: len(j.done), Reason: string(outcome), Age: p.now.Sub(j.offeredAt),
 		Late: p.now.After(j.sent().Add(j.allowed())),
 	})
 }
 
-func (p *Pool) decide(d Decision) {
+func (p *Pool) addDecision(d Decision) {
 	d.Queued = p.Waiting()
-	p.out.Decisions = append(p.out.Decisions, d)
+	p.effects.Decisions = append(p.effects.Decisions, d)
 }
--- a/schedule/return.go
+++ b/schedule/return.go
@@ -5,66 +5,69 @@
 	"slices"
 )
 
-// What waits in a pool goes back to its coordinator where it finds no room, or nothing
-// may start any more.
+// Waiting tasks are returned to their coordinator if there is no capacity for them and
+// they may not queue, or if the pool will not start them any more.
 
-// returnWaiting gives the tasks that wait and never began back to the coordinator.
-func (p *Pool) returnWaiting(j *job, reason string) {
+// returnUnstarted returns the waiting tasks of a job that have never started to the
+// coordinator.
+func (p *Pool) returnUnstarted(j *job, reason string) {
 	p.returnTasks(j, reason, func(t *task) bool { return t.lastRun == 0 })
 }
 
-// returnAll gives all tasks that wait back to the coordinator, also those whose runs
-// came to nothing: the job is completed elsewhere, and not given up because its
-// first upstreams may start nothing more.
-func (p *Pool) returnAll(j *job, reason string) {
+// returnAllWaiting returns all waiting tasks of a job to the coordinator, also those with
+// earlier runs: the job can then be completed elsewhere instead of failing because the
+// upstreams of this pool accept no new tasks.
+func (p *Pool) returnAllWaiting(j *job, reason string) {
 	p.returnTasks(j, reason, func(*task) bool { return true })
 }
 
-// returnTasks gives those of the tasks that wait back to the coordinator that it may.
-func (p *Pool) returnTasks(j *job, reason string, may func(*task) bool) {
+// returnTasks returns the eligible waiting tasks of a job to the coordinator. The job ends
+// if no other tasks of it are left.
+func (p *Pool) returnTasks(j *job, reason string, eligible func(*task) bool) {
 	var returned []int
 	for _, t := range j.taskList {
-		if t.state != waiting || !may(t) {
+		if t.state != waiting || !eligible(t) {
 			continue
 		}
-		p.setState(j, t, ended)
+		p.setTaskState(j, t, ended)
 		j.unfinished--
 		returned = append(returned, t.index)
-		if past, ran := t.history(); ran {
-			past.Crashes = p.crashes.of(p.ref(j, t))
-			j.history[t.index] = past
+		if history, hasRun := t.history(); hasRun {
+			history.Crashes = p.crashHistory.of(p.taskRef(j, t))
+			j.history[t.index] = history
 		}
 	}
 	if len(returned) == 0 {
 		return
 	}
-	p.decide(Decision{Kind: DecidedReturn, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: len(returned), Reason: reason})
+	p.addDecision(Decision{Kind: DecidedReturn, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: len(returned), Reason: reason})
 	if j.unfinished == 0 {
-		p.forget(j)
-		p.result(j, Completed, returned)
+		p.removeJob(j)
+		p.addResult(j, Completed, returned)
 		return
 	}
-	p.out.Returns = append(p.out.Returns, Result{Key: j.Key, Returned: returned, History: maps.Clone(j.history), Begun: j.begun})
+	p.effects.Returns = append(p.effects.Returns, Result{Key: j.Key, Returned: returned, History: maps.Clone(j.history), Begun: j.begun})
 }
 
-// returnUnplaced gives back what was blocked when its job was offered, and would have
-// been given back then: all of a pool that drains, and what may not wait here.
-func (p *Pool) returnUnplaced() {
+// returnUnblocked returns the tasks that were blocked when their job was offered, and would
+// otherwise have been returned then: all tasks of a pool that drains, and those of jobs
+// that may not queue.
+func (p *Pool) returnUnblocked() {
 	for _, j := range slices.Clone(p.queue) {
 		switch {
 		case p.draining:
-			p.returnAll(j, "draining")
+			p.returnAllWaiting(j, "draining")
 		case !j.MayQueue:
-			p.returnWaiting(j, "no room")
+			p.returnUnstarted(j, "no room")
 		}
 	}
 }
 
-// returnClosed gives back what waits for upstreams that may start nothing more.
+// returnClosed returns the waiting tasks of jobs for which the pool is closed.
 func (p *Pool) returnClosed() {
 	for _, j := range slices.Clone(p.queue) {
-		if p.closedTo(j) {
-			p.returnAll(j, "nothing may start here")
+		if p.closedFor(j) {
+			p.returnAllWaiting(j, "nothing may start here")
 		}
 	}
 }
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -331,7 +331,7 @@
 	clockMs         int64       // its clock, as of the last report
 	clockReadAt     time.Time   // when the last report came
 	maxLeaseUntilMs int64       // the latest end of a lease that was ordered, on its clock
-	seenEnds        uint64      // sequence number of the last end of a run that was processed
+	lastEndSequence uint64      // sequence number of the last end of a run that was processed
 	recentEnds      []fleet.Run // the last runs that ended, newest last
 	// unresolvedStarts are runs that are no longer tracked although it is not known
 	// whether they ever started.
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -7,16 +7,16 @@
 
 // Tick lets time pass.
 func (p *Pool) Tick(now time.Time) Effects {
-	return p.do(now, func() {
-		for _, u := range slices.Clone(p.sorted) {
+	return p.handle(now, func() {
+		for _, u := range slices.Clone(p.sortedUpstreams) {
 			p.tickUpstream(u)
 		}
-		p.crashes.forget(now)
+		p.crashHistory.forget(now)
 		p.giveUpUnheard()
 		p.weighLeases()
 		p.place()
 		p.returnClosed()
-		p.returnUnplaced()
+		p.returnUnblocked()
 		p.rejectHopeless()
 		for _, j := range slices.Clone(p.queue) {
 			p.expire(j)
@@ -34,14 +34,14 @@
 			p.sendStop(r)
 		case r.state == stopped && p.now.Sub(r.polledAt) >= p.repeatPause() && !u.silent:
 			r.polledAt = p.now
-			p.out.Polls = append(p.out.Polls, u.ID)
+			p.effects.Polls = append(p.effects.Polls, u.ID)
 		case r.state == running:
 			p.lookIfOverdue(r)
 			p.checkProgress(r)
 		}
 	}
 	if !u.listed && len(u.runs) == 0 && p.now.Sub(u.unlistedAt) > p.cfg.RemovalGrace {
-		p.decide(Decision{Kind: DecidedGone, Upstream: u.ID, Reason: "its entry is gone"})
+		p.addDecision(Decision{Kind: DecidedGone, Upstream: u.ID, Reason: "its entry is gone"})
 		p.drop(u)
 	}
 }
@@ -65,14 +65,14 @@
 // 400 ms later. On a sound network it asks for nothing.
 func (p *Pool) lookIfOverdue(r *run) {
 	u := r.upstream
-	if !p.cfg.Policy.LookOverdue || p.reports.share < lossyShare || u.silent || p.now.Before(r.expectedEnd(p.now)) && !p.now.After(r.orderedAt.Add(r.expect())) {
+	if !p.cfg.Policy.LookOverdue || p.missRate.share < lossyShare || u.silent || p.now.Before(r.expectedEnd(p.now)) && !p.now.After(r.orderedAt.Add(r.expect())) {
 		return
 	}
 	if p.now.Sub(u.reportRequestedAt) < overdueLook || p.now.Sub(r.polledAt) < overdueLook {
 		return
 	}
 	r.polledAt = p.now
-	p.out.Polls = append(p.out.Polls, u.ID)
+	p.effects.Polls = append(p.effects.Polls, u.ID)
 }
 
 // expire gives up a job that cannot end while that is of use, because tasks of
@@ -88,7 +88,7 @@
 	}
 	for _, t := range j.taskList {
 		if t.state == waiting {
-			p.end(j, Expired)
+			p.endJob(j, Expired)
 			return
 		}
 	}
@@ -97,5 +97,5 @@
 // anyLeft reports whether any upstream that answers could run a task of j, now or
 // once it is not doubted any more.
 func (p *Pool) anyLeft(j *job) bool {
-	return p.fitsAny(j, func(u *upstream) bool { return u.accepted && !u.silent && p.admits(u) })
+	return p.fitsAnyUpstream(j, func(u *upstream) bool { return u.accepted && !u.silent && p.acceptsStarts(u) })
 }
