--- a/schedule/coordinator.go
+++ b/schedule/coordinator.go
@@ -7,40 +7,42 @@
 	"github.com/samber/lo"
 )
 
-// A pool works for a coordinator under a lease. It may hear late that a coordinator, or
-// a customer behind it, has given a job up: the coordinator stands still, or the
-// connection to it has gone silent, or has ended at the other side alone, or delivers
-// late. The customer sends the job again 1.3 s later, to another coordinator; by then
-// nothing of the first sending may be at work.
+// A coordinator holds a lease with each pool that works for it. The pool may learn late
+// that a coordinator, or a customer behind it, has abandoned a job: the coordinator may be
+// paused, or its connection may silently drop data, be closed at the other end only, or
+// deliver late. The customer resubmits the job to another coordinator 1.3 s later. By then
+// no run of the first submission may be left.
 //
-// What counts is when the coordinator is known to have been alive, on the pool's own
-// clock: it repeats the time of the last heartbeat that it heard from here, having looked
-// after the customers of all its jobs first. However late that arrives, it was alive
-// after the heartbeat was sent, and what it has withdrawn till then has been read.
-
-// coordinator is one that has jobs in a pool under a lease.
-type coordinator struct {
-	renewed time.Time // when it is known to have been alive last; zero before a renewal
-	jobs    int
+// What counts is when the coordinator was last known to be alive, on the pool's own clock.
+// A renewal therefore repeats the time of the last heartbeat that the coordinator received
+// from the pool's instance, and is sent after the coordinator has checked the connections
+// of the customers of all its jobs. However late the renewal arrives, the coordinator was
+// alive after that heartbeat was sent, and everything that it had withdrawn until then has
+// been received.
+
+// coordinatorLease is the lease of a coordinator that has jobs in a pool.
+type coordinatorLease struct {
+	aliveAt time.Time // when the coordinator was last known to be alive; zero before the first renewal
+	jobs    int       // in the pool
 }
 
-// attend makes a job count for its coordinator. One without a time lives and dies with
-// the pool, and needs no lease.
-func (p *Pool) attend(j *job) {
+// joinLease puts a job under the lease of its coordinator. A job without AliveAt needs no
+// lease: its coordinator is in the same process as the pool.
+func (p *Pool) joinLease(j *job) {
 	if j.AliveAt.IsZero() {
 		return
 	}
 	c := p.coordinatorLeases[j.Key.Coordinator]
 	if c == nil {
-		c = &coordinator{}
+		c = &coordinatorLease{}
 		p.coordinatorLeases[j.Key.Coordinator] = c
 	}
 	c.jobs++
 	j.coordinatorLease = c
 }
 
-// leave makes a job count no more.
-func (p *Pool) leave(j *job) {
+// leaveLease removes a job from the lease of its coordinator.
+func (p *Pool) leaveLease(j *job) {
 	if j.coordinatorLease == nil {
 		return
 	}
@@ -50,47 +52,48 @@
 	}
 }
 
-// RenewCoordinator takes that a coordinator was alive at a time, with the customers of all jobs that
-// it has not withdrawn.
+// RenewCoordinator renews the lease of a coordinator: at the time alive it was running, and
+// the customers of all jobs that it had not withdrawn were connected.
 func (p *Pool) RenewCoordinator(coordinator string, alive time.Time) {
-	if c := p.coordinatorLeases[coordinator]; c != nil && alive.After(c.renewed) {
-		c.renewed = alive
+	if c := p.coordinatorLeases[coordinator]; c != nil && alive.After(c.aliveAt) {
+		c.aliveAt = alive
 	}
 }
 
 // HasLeasedJobs reports whether the pool has jobs of a coordinator under a lease.
 func (p *Pool) HasLeasedJobs(coordinator string) bool { return p.coordinatorLeases[coordinator] != nil }
 
-// aliveAt is when the customer of a job under a lease was certainly there, last. An offer
-// that was long on its way may come behind a renewal that was sent after its job had
-// ended: it counts only once its coordinator was alive after it came.
-func (p *Pool) aliveAt(j *job) time.Time {
-	late := j.offeredAt.Sub(j.AliveAt) > p.cfg.CoordinatorStaleAfter
-	if late && j.coordinatorLease.renewed.Before(j.offeredAt) || j.coordinatorLease.renewed.Before(j.AliveAt) {
+// lastAlive returns when the customer of a job under a lease was last known to be
+// connected. An offer that was delayed may arrive after a renewal that was sent when the job
+// had already ended, so for a delayed offer a renewal counts only if the coordinator was
+// alive after the offer arrived.
+func (p *Pool) lastAlive(j *job) time.Time {
+	delayed := j.offeredAt.Sub(j.AliveAt) > p.cfg.CoordinatorStaleAfter
+	if delayed && j.coordinatorLease.aliveAt.Before(j.offeredAt) || j.coordinatorLease.aliveAt.Before(j.AliveAt) {
 		return j.AliveAt
 	}
-	return j.coordinatorLease.renewed
+	return j.coordinatorLease.aliveAt
 }
 
-// mayStart reports whether the coordinator of a job was alive lately enough for tasks
-// to start.
+// mayStart reports whether the coordinator of a job was alive recently enough for tasks of
+// the job to start.
 func (p *Pool) mayStart(j *job) bool {
-	return j.coordinatorLease == nil || p.now.Sub(p.aliveAt(j)) <= p.cfg.CoordinatorStaleAfter
+	return j.coordinatorLease == nil || p.now.Sub(p.lastAlive(j)) <= p.cfg.CoordinatorStaleAfter
 }
 
-// unheard reports whether nothing was heard of the coordinator of a job for so long that
-// it is given up.
-func (p *Pool) unheard(j *job) bool {
-	return j.coordinatorLease != nil && p.now.Sub(lo.Latest(p.aliveAt(j), j.offeredAt)) > p.cfg.CoordinatorExpiresAfter
+// coordinatorExpired reports whether the coordinator of a job has not been known to be alive
+// for so long that the job is abandoned.
+func (p *Pool) coordinatorExpired(j *job) bool {
+	return j.coordinatorLease != nil && p.now.Sub(lo.Latest(p.lastAlive(j), j.offeredAt)) > p.cfg.CoordinatorExpiresAfter
 }
 
-// doubtful reports whether a run may not be wanted any more, or is known not to be for
-// so long that the lease of its upstream must not be renewed: it has to be over when the
-// customer has the task run elsewhere, also if no stop can be delivered.
-func (p *Pool) doubtful(r *run) bool {
+// blocksRenewal reports whether the leases of a run's upstream must not be renewed because
+// the run may be unwanted, or has been unwanted for some time. Its lease then ends before
+// the customer has the task run elsewhere, even if no stop can be delivered.
+func (p *Pool) blocksRenewal(r *run) bool {
 	switch {
 	case r.foreign:
-		return false // nothing starts and no lease is renewed while there is one
+		return false // foreign runs block starts and renewals by themselves
 	case r.job == nil:
 		return p.now.Sub(r.unwantedSince) > p.cfg.CoordinatorStaleAfter
 	default:
@@ -98,62 +101,63 @@
 	}
 }
 
-// mayRenew reports whether the leases of an upstream may be renewed, and so whether
-// anything new may start there.
-func (p *Pool) mayRenew(u *upstream) bool {
+// mayRenewLeases reports whether the leases of an upstream may be renewed, and therefore
+// whether tasks may start there: a start extends the leases of all runs on its upstream.
+func (p *Pool) mayRenewLeases(u *upstream) bool {
 	for _, r := range u.runs {
-		if p.doubtful(r) {
+		if p.blocksRenewal(r) {
 			return false
 		}
 	}
 	return true
 }
 
-// leasesWeighed is how long a note holds of which upstreams have no leases to be renewed:
-// a start that goes by it prolongs what runs beside it, so that it adds to AliveToStart.
-// Time passes for a pool twice as often, unless its process stood still.
-const leasesWeighed = 50 * time.Millisecond
+// maxRenewalCheckAge is how long the result of checkRenewals is used. A start that relies on
+// it extends the leases of the other runs on its upstream, so this time adds to
+// CoordinatorStaleAfter. Ticks come at half this interval unless the process was paused.
+const maxRenewalCheckAge = 50 * time.Millisecond
 
-// weighLeases notes which upstreams have no leases to be renewed now. It is done while time
-// passes: each placement looks at all upstreams, and would look at all runs.
-func (p *Pool) weighLeases() {
+// checkRenewals updates renewalBlocked of all upstreams. It runs at each tick rather than at
+// each placement, which goes through all upstreams and would have to go through all runs.
+func (p *Pool) checkRenewals() {
 	p.renewalsCheckedAt = p.now
 	for _, u := range p.sortedUpstreams {
-		u.renewalBlocked = !p.mayRenew(u)
+		u.renewalBlocked = !p.mayRenewLeases(u)
 	}
 }
 
-// leasesKnown makes sure that the note is of now: a pool whose process stood still reads
-// what came meanwhile before time passes for it.
-func (p *Pool) leasesKnown() {
-	if p.now.Sub(p.renewalsCheckedAt) > leasesWeighed {
-		p.weighLeases()
+// refreshRenewalCheck repeats checkRenewals if the last check is too old: after a pause of
+// the process, inputs that arrived meanwhile are handled before the next tick.
+func (p *Pool) refreshRenewalCheck() {
+	if p.now.Sub(p.renewalsCheckedAt) > maxRenewalCheckAge {
+		p.checkRenewals()
 	}
 }
 
-// reasonUnheard is why the work of a coordinator is given up.
-const reasonUnheard = "its coordinator is not heard"
+// reasonCoordinatorExpired is the reason given for the stops and returns of
+// abandonExpiredCoordinators.
+const reasonCoordinatorExpired = "its coordinator is not heard"
 
-// giveUpUnheard stops the runs of coordinators that were not known to be alive for too
-// long, and gives back what waits of their jobs: a coordinator that was only slow has it
-// run elsewhere, if its customer is still there.
-func (p *Pool) giveUpUnheard() {
+// abandonExpiredCoordinators stops the runs of coordinators that have not been known to be
+// alive for too long, and returns the waiting tasks of their jobs: a coordinator that was
+// only slow has them run elsewhere, if the customer is still connected.
+func (p *Pool) abandonExpiredCoordinators() {
 	if len(p.coordinatorLeases) == 0 {
 		return
 	}
-	var unheard []*job
+	var expired []*job
 	for _, j := range p.jobs {
-		if p.unheard(j) {
-			unheard = append(unheard, j)
+		if p.coordinatorExpired(j) {
+			expired = append(expired, j)
 		}
 	}
-	slices.SortFunc(unheard, func(a, b *job) int { return compareKeys(a.Key, b.Key) })
-	for _, j := range unheard {
+	slices.SortFunc(expired, func(a, b *job) int { return compareKeys(a.Key, b.Key) })
+	for _, j := range expired {
 		for _, t := range j.taskList {
 			if r := p.runByTask[p.taskRef(j, t)]; r != nil && r.job == j {
-				p.stop(r, reasonUnheard) // its task waits again once it is over
+				p.stop(r, reasonCoordinatorExpired) // the task waits again when the run is over
 			}
 		}
-		p.returnAllWaiting(j, reasonUnheard)
+		p.returnAllWaiting(j, reasonCoordinatorExpired)
 	}
 }
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -108,7 +108,7 @@
 	p.now = now
 	o := fleet.HoldOrder{Token: p.token, AckedSequence: p.seenEnds(u)}
 	// Runs of a former owner are over at the latest with the leases that it granted.
-	if u.accepted && !u.silent && u.foreignRuns == 0 && p.mayRenew(u) {
+	if u.accepted && !u.silent && u.foreignRuns == 0 && p.mayRenewLeases(u) {
 		o.LeaseUntilMs = p.grant(u)
 	}
 	if u.accepted && u.missedReports == 0 {
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -18,7 +18,7 @@
 	if p.draining || len(p.queue) == 0 {
 		return
 	}
-	p.leasesKnown()
+	p.refreshRenewalCheck()
 	room := p.mostRoom()
 	if room <= 0 {
 		return
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -22,7 +22,7 @@
 	runByTask       map[fleet.TaskRef]*run
 	// coordinatorLeases has an entry for each coordinator that needs a lease and has
 	// jobs in the pool.
-	coordinatorLeases map[string]*coordinator
+	coordinatorLeases map[string]*coordinatorLease
 	renewalsCheckedAt time.Time // when renewalBlocked of the upstreams was last updated
 	queue             []*job    // jobs with waiting tasks
 	waitingTasks      int
@@ -45,7 +45,7 @@
 func NewPool(cfg Config, token uint64) *Pool {
 	return &Pool{
 		cfg: cfg, token: token, link: link{rate: linkShare * cfg.LinkRate}, upstreams: map[string]*upstream{}, jobs: map[JobKey]*job{}, jobsByID: map[string][]*job{},
-		runByTask: map[fleet.TaskRef]*run{}, coordinatorLeases: map[string]*coordinator{}, durationsByRoute: map[string]*runTimes{},
+		runByTask: map[fleet.TaskRef]*run{}, coordinatorLeases: map[string]*coordinatorLease{}, durationsByRoute: map[string]*runTimes{},
 		fencedIDs: map[string]bool{}, crashHistory: crashes{tasks: map[fleet.TaskRef]crashRecord{}},
 	}
 }
@@ -176,7 +176,7 @@
 		}
 	}
 	p.jobs[o.Key] = j
-	p.attend(j)
+	p.joinLease(j)
 	p.jobsByID[o.Key.ID] = append(p.jobsByID[o.Key.ID], j)
 	switch {
 	case p.draining:
@@ -290,7 +290,7 @@
 func (p *Pool) removeJob(j *job) {
 	if p.jobs[j.Key] == j {
 		delete(p.jobs, j.Key)
-		p.leave(j)
+		p.leaveLease(j)
 	}
 	p.jobsByID[j.Key.ID] = slices.DeleteFunc(p.jobsByID[j.Key.ID], func(o *job) bool { return o == j })
 	if len(p.jobsByID[j.Key.ID]) == 0 {
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -306,7 +306,7 @@
 
 type job struct {
 	Offer
-	coordinatorLease     *coordinator // nil if the coordinator needs no lease
+	coordinatorLease     *coordinatorLease // nil if the coordinator needs no lease
 	offeredAt            time.Time
 	expectedTaskDuration time.Duration
 	tasks                map[int]*task // by index
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -12,8 +12,8 @@
 			p.tickUpstream(u)
 		}
 		p.crashHistory.forget(now)
-		p.giveUpUnheard()
-		p.weighLeases()
+		p.abandonExpiredCoordinators()
+		p.checkRenewals()
 		p.place()
 		p.returnClosed()
 		p.returnUnblocked()
