--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -8,120 +8,125 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// A task may crash each upstream that starts it. One crash does not tell whether it was the
-// upstream's fault, or whose of the tasks that ran there: what repeats tells. All that ran
-// there is suspected, but where some of it was at work in a crash before, that alone is. A
-// suspected task is tried where the least is lost beside it, and given up once upstreams
-// have crashed under it often enough.
+// A task may crash every upstream that starts it. A single crash does not show whether the
+// upstream or one of the tasks that ran on it was the cause; repeated crashes do. After a
+// crash all tasks that ran on the upstream become suspects, except that if some of them had
+// been running in earlier crashes, only those with the most crashes do. A suspect is started
+// on the upstream where another crash would do the least harm. Its job fails once enough
+// upstreams have crashed while they ran it.
 
 const (
-	// crashesToGiveUp is how many upstreams may crash under a task at the most, and
-	// crashesToBlame how many where crashes mostly repeat under tasks: then it is not the
-	// upstreams that come and go.
-	crashesToGiveUp = 3
-	crashesToBlame  = 2
-	// repeatShare is the share of late crashes that must be under a task that was at work in
-	// one before: a task that crashes two upstreams makes it a half, upstreams that come and
-	// go by themselves a tenth.
-	repeatShare = 0.4
-	// crashWindow is how far back crashes count for that: some times what an upstream takes
-	// to come back, and to be given the same task again.
+	// maxCrashes is the number of upstreams that crashed while they ran a task after which
+	// the task is not started again.
+	maxCrashes = 3
+	// maxCrashesIfRepeating is the same limit while recent crashes often repeat under the
+	// same tasks, which shows that upstreams do not crash for reasons of their own.
+	maxCrashesIfRepeating = 2
+	// minRepeatedShare is the share of recent crashes that must be repeated for that: one
+	// task that crashes two upstreams makes it one half, while upstreams that end and restart
+	// independently of their tasks make it about a tenth.
+	minRepeatedShare = 0.4
+	// crashWindow is how long a crash counts as recent: several times as long as an upstream
+	// needs to restart and to be given the same task again.
 	crashWindow = 10 * time.Second
-	// crashMemory is how long a crash is remembered of a task: longer than customers go on
-	// sending a job again.
-	crashMemory = time.Minute
+	// crashRetention is how long the crashes of a task are remembered: longer than customers
+	// keep resubmitting a job.
+	crashRetention = time.Minute
 )
 
-// crashRecord is what is known of one task.
+// crashRecord holds the crashes of one task.
 type crashRecord struct {
-	count int // of upstreams that crashed under it
-	last  time.Time
+	count  int // upstreams that crashed while they ran the task
+	lastAt time.Time
 }
 
-// crash is one crash of an upstream with work.
+// crash is one crash of an upstream that ran tasks.
 type crash struct {
 	at       time.Time
-	repeated bool // under a task that was at work in one before
+	repeated bool // one of the suspects had been running in an earlier crash
 }
 
-// crashes are the crashes of a pool's upstreams.
-type crashes struct {
-	tasks map[fleet.TaskRef]crashRecord
-	late  []crash // of the window, oldest first
+// crashHistory holds the crashes of a pool's upstreams.
+type crashHistory struct {
+	tasks  map[fleet.TaskRef]crashRecord
+	recent []crash // within crashWindow, oldest first
 }
 
-// of returns how many upstreams have crashed under a task.
-func (c *crashes) of(ref fleet.TaskRef) int { return c.tasks[ref].count }
+// count returns how many upstreams have crashed while they ran a task.
+func (c *crashHistory) count(ref fleet.TaskRef) int { return c.tasks[ref].count }
 
-// learn takes what another pool knows of a task.
-func (c *crashes) learn(now time.Time, ref fleet.TaskRef, count int) {
-	if count > c.of(ref) {
+// importCount raises the count of a task to the one that another pool has recorded.
+func (c *crashHistory) importCount(now time.Time, ref fleet.TaskRef, count int) {
+	if count > c.count(ref) {
 		c.tasks[ref] = crashRecord{count, now}
 	}
 }
 
-// suspects returns those of the tasks that were at work in a crash that are suspected.
-func (c *crashes) suspects(tasks []fleet.TaskRef) []fleet.TaskRef {
+// selectSuspects returns the suspects among the tasks that were running in a crash: those
+// with the most crashes so far.
+func (c *crashHistory) selectSuspects(tasks []fleet.TaskRef) []fleet.TaskRef {
 	most := 0
 	for _, ref := range tasks {
-		most = max(most, c.of(ref))
+		most = max(most, c.count(ref))
 	}
-	return slices.DeleteFunc(slices.Clone(tasks), func(ref fleet.TaskRef) bool { return c.of(ref) < most })
+	return slices.DeleteFunc(slices.Clone(tasks), func(ref fleet.TaskRef) bool { return c.count(ref) < most })
 }
 
-// add takes a crash under some tasks, and returns those that are suspected.
-func (c *crashes) add(now time.Time, tasks []fleet.TaskRef) []fleet.TaskRef {
-	suspects := c.suspects(tasks)
+// record adds a crash of an upstream that ran the given tasks, and returns the suspects.
+func (c *crashHistory) record(now time.Time, tasks []fleet.TaskRef) []fleet.TaskRef {
+	suspects := c.selectSuspects(tasks)
 	repeated := false
 	for _, ref := range suspects {
 		r := c.tasks[ref]
 		repeated = repeated || r.count > 0
 		c.tasks[ref] = crashRecord{r.count + 1, now}
 	}
-	c.late = append(c.late, crash{now, repeated})
+	c.recent = append(c.recent, crash{now, repeated})
 	return suspects
 }
 
-// takeBack takes back that tasks are suspected: the upstream had not crashed.
-func (c *crashes) takeBack(tasks []fleet.TaskRef) {
+// retract lowers the counts of the suspects of an upstream that turned out not to have
+// crashed.
+func (c *crashHistory) retract(tasks []fleet.TaskRef) {
 	for _, ref := range tasks {
-		if r, known := c.tasks[ref]; known {
+		if r, found := c.tasks[ref]; found {
 			r.count--
 			c.tasks[ref] = r
 		}
 	}
 }
 
-// forget drops what is too old to count.
-func (c *crashes) forget(now time.Time) {
-	c.late = slices.DeleteFunc(c.late, func(e crash) bool { return now.Sub(e.at) > crashWindow })
+// dropOld removes the crashes that are too old to count.
+func (c *crashHistory) dropOld(now time.Time) {
+	c.recent = slices.DeleteFunc(c.recent, func(e crash) bool { return now.Sub(e.at) > crashWindow })
 	for ref, r := range c.tasks {
-		if now.Sub(r.last) > crashMemory {
+		if now.Sub(r.lastAt) > crashRetention {
 			delete(c.tasks, ref)
 		}
 	}
 }
 
-// convicted reports whether a task is given up for the upstreams that crashed under it.
-func (c *crashes) convicted(ref fleet.TaskRef) bool {
-	count := c.of(ref)
-	return count >= crashesToGiveUp || count >= crashesToBlame && c.mostlyRepeat()
+// reachedLimit reports whether so many upstreams have crashed while they ran a task that it
+// must not be started again.
+func (c *crashHistory) reachedLimit(ref fleet.TaskRef) bool {
+	count := c.count(ref)
+	return count >= maxCrashes || count >= maxCrashesIfRepeating && c.oftenRepeated()
 }
 
-// mostlyRepeat reports whether many of the late crashes repeat under tasks.
-func (c *crashes) mostlyRepeat() bool {
+// oftenRepeated reports whether a large share of the recent crashes are repeated ones.
+func (c *crashHistory) oftenRepeated() bool {
 	repeated := 0
-	for _, e := range c.late {
+	for _, e := range c.recent {
 		if e.repeated {
 			repeated++
 		}
 	}
-	return float64(repeated) >= repeatShare*float64(len(c.late))
+	return float64(repeated) >= minRepeatedShare*float64(len(c.recent))
 }
 
-// crashed takes the end of an upstream's life under runs, as far as it was no planned one.
-// It returns the tasks that are suspected.
-func (p *Pool) crashed(u *upstream, runs []*run) []fleet.TaskRef {
+// recordCrash records that an upstream ended while it had runs, and returns the suspects. An
+// upstream that drains ends as planned, which is no crash.
+func (p *Pool) recordCrash(u *upstream, runs []*run) []fleet.TaskRef {
 	if u.Draining || len(runs) == 0 {
 		return nil
 	}
@@ -129,22 +134,22 @@
 	for _, r := range runs {
 		tasks = append(tasks, r.id.Task)
 	}
-	suspects := p.crashHistory.add(p.now, tasks)
+	suspects := p.crashHistory.record(p.now, tasks)
 	for _, ref := range suspects {
 		if len(p.jobsByID[ref.Job]) > 0 {
 			p.addDecision(Decision{
 				Kind: DecidedSuspect, Job: ref.Job, Task: ref.Index, Upstream: u.ID,
-				Reason: "upstream " + strconv.Itoa(p.crashHistory.of(ref)) + " that crashes under it",
+				Reason: "upstream " + strconv.Itoa(p.crashHistory.count(ref)) + " that crashes under it",
 			})
 		}
 	}
 	return suspects
 }
 
-// giveUpConvicted ends the jobs of tasks under which upstreams have crashed too often.
-func (p *Pool) giveUpConvicted(suspects []fleet.TaskRef) {
+// endCrashingJobs ends the jobs of those suspects that have reached the limit of crashes.
+func (p *Pool) endCrashingJobs(suspects []fleet.TaskRef) {
 	for _, ref := range suspects {
-		if !p.crashHistory.convicted(ref) {
+		if !p.crashHistory.reachedLimit(ref) {
 			continue
 		}
 		for _, j := range slices.Clone(p.jobsByID[ref.Job]) {
@@ -155,36 +160,36 @@
 	}
 }
 
-// isConvicted reports whether a task of a job must not be started any more.
-func (p *Pool) isConvicted(j *job) bool {
-	return slices.ContainsFunc(j.taskList, func(t *task) bool { return p.crashHistory.convicted(p.taskRef(j, t)) })
+// hasCrashingTask reports whether a task of a job has reached the limit of crashes.
+func (p *Pool) hasCrashingTask(j *job) bool {
+	return slices.ContainsFunc(j.taskList, func(t *task) bool { return p.crashHistory.reachedLimit(p.taskRef(j, t)) })
 }
 
-// isSuspected reports whether an upstream has crashed under a task.
-func (p *Pool) isSuspected(ref fleet.TaskRef) bool { return p.crashHistory.of(ref) > 0 }
+// isSuspect reports whether an upstream has crashed while it ran a task.
+func (p *Pool) isSuspect(ref fleet.TaskRef) bool { return p.crashHistory.count(ref) > 0 }
 
-// chooseApart returns the upstream for a suspected task: the one with the fewest suspected
-// tasks and then the least work beside it, or nil.
-func (p *Pool) chooseApart(j *job) *upstream {
+// chooseForSuspect returns the upstream on which a suspect of a job is to start, or nil:
+// the one with the fewest suspects, and among those the one with the fewest runs.
+func (p *Pool) chooseForSuspect(j *job) *upstream {
 	var best *upstream
-	var suspects, least int
+	var fewestSuspects, fewestRuns int
 	for _, u := range p.sortedUpstreams {
 		if u.Service != j.Service || !p.usable(u, p.now) || !j.Demand.Within(u.Capacity.Minus(u.used)) || placesApart(j, u, 1) == 0 {
 			continue
 		}
-		n := p.suspectsOn(u)
-		if best == nil || n < suspects || n == suspects && len(u.runs) < least {
-			best, suspects, least = u, n, len(u.runs)
+		suspects := p.countSuspects(u)
+		if best == nil || suspects < fewestSuspects || suspects == fewestSuspects && len(u.runs) < fewestRuns {
+			best, fewestSuspects, fewestRuns = u, suspects, len(u.runs)
 		}
 	}
 	return best
 }
 
-// suspectsOn counts the suspected tasks that an upstream runs.
-func (p *Pool) suspectsOn(u *upstream) int {
+// countSuspects returns how many runs of suspects an upstream has.
+func (p *Pool) countSuspects(u *upstream) int {
 	n := 0
 	for _, r := range u.runs {
-		if p.isSuspected(r.id.Task) {
+		if p.isSuspect(r.id.Task) {
 			n++
 		}
 	}
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -178,7 +178,7 @@
 func (p *Pool) reported(u *upstream, sent time.Time, report fleet.Report) {
 	if u.silent {
 		p.addDecision(Decision{Kind: DecidedResponding, Upstream: u.ID, Age: p.now.Sub(u.clockReadAt)})
-		p.crashHistory.takeBack(u.suspectedTasks)
+		p.crashHistory.retract(u.suspectedTasks)
 		u.suspectedTasks = nil
 	}
 	u.missedReports, u.silent = 0, false
@@ -309,13 +309,13 @@
 func (p *Pool) gone(u *upstream, reason string) {
 	p.addDecision(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: reason})
 	runs := sortedRuns(u)
-	suspects := p.crashed(u, runs)
+	suspects := p.recordCrash(u, runs)
 	p.drop(u)
 	for _, r := range runs {
 		p.remove(r)
 		p.again(r, "upstream gone")
 	}
-	p.giveUpConvicted(suspects)
+	p.endCrashingJobs(suspects)
 }
 
 // fenced takes the news that another owner has an upstream. What becomes of
--- a/schedule/lives.go
+++ b/schedule/lives.go
@@ -45,7 +45,7 @@
 func (p *Pool) restarted(u *upstream, next fleet.Upstream) *upstream {
 	p.addDecision(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: "it has started again"})
 	runs := sortedRuns(u)
-	suspects := p.crashed(u, runs)
+	suspects := p.recordCrash(u, runs)
 	p.drop(u)
 	life := p.insert(next)
 	life.listed, life.unlistedAt = u.listed, u.unlistedAt
@@ -57,7 +57,7 @@
 		p.remove(r)
 		p.again(r, "its upstream has started again")
 	}
-	p.giveUpConvicted(suspects)
+	p.endCrashingJobs(suspects)
 	for _, id := range u.unresolvedStarts {
 		p.effects.Stops = append(p.effects.Stops, Stop{Upstream: life.Upstream, Run: id})
 	}
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -206,8 +206,8 @@
 
 // chooseFor returns the upstream for a task, or nil.
 func (p *Pool) chooseFor(j *job, t *task) *upstream {
-	if p.isSuspected(p.taskRef(j, t)) {
-		return p.chooseApart(j)
+	if p.isSuspect(p.taskRef(j, t)) {
+		return p.chooseForSuspect(j)
 	}
 	return p.choose(j)
 }
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -27,7 +27,7 @@
 	queue             []*job    // jobs with waiting tasks
 	waitingTasks      int
 	durationsByRoute  map[string]*runTimes
-	crashHistory      crashes
+	crashHistory      crashHistory
 	missRate          missRate // over all upstreams
 	meanSpeed         float64  // mean over all upstreams of the logarithm of actual to expected duration
 	link              link
@@ -46,7 +46,7 @@
 	return &Pool{
 		cfg: cfg, token: token, link: link{rate: linkShare * cfg.LinkRate}, upstreams: map[string]*upstream{}, jobs: map[JobKey]*job{}, jobsByID: map[string][]*job{},
 		runByTask: map[fleet.TaskRef]*run{}, coordinatorLeases: map[string]*coordinatorLease{}, durationsByRoute: map[string]*runTimes{},
-		fencedIDs: map[string]bool{}, crashHistory: crashes{tasks: map[fleet.TaskRef]crashRecord{}},
+		fencedIDs: map[string]bool{}, crashHistory: crashHistory{tasks: map[fleet.TaskRef]crashRecord{}},
 	}
 }
 
@@ -167,7 +167,7 @@
 		t := &task{index: index, lastRun: o.History[index].LastRun, failedRuns: o.History[index].FailedRuns}
 		j.tasks[index] = t
 		j.taskList = append(j.taskList, t)
-		p.crashHistory.learn(p.now, p.taskRef(j, t), o.History[index].Crashes)
+		p.crashHistory.importCount(p.now, p.taskRef(j, t), o.History[index].Crashes)
 	}
 	p.waitingTasks += len(j.taskList)
 	for _, t := range j.taskList {
@@ -181,7 +181,7 @@
 	switch {
 	case p.draining:
 		p.returnAllWaiting(j, "draining")
-	case p.isConvicted(j):
+	case p.hasCrashingTask(j):
 		p.endJob(j, Crashed)
 	case j.blockedTasks == 0 && !p.mayEverFit(j):
 		p.endJob(j, NeverFits)
--- a/schedule/return.go
+++ b/schedule/return.go
@@ -33,7 +33,7 @@
 		j.unfinished--
 		returned = append(returned, t.index)
 		if history, hasRun := t.history(); hasRun {
-			history.Crashes = p.crashHistory.of(p.taskRef(j, t))
+			history.Crashes = p.crashHistory.count(p.taskRef(j, t))
 			j.history[t.index] = history
 		}
 	}
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -11,7 +11,7 @@
 		for _, u := range slices.Clone(p.sortedUpstreams) {
 			p.tickUpstream(u)
 		}
-		p.crashHistory.forget(now)
+		p.crashHistory.dropOld(now)
 		p.abandonExpiredCoordinators()
 		p.checkRenewals()
 		p.place()
@@ -50,14 +50,14 @@
 // may have crashed, or only be cut off.
 func (p *Pool) lapse(u *upstream) {
 	runs := sortedRuns(u)
-	suspects := p.crashed(u, runs)
+	suspects := p.recordCrash(u, runs)
 	u.suspectedTasks = append(u.suspectedTasks, suspects...)
 	for _, r := range runs {
 		u.leaveUnresolved(r)
 		p.remove(r)
 		p.again(r, "lease lapsed on a silent upstream")
 	}
-	p.giveUpConvicted(suspects)
+	p.endCrashingJobs(suspects)
 }
 
 // lookIfOverdue asks for a report at once where a run should have ended and
--- a/schedule/world_test.go
+++ b/schedule/world_test.go
@@ -192,7 +192,7 @@
 			return
 		}
 		w.crashers[r.Task]++
-		if n := w.crashers[r.Task]; n > crashesToGiveUp {
+		if n := w.crashers[r.Task]; n > maxCrashes {
 			w.t.Fatalf("%v crashes upstream number %d", r.Task, n)
 		}
 	})
