--- a/schedule/forecast.go
+++ b/schedule/forecast.go
@@ -5,120 +5,123 @@
 	"time"
 )
 
-// inTimeShare is the part of its objective within which a job must be expected to
-// end: forecasts err by some 30% of a task's time, and one that ends late took its
-// room from others.
-const inTimeShare = 0.9
-
-// forecast tells when room is expected to free, from what runs now: each end
-// frees the room of one task. It is used up as waiting tasks are given their
-// places in the order in which they would start.
+// admissionShare is the part of its latency objective within which a job that has not
+// started must be expected to finish. Forecasts are off by about 30% of a task's duration,
+// and a job that finishes late has taken capacity from others for nothing.
+const admissionShare = 0.9
+
+// forecast predicts when capacity becomes free, from the current runs: each run that ends
+// makes room for one task. Waiting tasks reserve capacity in the order in which they would
+// start.
 type forecast struct {
-	now  time.Time
-	free freeTimes
-	// carried is how long the owner's link takes for what it was given so far.
-	carried time.Duration
+	now    time.Time
+	freeAt timeHeap
+	// linkDelay is how long the owner's network link takes to transmit what is queued on
+	// it and the orders of the tasks that have reserved capacity.
+	linkDelay time.Duration
 }
 
-// freeTimes is a heap of times, the earliest first.
-type freeTimes []time.Time
+// timeHeap is a min-heap of times.
+type timeHeap []time.Time
 
-func (f freeTimes) Len() int           { return len(f) }
-func (f freeTimes) Less(i, j int) bool { return f[i].Before(f[j]) }
-func (f freeTimes) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
-func (f *freeTimes) Push(v any)        { *f = append(*f, v.(time.Time)) }
-func (f *freeTimes) Pop() any {
-	old := *f
+func (h timeHeap) Len() int           { return len(h) }
+func (h timeHeap) Less(i, j int) bool { return h[i].Before(h[j]) }
+func (h timeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timeHeap) Push(v any)        { *h = append(*h, v.(time.Time)) }
+func (h *timeHeap) Pop() any {
+	old := *h
 	v := old[len(old)-1]
-	*f = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return v
 }
 
-// overdueShare is how much longer a run is expected to take that is over its
-// expected time already, as a share of that time: times differ by some 40%.
-const overdueShare = 0.25
+// overdueExtraShare is how much longer a run is expected to take that is overdue already,
+// as a share of its expected duration: durations differ by about 40%.
+const overdueExtraShare = 0.25
 
 // newForecast returns the forecast for the tasks of one service.
 func (p *Pool) newForecast(service string) *forecast {
-	f := &forecast{now: p.now, carried: p.link.queued(p.now)}
+	f := &forecast{now: p.now, linkDelay: p.link.queueDelay(p.now)}
 	for _, u := range p.sortedUpstreams {
 		if u.Service != service || !p.usable(u, p.now) || !u.used.Within(u.Capacity) {
-			continue // what ends on one whose room has shrunk frees nothing yet
+			continue // if its capacity has shrunk below its use, an end makes no room yet
 		}
 		for _, r := range u.runs {
-			f.free = append(f.free, r.expectedEnd(p.now))
+			f.freeAt = append(f.freeAt, r.expectedEnd(p.now))
 		}
 	}
-	heap.Init(&f.free)
+	heap.Init(&f.freeAt)
 	return f
 }
 
-// expectedEnd is when a run is expected to free its room, by its pace where
-// that is known.
+// expectedEnd returns when a run is expected to free its capacity, extrapolated from its
+// progress if that is known.
 func (r *run) expectedEnd(now time.Time) time.Time {
 	if r.job == nil {
 		return now.Add(minResendInterval) // it is being stopped
 	}
-	expect := r.expect()
+	expect := r.expectedTotal()
 	end := r.orderedAt.Add(expect)
 	if r.percent > 0 && r.percentAt.After(r.orderedAt) {
 		age := r.percentAt.Sub(r.orderedAt)
 		end = r.percentAt.Add(age * time.Duration(100-min(r.percent, 100)) / time.Duration(r.percent))
 	}
-	if latest := now.Add(time.Duration(overdueShare * float64(expect))); r.orderedAt.Add(expect).Before(now) && end.Before(latest) {
-		return latest
+	if overdueEnd := now.Add(time.Duration(overdueExtraShare * float64(expect))); r.orderedAt.Add(expect).Before(now) && end.Before(overdueEnd) {
+		return overdueEnd
 	}
 	return end
 }
 
-// expect is how long a run is expected to take.
-func (r *run) expect() time.Duration {
+// expectedTotal returns how long a run is expected to take in all; 0 for a run that is no
+// longer wanted.
+func (r *run) expectedTotal() time.Duration {
 	if r.job == nil {
 		return 0
 	}
 	return r.longer(r.job.expectedTaskDuration)
 }
 
-// add takes room that is free now.
-func (f *forecast) add(places int) {
-	for range places {
-		heap.Push(&f.free, f.now)
+// addFree adds slots that are free now, each for one task.
+func (f *forecast) addFree(slots int) {
+	for range slots {
+		heap.Push(&f.freeAt, f.now)
 	}
 }
 
-// startBegun gives places to the jobs but one of which something began: they go
-// first.
-func (f *forecast) startBegun(queue []*job, but *job) {
+// reserveBegun reserves capacity for the jobs in the queue that have started, because they
+// go first. It leaves out the job except.
+func (f *forecast) reserveBegun(queue []*job, except *job) {
 	for _, j := range queue {
-		if j != but && j.hasBegun() {
-			f.start(j.waitingTasks(), j.expectedTaskDuration)
+		if j != except && j.hasBegun() {
+			f.reserve(j.countWaiting(), j.expectedTaskDuration)
 		}
 	}
 }
 
-// start gives places to a number of tasks, and returns when the last of them is
-// expected to start. It reports false where there is no room at all.
-func (f *forecast) start(tasks int, takes time.Duration) (time.Time, bool) {
+// reserve reserves capacity for a number of tasks of the given duration, and returns when
+// the last of them is expected to start. It reports false if the forecast has no capacity
+// at all.
+func (f *forecast) reserve(tasks int, duration time.Duration) (time.Time, bool) {
 	last := f.now
 	for range tasks {
-		if len(f.free) == 0 {
+		if len(f.freeAt) == 0 {
 			return time.Time{}, false
 		}
-		at := f.free[0]
+		at := f.freeAt[0]
 		if at.Before(f.now) {
 			at = f.now
 		}
 		if at.After(last) {
 			last = at
 		}
-		f.free[0] = at.Add(takes)
-		heap.Fix(&f.free, 0)
+		f.freeAt[0] = at.Add(duration)
+		heap.Fix(&f.freeAt, 0)
 	}
 	return last, true
 }
 
-// waitingTasks counts the tasks of a job that wait.
-func (j *job) waitingTasks() int {
+// countWaiting returns the number of waiting tasks of a job.
+func (j *job) countWaiting() int {
 	n := 0
 	for _, t := range j.taskList {
 		if t.state == waiting {
@@ -128,81 +131,83 @@
 	return n
 }
 
-// endsBy is when a job is expected to end whose last task starts at a time.
-func (j *job) endsBy(start time.Time) time.Time {
+// expectedEndFrom returns when a job is expected to end if its last task starts at the
+// given time.
+func (j *job) expectedEndFrom(start time.Time) time.Time {
 	return start.Add(time.Duration(longestTask * float64(j.expectedTaskDuration)))
 }
 
-// rejectHopeless rejects the jobs of which nothing began and that are expected to
-// end late, in the order in which they would start: those behind them move up.
-// Their coordinators ask other groups, and their customers hear of it early enough
-// to go elsewhere.
-func (p *Pool) rejectHopeless() {
+// rejectLate rejects the jobs that have not started and are expected to finish late. It
+// goes through the queue in the order in which jobs would start, and a rejected job makes
+// room for those behind it. Its coordinator tries other groups, or its customer is told
+// early enough to go elsewhere.
+func (p *Pool) rejectLate() {
 	if !p.cfg.Policy.RejectEarly || len(p.queue) == 0 {
 		return
 	}
 	p.forecastAt = p.now
 	p.sortQueue()
 	forecasts := map[string]*forecast{}
-	var hopeless []*job
+	var late []*job
 	for _, j := range p.queue {
 		f := forecasts[j.Service]
 		if f == nil {
 			f = p.newForecast(j.Service)
 			forecasts[j.Service] = f
 		}
-		if p.hopeless(j, f) {
-			hopeless = append(hopeless, j)
+		if p.reserveUnlessLate(j, f) {
+			late = append(late, j)
 		}
 	}
-	for _, j := range hopeless {
+	for _, j := range late {
 		p.endJob(j, Expired)
 	}
 }
 
-// weighEvery is how often the whole queue is weighed at most as jobs arrive: the
-// cost grows with the queue, and the next tick weighs it in any case.
-const weighEvery = 5 * time.Millisecond
+// minForecastInterval is the shortest time after which an arriving job causes another
+// forecast for the whole queue: its cost grows with the queue, and the next tick makes one
+// in any case.
+const minForecastInterval = 5 * time.Millisecond
 
-// rejectAtArrival is rejectHopeless unless the queue has just been weighed.
-func (p *Pool) rejectAtArrival() {
-	if p.now.Sub(p.forecastAt) >= weighEvery {
-		p.rejectHopeless()
+// rejectLateOnArrival calls rejectLate unless it has just been called.
+func (p *Pool) rejectLateOnArrival() {
+	if p.now.Sub(p.forecastAt) >= minForecastInterval {
+		p.rejectLate()
 	}
 }
 
-// hopeless reports whether a job is expected to end late. The room of one that is
-// not is taken from the forecast.
-func (p *Pool) hopeless(j *job, f *forecast) bool {
+// reserveUnlessLate reports whether a job that has not started is expected to finish late.
+// For any other job it reserves capacity in the forecast.
+func (p *Pool) reserveUnlessLate(j *job, f *forecast) bool {
 	if !j.hasBegun() && !p.fitsCurrentCapacity(j) {
 		return true
 	}
-	tasks := j.waitingTasks()
-	carried := f.carried + p.link.takes(float64(tasks)*orderBytes(j))
+	tasks := j.countWaiting()
+	linkDelay := f.linkDelay + p.link.transmitTime(float64(tasks)*orderBytes(j))
 	if j.hasBegun() {
-		f.start(tasks, j.expectedTaskDuration)
-		f.carried = carried
+		f.reserve(tasks, j.expectedTaskDuration)
+		f.linkDelay = linkDelay
 		return false
 	}
-	before := append(freeTimes(nil), f.free...)
-	start, found := f.start(tasks, j.expectedTaskDuration)
-	if arrives := p.now.Add(carried); arrives.After(start) {
+	freeBefore := append(timeHeap(nil), f.freeAt...)
+	start, hasCapacity := f.reserve(tasks, j.expectedTaskDuration)
+	if arrives := p.now.Add(linkDelay); arrives.After(start) {
 		start = arrives
 	}
-	if !found || !j.endsBy(start).After(j.dueBy()) {
-		f.carried = carried
+	if !hasCapacity || !j.expectedEndFrom(start).After(j.admissionDeadline()) {
+		f.linkDelay = linkDelay
 		return false
 	}
-	f.free = before
+	f.freeAt = freeBefore
 	return true
 }
 
-// dueBy is when a job of which nothing began must be expected to end, or is
-// rejected.
-func (j *job) dueBy() time.Time {
-	latest := j.sent().Add(time.Duration(inTimeShare * float64(j.allowed())))
-	if waits := j.offeredAt.Add(j.Timeout); waits.Before(latest) {
-		return waits
+// admissionDeadline returns the time by which a job that has not started must be expected
+// to finish in order not to be rejected.
+func (j *job) admissionDeadline() time.Time {
+	latestEnd := j.sent().Add(time.Duration(admissionShare * float64(j.allowed())))
+	if timeoutAt := j.offeredAt.Add(j.Timeout); timeoutAt.Before(latestEnd) {
+		return timeoutAt
 	}
-	return latest
+	return latestEnd
 }
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -133,7 +133,7 @@
 		return
 	}
 	t := j.tasks[r.id.Task.Index]
-	age, expect := r.percentAt.Sub(r.orderedAt), r.expect()
+	age, expect := r.percentAt.Sub(r.orderedAt), r.expectedTotal()
 	if t.moves >= maxMoves || r.percentAt == r.percentRoseAt && r.percent == 0 || age < lookAge(expect) {
 		return
 	}
@@ -197,9 +197,9 @@
 			continue
 		}
 		age := p.now.Sub(r.orderedAt)
-		due := lookAge(r.expect()) - age
+		due := lookAge(r.expectedTotal()) - age
 		if due <= 0 {
-			due = r.expect() / 2
+			due = r.expectedTotal() / 2
 		}
 		wait = min(wait, due)
 	}
--- a/schedule/link_test.go
+++ b/schedule/link_test.go
@@ -52,7 +52,7 @@
 		t.Errorf("room for %d tasks is told while the link is full", free)
 	}
 	for n := 2; n <= 4; n++ {
-		now = now.Add(weighEvery)
+		now = now.Add(minForecastInterval)
 		e := p.Offer(now, wide(n))
 		if len(e.Starts) > 0 || len(e.Results) != 1 || e.Results[0].Outcome != Expired || e.Results[0].Begun {
 			t.Errorf("job %d on a full link: %s", n, text(e))
--- a/schedule/load.go
+++ b/schedule/load.go
@@ -36,7 +36,7 @@
 	if l.Capacity == 0 {
 		l.Capacity, l.Free = slow.Capacity, slow.Free
 	}
-	l.Free = p.link.orders(now, l.Free)
+	l.Free = p.link.orderCapacity(now, l.Free)
 	return l
 }
 
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -133,13 +133,13 @@
 	if j.hasBegun() {
 		return true
 	}
-	if !p.carriesInTime(j) {
+	if !p.arrivesInTime(j) {
 		return false
 	}
 	if !p.cfg.Policy.WholeJobs {
 		return true
 	}
-	tasks := j.waitingTasks()
+	tasks := j.countWaiting()
 	free := p.roomFor(j, tasks)
 	switch {
 	case free == 0:
@@ -151,9 +151,9 @@
 	}
 	*weighed++
 	f := p.newForecast(j.Service)
-	f.startBegun(p.queue, j)
-	f.add(free)
-	start, found := f.start(tasks, j.expectedTaskDuration)
+	f.reserveBegun(p.queue, j)
+	f.addFree(free)
+	start, found := f.reserve(tasks, j.expectedTaskDuration)
 	limit := j.latestStart()
 	if limit.Before(p.now) {
 		limit = j.expiry().Add(-j.expectedTaskDuration)
@@ -270,7 +270,7 @@
 	t.lastRun++
 	p.setTaskState(j, t, placed)
 	j.begun = true
-	carried := p.link.carry(p.now, orderBytes(j))
+	carried := p.link.enqueue(p.now, orderBytes(j))
 	leaves := p.now.Add(carried)
 	r := &run{
 		id: fleet.Run{Task: p.taskRef(j, t), Number: t.lastRun}, job: j, upstream: u, demand: j.Demand,
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -197,7 +197,7 @@
 		case !j.MayQueue:
 			p.returnUnstarted(j, "no room")
 		default:
-			p.rejectAtArrival()
+			p.rejectLateOnArrival()
 		}
 	}
 }
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -17,7 +17,7 @@
 		p.place()
 		p.returnClosed()
 		p.returnUnblocked()
-		p.rejectHopeless()
+		p.rejectLate()
 		for _, j := range slices.Clone(p.queue) {
 			p.expire(j)
 		}
@@ -30,9 +30,9 @@
 	}
 	for _, r := range sortedRuns(u) {
 		switch {
-		case r.state == stopping && p.now.Sub(r.stopSentAt) >= p.repeatPause() && !u.silent:
+		case r.state == stopping && p.now.Sub(r.stopSentAt) >= p.resendInterval() && !u.silent:
 			p.sendStop(r)
-		case r.state == stopped && p.now.Sub(r.polledAt) >= p.repeatPause() && !u.silent:
+		case r.state == stopped && p.now.Sub(r.polledAt) >= p.resendInterval() && !u.silent:
 			r.polledAt = p.now
 			p.effects.Polls = append(p.effects.Polls, u.ID)
 		case r.state == running:
@@ -65,7 +65,7 @@
 // 400 ms later. On a sound network it asks for nothing.
 func (p *Pool) lookIfOverdue(r *run) {
 	u := r.upstream
-	if !p.cfg.Policy.LookOverdue || p.missRate.share < lossyShare || u.silent || p.now.Before(r.expectedEnd(p.now)) && !p.now.After(r.orderedAt.Add(r.expect())) {
+	if !p.cfg.Policy.LookOverdue || p.missRate.share < lossyShare || u.silent || p.now.Before(r.expectedEnd(p.now)) && !p.now.After(r.orderedAt.Add(r.expectedTotal())) {
 		return
 	}
 	if p.now.Sub(u.reportRequestedAt) < overdueLook || p.now.Sub(r.polledAt) < overdueLook {
