--- a/schedule/forecast.go
+++ b/schedule/forecast.go
@@ -78,7 +78,7 @@
 	if r.job == nil {
 		return 0
 	}
-	return r.longer(r.job.expectedTaskDuration)
+	return r.fromLocal(r.job.expectedTaskDuration)
 }
 
 // addFree adds slots that are free now, each for one task.
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -10,113 +10,119 @@
 )
 
 const (
-	// failuresAlone is how many jobs in a row must fail on an upstream that is
-	// the only one for them before it is doubted.
-	failuresAlone = 2
-	// firstDoubt and longestDoubt bound how long a doubted upstream is left
-	// alone before a trial; each failed trial doubles it.
-	firstDoubt   = 500 * time.Millisecond
-	longestDoubt = 2 * time.Second
+	// minFailuresIfOnly is how many jobs in a row must fail on an upstream before it is
+	// ejected if no other upstream could run them.
+	minFailuresIfOnly = 2
+	// minEjection and maxEjection bound how long an ejected upstream gets no work before
+	// a trial task. Each failed trial doubles the time.
+	minEjection = 500 * time.Millisecond
+	maxEjection = 2 * time.Second
 )
 
-// health is what is believed of an upstream's work.
+// health holds the failures of an upstream, and whether it is ejected: no task starts on
+// it until ejectedUntil, and a trial task then shows whether it works again.
 type health struct {
-	failures int // jobs that failed there first, without a success since
-	doubted  bool
-	pause    time.Duration
-	until    time.Time // no trial before
+	failures     int // jobs that failed on it first, since its last success
+	ejected      bool
+	ejection     time.Duration // length of the last ejection
+	ejectedUntil time.Time
 }
 
-// doubt leaves an upstream alone for a while.
-func (p *Pool) doubt(u *upstream, reason string) {
+// eject stops giving work to an upstream for some time. It has no effect while an
+// ejection lasts.
+func (p *Pool) eject(u *upstream, reason string) {
 	h := &u.health
-	if h.doubted && p.now.Before(h.until) {
+	if h.ejected && p.now.Before(h.ejectedUntil) {
 		return
 	}
-	h.pause = min(max(2*h.pause, firstDoubt), longestDoubt)
-	h.doubted = true
-	h.until = p.now.Add(h.pause)
-	p.addDecision(Decision{Kind: DecidedEject, Upstream: u.ID, Reason: reason, Task: h.failures, Age: h.pause})
+	h.ejection = min(max(2*h.ejection, minEjection), maxEjection)
+	h.ejected = true
+	h.ejectedUntil = p.now.Add(h.ejection)
+	p.addDecision(Decision{Kind: DecidedEject, Upstream: u.ID, Reason: reason, Task: h.failures, Age: h.ejection})
 }
 
-// blame takes a failed run: its upstream is doubted at once. Few jobs fail by
-// their own fault, and one that fails on a second upstream acquits the first.
-func (p *Pool) blame(r *run) {
+// chargeFailure counts a failed run against its upstream and ejects the upstream at once,
+// because few jobs fail through their own fault. If a task of the job fails on a second
+// upstream, the failure of the first is not counted any more.
+func (p *Pool) chargeFailure(r *run) {
 	j, u := r.job, r.upstream
 	if len(j.failedOn) == 0 {
 		j.failureChargedTo = u
 	}
 	j.failedOn[u.ID] = true
 	if j.failureChargedTo != u {
-		p.acquit(j)
+		p.undoCharge(j)
 		return
 	}
 	u.health.failures++
-	alone := !p.hasOther(j, u.ID) && u.health.failures < failuresAlone
-	if !alone && p.cfg.Policy.DoubtFailing {
-		p.doubt(u, "tasks fail")
+	tolerated := !p.hasOther(j, u.ID) && u.health.failures < minFailuresIfOnly
+	if !tolerated && p.cfg.Policy.DoubtFailing {
+		p.eject(u, "tasks fail")
 	}
 }
 
-// acquit takes back the failure that an upstream was blamed for.
-func (p *Pool) acquit(j *job) {
+// undoCharge takes back the failure that a job counted against an upstream, and readmits
+// the upstream if it has no other failures.
+func (p *Pool) undoCharge(j *job) {
 	u := j.failureChargedTo
 	j.failureChargedTo = nil
 	if u == nil {
 		return
 	}
-	if u.health.failures--; u.health.failures <= 0 && u.health.doubted {
-		p.trust(u)
+	if u.health.failures--; u.health.failures <= 0 && u.health.ejected {
+		p.resetHealth(u)
 	}
 }
 
-// trust takes a success.
-func (p *Pool) trust(u *upstream) {
-	if u.health.doubted {
+// resetHealth clears the failures of an upstream and readmits it if it is ejected.
+func (p *Pool) resetHealth(u *upstream) {
+	if u.health.ejected {
 		p.addDecision(Decision{Kind: DecidedReadmit, Upstream: u.ID})
 	}
 	u.health = health{}
 }
 
 const (
-	// progressRise is the percent that a run must rise to count as moving.
-	progressRise = 1
-	// lookAfter is the age, as a share of the expected time, and at least
-	// lookAtLeast, before a run's pace is judged.
-	lookAfter   = 0.5
-	lookAtLeast = 60 * time.Millisecond
-	// slowFactor is how many times longer than expected a run has to be on
-	// its way to take before it is moved.
+	// minPercentRise is by how many percentage points the progress of a run must rise
+	// between two reports to count as an advance.
+	minPercentRise = 1
+	// paceCheckShare is the age from which on the pace of a run is checked, as a share of
+	// its expected duration, and minPaceCheckAge is the least such age.
+	paceCheckShare  = 0.5
+	minPaceCheckAge = 60 * time.Millisecond
+	// slowFactor is how many times longer than expected a run must be projected to take
+	// before it is moved to another upstream.
 	slowFactor = 3
-	// moveCost is the least time that is added to the time that a move takes, and
-	// moveAnswers how many answers it waits for: of the stop, of the report that
-	// shows the run gone, of the next start.
-	moveCost    = 60 * time.Millisecond
-	moveAnswers = 3
-	// stalledFor is how long a run's percent must stand still at least, and
-	// stalledAnswers how many times longer than an answer may take: two reports
-	// that come that far apart may have been made at the same moment.
-	stalledFor     = 100 * time.Millisecond
-	stalledAnswers = 3
-	// maxMoves bounds how often one task is moved.
+	// minMoveTime is the least time that a move is assumed to cost, and answersPerMove is
+	// how many answers it waits for: to the stop, to the poll that shows that the run is
+	// gone, and to the next start.
+	minMoveTime    = 60 * time.Millisecond
+	answersPerMove = 3
+	// minStall is the least time without progress after which a run counts as stalled.
+	// It must also be stallAnswerFactor times as long as an answer may take, since two
+	// reports may arrive that far apart although they were made at the same moment.
+	minStall          = 100 * time.Millisecond
+	stallAnswerFactor = 3
+	// maxMoves limits how often one task is moved.
 	maxMoves = 3
-	// lossyShare is the share of reports that do not come from which on ends are
-	// looked for: on a sound network it is near 0.
-	lossyShare = 0.03
-	// overdueLook is how often a report is asked for where an end is overdue.
-	overdueLook = 50 * time.Millisecond
-	// shortestReport bounds how often reports are asked for.
-	shortestReport = 40 * time.Millisecond
+	// lossyMissRate is the share of missing reports from which on upstreams are polled
+	// for overdue ends. On a sound network the share is close to 0.
+	lossyMissRate = 0.03
+	// overduePollInterval is the shortest interval of such polls to one upstream.
+	overduePollInterval = 50 * time.Millisecond
+	// minReportWait is the shortest time that an upstream may hold back a report; it
+	// limits how often reports are requested.
+	minReportWait = 40 * time.Millisecond
 )
 
-// progressed takes what a report says of a run.
-func (p *Pool) progressed(r *run, percent int) {
+// recordProgress records the progress of a run from a report.
+func (p *Pool) recordProgress(r *run, percent int) {
 	if r.state == starting {
 		r.state = running
 		r.startAckedAt = p.now
 	}
 	r.reported = true
-	if percent >= r.percent+progressRise {
+	if percent >= r.percent+minPercentRise {
 		r.percentRoseAt = p.now
 	}
 	r.percent = percent
@@ -126,7 +132,8 @@
 	}
 }
 
-// checkProgress moves a run that stands still or crawls, if that pays.
+// checkProgress stops a run that is stalled or very slow, so that its task moves to
+// another upstream, if the task is expected to finish sooner there.
 func (p *Pool) checkProgress(r *run) {
 	j := r.job
 	if j == nil || !p.cfg.Policy.MoveSlow {
@@ -134,125 +141,128 @@
 	}
 	t := j.tasks[r.id.Task.Index]
 	age, expect := r.percentAt.Sub(r.orderedAt), r.expectedTotal()
-	if t.moves >= maxMoves || r.percentAt == r.percentRoseAt && r.percent == 0 || age < lookAge(expect) {
+	if t.moves >= maxMoves || r.percentAt == r.percentRoseAt && r.percent == 0 || age < paceCheckAge(expect) {
 		return
 	}
-	remaining := p.remaining(r, age)
-	p.judge(r, age, remaining)
-	stalled := p.stalls(r)
+	remaining := p.remainingTime(r, age)
+	p.learnSlowdownFromPace(r, age, remaining)
+	stalled := p.isStalled(r)
 	if !stalled && age+remaining < slowFactor*expect {
 		return
 	}
-	if remaining < expect*3/2+max(moveCost, moveAnswers*p.answerTimeout) {
+	if remaining < expect*3/2+max(minMoveTime, answersPerMove*p.answerTimeout) {
 		return
 	}
 	if !stalled && p.chooseBut(j, r.upstream.ID) == nil {
-		return // nowhere to go: slow is better than waiting
+		return // no other upstream has capacity, and a slow run is better than waiting
 	}
 	t.moves++
 	if p.cfg.Policy.DoubtSlow {
-		p.doubt(r.upstream, "slow")
+		p.eject(r.upstream, "slow")
 	}
 	p.stop(r, "slow")
 }
 
-// judge learns the speed of an upstream from the pace of a run, once, before it
-// has ended.
-func (p *Pool) judge(r *run, age, remaining time.Duration) {
-	if r.speedLearned || remaining == forever {
+// learnSlowdownFromPace updates the slowdown of an upstream from the projected duration of a
+// run that has not ended. It does so once per run.
+func (p *Pool) learnSlowdownFromPace(r *run, age, remaining time.Duration) {
+	if r.slowdownLearned || remaining == forever {
 		return
 	}
-	r.speedLearned = true
-	p.learnSpeed(r, age+remaining-r.began().Sub(r.orderedAt))
+	r.slowdownLearned = true
+	p.learnSlowdown(r, age+remaining-r.startedAt().Sub(r.orderedAt))
 }
 
-// lookAge is how old a run must be before its pace is judged.
-func lookAge(expect time.Duration) time.Duration {
-	return max(time.Duration(lookAfter*float64(expect)), lookAtLeast)
+// paceCheckAge returns the age from which on the pace of a run is checked.
+func paceCheckAge(expect time.Duration) time.Duration {
+	return max(time.Duration(paceCheckShare*float64(expect)), minPaceCheckAge)
 }
 
-// forever stands for a time without an end.
+// forever is the projected duration of a run without progress.
 const forever = time.Duration(math.MaxInt64 / 4)
 
-// stalls reports whether a run has stood still.
-func (p *Pool) stalls(r *run) bool {
-	return r.percentAt.Sub(r.percentRoseAt) >= max(stalledFor, stalledAnswers*p.answerTimeout)
+// isStalled reports whether a run has made no progress for too long.
+func (p *Pool) isStalled(r *run) bool {
+	return r.percentAt.Sub(r.percentRoseAt) >= max(minStall, stallAnswerFactor*p.answerTimeout)
 }
 
-// remaining projects how much longer a run takes at its pace so far.
-func (p *Pool) remaining(r *run, age time.Duration) time.Duration {
-	if r.percent <= 0 || p.stalls(r) {
+// remainingTime returns how much longer a run takes at its pace so far.
+func (p *Pool) remainingTime(r *run, age time.Duration) time.Duration {
+	if r.percent <= 0 || p.isStalled(r) {
 		return forever
 	}
 	return age * time.Duration(100-min(r.percent, 100)) / time.Duration(r.percent)
 }
 
-// reportWait is how long the next report of an upstream may wait for an end:
-// until the first of its runs is old enough to be judged.
+// reportWait returns how long an upstream may hold back its next report until a run ends:
+// at most until the pace of one of its runs is to be checked.
 func (p *Pool) reportWait(u *upstream) time.Duration {
 	wait := p.cfg.ReportWait
 	for _, r := range u.runs {
 		if r.job == nil {
-			wait = shortestReport
+			wait = minReportWait
 			continue
 		}
 		age := p.now.Sub(r.orderedAt)
-		due := lookAge(r.expectedTotal()) - age
+		due := paceCheckAge(r.expectedTotal()) - age
 		if due <= 0 {
 			due = r.expectedTotal() / 2
 		}
 		wait = min(wait, due)
 	}
-	return max(wait, shortestReport)
+	return max(wait, minReportWait)
 }
 
-// runTimes learns how long the tasks of one route take.
-type runTimes struct {
-	mean float64 // of the logarithm of seconds
-	n    int
+// taskDurations is a moving average of how long the tasks of one route take.
+type taskDurations struct {
+	meanLog float64 // mean of the logarithms of the durations in seconds
+	n       int     // durations so far
 }
 
-// learnWeight is the weight of a new time against those before.
-const learnWeight = 0.02
+// durationWeight is the weight of a new duration in the moving average.
+const durationWeight = 0.02
 
-func (p *Pool) timesOf(route string) *runTimes {
+func (p *Pool) durationsOf(route string) *taskDurations {
 	t := p.durationsByRoute[route]
 	if t == nil {
-		t = &runTimes{}
+		t = &taskDurations{}
 		p.durationsByRoute[route] = t
 	}
 	return t
 }
 
-func (t *runTimes) learn(took time.Duration) {
+func (t *taskDurations) add(took time.Duration) {
 	value := math.Log(max(took.Seconds(), 0.001))
 	t.n++
-	t.mean += (value - t.mean) * max(learnWeight, 1/float64(t.n))
+	t.meanLog += (value - t.meanLog) * max(durationWeight, 1/float64(t.n))
 }
 
-// timesToTrust is how many times must have been seen before they count.
-const timesToTrust = 10
+// minDurations is the number of durations from which on their average is used.
+const minDurations = 10
 
-// unknownEstimate is taken where neither the customer nor the past tells.
-const unknownEstimate = 200 * time.Millisecond
+// defaultTaskDuration is the expected duration of a task if the customer has declared none
+// and there are too few measured ones.
+const defaultTaskDuration = 200 * time.Millisecond
 
-// expect returns how long a task is expected to take: declared times are off by
-// about as much as times differ, so that their geometric mean is best.
-func (t *runTimes) expect(declared time.Duration) time.Duration {
+// estimate returns how long a task with the declared duration is expected to take. The
+// errors of declared durations are about as large as the differences between measured ones,
+// so the geometric mean of the two is the best estimate.
+func (t *taskDurations) estimate(declared time.Duration) time.Duration {
 	switch {
-	case t.n < timesToTrust && declared > 0:
+	case t.n < minDurations && declared > 0:
 		return declared
-	case t.n < timesToTrust:
-		return unknownEstimate
+	case t.n < minDurations:
+		return defaultTaskDuration
 	case declared <= 0:
-		return time.Duration(math.Exp(t.mean) * float64(time.Second))
+		return time.Duration(math.Exp(t.meanLog) * float64(time.Second))
 	}
-	value := (math.Log(declared.Seconds()) + t.mean) / 2
+	value := (math.Log(declared.Seconds()) + t.meanLog) / 2
 	return time.Duration(math.Exp(value) * float64(time.Second))
 }
 
-// learn takes the time of one task of a job: the others are much like it.
-func (j *job) learn(took time.Duration) {
+// learnDuration sets the expected duration of a job's tasks to that of a completed one: the
+// tasks of a job are much alike.
+func (j *job) learnDuration(took time.Duration) {
 	j.expectedTaskDuration = max(took, time.Millisecond)
 }
 
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -52,7 +52,7 @@
 			t.lastRun += runNumberStep
 		case fleet.RefusedUnhealthy, fleet.RefusedNoRoom, fleet.RefusedInvalid:
 			if p.cfg.Policy.DoubtRefusing {
-				p.doubt(u, string(refusal))
+				p.eject(u, string(refusal))
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 
 func (p *Pool) missed(u *upstream) {
 	u.missedReports++
-	p.missRate.count(true)
+	p.missRate.record(true)
 	if u.silent || u.missedReports < p.missesToSilent() {
 		return
 	}
@@ -170,9 +170,9 @@
 // counts as silent.
 func (p *Pool) missesToSilent() int {
 	if !p.cfg.Policy.ComparePeers {
-		return fewestMisses
+		return minMisses
 	}
-	return p.missRate.enough()
+	return p.missRate.missesToSilent()
 }
 
 func (p *Pool) reported(u *upstream, sent time.Time, report fleet.Report) {
@@ -182,7 +182,7 @@
 		u.suspectedTasks = nil
 	}
 	u.missedReports, u.silent = 0, false
-	p.missRate.count(false)
+	p.missRate.record(false)
 	u.clockMs, u.clockReadAt = report.ClockMs, p.now
 	for _, e := range report.Ended {
 		if e.Sequence > u.lastEndSequence {
@@ -209,7 +209,7 @@
 			p.found(u, t.Run)
 			continue
 		}
-		p.progressed(r, t.Percent)
+		p.recordProgress(r, t.Percent)
 	}
 	for _, r := range sortedRuns(u) {
 		if listed[r.id] {
@@ -279,14 +279,14 @@
 	j.unfinished--
 	j.done = append(j.done, t.index)
 	took := p.now.Sub(r.orderedAt)
-	p.learnSpeed(r, p.now.Sub(r.began()))
+	p.learnSlowdown(r, p.now.Sub(r.startedAt()))
 	if p.cfg.Policy.LearnTimes {
-		p.timesOf(j.Route).learn(r.near(took))
+		p.durationsOf(j.Route).add(r.toLocal(took))
 	}
 	if p.cfg.Policy.LearnJob {
-		j.learn(r.near(took))
+		j.learnDuration(r.toLocal(took))
 	}
-	p.trust(r.upstream)
+	p.resetHealth(r.upstream)
 	if j.unfinished == 0 {
 		p.removeJob(j)
 		p.addResult(j, Completed, nil)
@@ -297,7 +297,7 @@
 	j := r.job
 	t := j.tasks[r.id.Task.Index]
 	t.failedRuns++
-	p.blame(r)
+	p.chargeFailure(r)
 	if t.failedRuns >= j.MaxAttempts {
 		p.endJob(j, Failed)
 		return
--- a/schedule/load.go
+++ b/schedule/load.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		sum := &l
-		if p.slowness(u) > 1 {
+		if p.slowdownFactor(u) > 1 {
 			sum = &slow
 		}
 		sum.Capacity += u.Capacity.MilliCPU
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -169,7 +169,7 @@
 			continue
 		}
 		fits := p.fits(j, u, most)
-		slowness := p.slownessFor(j, u)
+		slowness := p.slowdownFactorFor(j, u)
 		if slowness > 1 && !p.inTime(j, slowness) {
 			slow += fits
 			continue
@@ -191,10 +191,10 @@
 		left = left.Minus(j.Demand)
 		n++
 	}
-	if u.health.doubted && p.cfg.Policy.SingleTrial {
+	if u.health.ejected && p.cfg.Policy.SingleTrial {
 		n = min(n, 1)
 	}
-	return placesApart(j, u, n)
+	return limitPerUpstream(j, u, n)
 }
 
 // hasOther reports whether any upstream but one could run a task of j.
@@ -226,10 +226,10 @@
 		if u.Service != j.Service || !p.usable(u, p.now) || u.ID == but {
 			continue
 		}
-		slowness := p.slownessFor(j, u)
+		slowness := p.slowdownFactorFor(j, u)
 		fast = fast || slowness == 1 && j.Demand.Within(u.Capacity)
 		left := u.Capacity.Minus(u.used)
-		if !j.Demand.Within(left) || placesApart(j, u, 1) == 0 {
+		if !j.Demand.Within(left) || limitPerUpstream(j, u, 1) == 0 {
 			continue
 		}
 		rest := left.MilliCPU - j.Demand.MilliCPU
@@ -259,8 +259,8 @@
 	switch {
 	case !u.accepted, u.silent, u.foreignRuns > 0, !p.acceptsStarts(u), u.renewalBlocked, !p.heardLately(u):
 		return false
-	case u.health.doubted:
-		return now.After(u.health.until) && (len(u.runs) == 0 || !p.cfg.Policy.SingleTrial)
+	case u.health.ejected:
+		return now.After(u.health.ejectedUntil) && (len(u.runs) == 0 || !p.cfg.Policy.SingleTrial)
 	default:
 		return true
 	}
@@ -274,9 +274,9 @@
 	leaves := p.now.Add(carried)
 	r := &run{
 		id: fleet.Run{Task: p.taskRef(j, t), Number: t.lastRun}, job: j, upstream: u, demand: j.Demand,
-		state: starting, orderedAt: leaves, percentRoseAt: leaves, percentAt: leaves, remoteFactor: p.remoteness(j, u),
+		state: starting, orderedAt: leaves, percentRoseAt: leaves, percentAt: leaves, remoteFactor: p.remoteFactor(j, u),
 	}
-	r.expectedDuration = r.longer(j.expectedTaskDuration)
+	r.expectedDuration = r.fromLocal(j.expectedTaskDuration)
 	p.add(r)
 	p.effects.Starts = append(p.effects.Starts, Start{
 		Upstream:  u.Upstream,
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -26,10 +26,10 @@
 	renewalsCheckedAt time.Time // when renewalBlocked of the upstreams was last updated
 	queue             []*job    // jobs with waiting tasks
 	waitingTasks      int
-	durationsByRoute  map[string]*runTimes
+	durationsByRoute  map[string]*taskDurations
 	crashHistory      crashHistory
 	missRate          missRate // over all upstreams
-	meanSpeed         float64  // mean over all upstreams of the logarithm of actual to expected duration
+	meanSlowdown      float64  // mean over all upstreams of the logarithm of actual to expected duration
 	link              link
 	answerTimeout     time.Duration   // after which an answer is overdue
 	fencedIDs         map[string]bool // upstreams that have seen a higher fencing token
@@ -45,7 +45,7 @@
 func NewPool(cfg Config, token uint64) *Pool {
 	return &Pool{
 		cfg: cfg, token: token, link: link{rate: linkShare * cfg.LinkRate}, upstreams: map[string]*upstream{}, jobs: map[JobKey]*job{}, jobsByID: map[string][]*job{},
-		runByTask: map[fleet.TaskRef]*run{}, coordinatorLeases: map[string]*coordinatorLease{}, durationsByRoute: map[string]*runTimes{},
+		runByTask: map[fleet.TaskRef]*run{}, coordinatorLeases: map[string]*coordinatorLease{}, durationsByRoute: map[string]*taskDurations{},
 		fencedIDs: map[string]bool{}, crashHistory: crashHistory{tasks: map[fleet.TaskRef]crashRecord{}},
 	}
 }
@@ -162,7 +162,7 @@
 func (p *Pool) addOffer(o Offer) {
 	p.supersede(o.Key)
 	j := &job{Offer: o, offeredAt: p.now, tasks: map[int]*task{}, unfinished: len(o.Tasks), failedOn: map[string]bool{}, history: map[int]TaskHistory{}}
-	j.expectedTaskDuration = p.timesOf(o.Route).expect(o.Estimate)
+	j.expectedTaskDuration = p.durationsOf(o.Route).estimate(o.Estimate)
 	for _, index := range o.Tasks {
 		t := &task{index: index, lastRun: o.History[index].LastRun, failedRuns: o.History[index].FailedRuns}
 		j.tasks[index] = t
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -271,7 +271,7 @@
 	stopAckedAt      time.Time
 	expectedDuration time.Duration // as of when the run was ordered
 	remoteFactor     float64       // how many times longer the task takes on this upstream, outside the rack of its data
-	speedLearned     bool          // its progress has been used to estimate the upstream's speed
+	slowdownLearned  bool          // its progress has been used to estimate the upstream's speed
 	polledAt         time.Time     // when the upstream was last polled because of this run
 	reported         bool          // a report has listed the run
 	percent          int           // of its work that is done, as last reported
@@ -344,5 +344,5 @@
 	silent            bool
 	renewalBlocked    bool // its leases must not be renewed, as of the pool's last check
 	health            health
-	speed             speed
+	slowdown          slowdown
 }
--- a/schedule/speed.go
+++ b/schedule/speed.go
@@ -5,62 +5,64 @@
 	"time"
 )
 
-// speed is what is believed of how long tasks take on one upstream, against what
-// was expected of them, as a logarithm: 0 is as expected. It fades with time,
-// since an upstream gets few tasks to show otherwise once it is believed slow.
-type speed struct {
-	log float64
-	at  time.Time
+// slowdown estimates how many times longer than expected tasks take on one upstream,
+// relative to its peers. It decays with time, because a slow upstream gets few tasks that
+// could show that it has recovered.
+type slowdown struct {
+	log       float64 // logarithm of the factor at updatedAt; 0 is as fast as the peers
+	updatedAt time.Time
 }
 
 const (
-	// speedWeight is the weight of one run in the speed of its upstream, and
-	// meanSpeedWeight that in the mean of all upstreams of a pool: times differ
-	// from what is expected by some 30%, and two or three runs must tell.
-	speedWeight     = 0.5
-	meanSpeedWeight = 0.02
-	// speedHalfLife is when a speed counts half.
-	speedHalfLife = 1500 * time.Millisecond
-	// slowSpeed is how many times longer than on its peers tasks must take on
+	// slowdownWeight is the weight of one run in the slowdown of its upstream, and
+	// meanSlowdownWeight its weight in the mean of all upstreams of a pool. Durations
+	// differ from the expected ones by about 30%, and two or three runs must suffice to
+	// show that an upstream is slow.
+	slowdownWeight     = 0.5
+	meanSlowdownWeight = 0.02
+	// slowdownHalfLife is the time in which the logarithm of a slowdown decays to half.
+	slowdownHalfLife = 1500 * time.Millisecond
+	// minSlowdownFactor is how many times longer than on its peers tasks must take on
 	// an upstream for it to count as slow.
-	slowSpeed = 1.6
+	minSlowdownFactor = 1.6
 )
 
-// now returns the logarithm at a time.
-func (s *speed) now(now time.Time) float64 {
-	if s.at.IsZero() {
+// logAt returns the logarithm of the slowdown at a time, after decay.
+func (s *slowdown) logAt(at time.Time) float64 {
+	if s.updatedAt.IsZero() {
 		return 0
 	}
-	return s.log * math.Exp2(-now.Sub(s.at).Seconds()/speedHalfLife.Seconds())
+	return s.log * math.Exp2(-at.Sub(s.updatedAt).Seconds()/slowdownHalfLife.Seconds())
 }
 
-// began is when a run began, as far as that is known: the answer to its start may
-// be late, or lost.
-func (r *run) began() time.Time {
+// startedAt returns when a run started as far as that is known: when its start was
+// acknowledged, or else when it was ordered, since the answer may be late or lost.
+func (r *run) startedAt() time.Time {
 	if r.startAckedAt.IsZero() {
 		return r.orderedAt
 	}
 	return r.startAckedAt
 }
 
-// learnSpeed takes how long a run takes.
-func (p *Pool) learnSpeed(r *run, takes time.Duration) {
+// learnSlowdown updates the slowdown of an upstream from the duration of a run, measured
+// from startedAt.
+func (p *Pool) learnSlowdown(r *run, duration time.Duration) {
 	u := r.upstream
-	value := math.Log(max(takes, time.Millisecond).Seconds() / max(r.expectedDuration, time.Millisecond).Seconds())
-	p.meanSpeed += meanSpeedWeight * (value - p.meanSpeed)
-	before := u.speed.now(p.now)
-	u.speed.log = before + speedWeight*(value-p.meanSpeed-before)
-	u.speed.at = p.now
+	value := math.Log(max(duration, time.Millisecond).Seconds() / max(r.expectedDuration, time.Millisecond).Seconds())
+	p.meanSlowdown += meanSlowdownWeight * (value - p.meanSlowdown)
+	before := u.slowdown.logAt(p.now)
+	u.slowdown.log = before + slowdownWeight*(value-p.meanSlowdown-before)
+	u.slowdown.updatedAt = p.now
 }
 
-// slowness is how many times longer tasks take on an upstream than on its peers;
-// 1 where it does not count as slow.
-func (p *Pool) slowness(u *upstream) float64 {
+// slowdownFactor returns how many times longer tasks take on an upstream than on its peers.
+// It returns 1 for an upstream that does not count as slow.
+func (p *Pool) slowdownFactor(u *upstream) float64 {
 	if !p.cfg.Policy.LearnSpeed {
 		return 1
 	}
-	if slowness := math.Exp(u.speed.now(p.now)); slowness >= slowSpeed {
-		return slowness
+	if factor := math.Exp(u.slowdown.logAt(p.now)); factor >= minSlowdownFactor {
+		return factor
 	}
 	return 1
 }
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -65,10 +65,10 @@
 // 400 ms later. On a sound network it asks for nothing.
 func (p *Pool) lookIfOverdue(r *run) {
 	u := r.upstream
-	if !p.cfg.Policy.LookOverdue || p.missRate.share < lossyShare || u.silent || p.now.Before(r.expectedEnd(p.now)) && !p.now.After(r.orderedAt.Add(r.expectedTotal())) {
+	if !p.cfg.Policy.LookOverdue || p.missRate.share < lossyMissRate || u.silent || p.now.Before(r.expectedEnd(p.now)) && !p.now.After(r.orderedAt.Add(r.expectedTotal())) {
 		return
 	}
-	if p.now.Sub(u.reportRequestedAt) < overdueLook || p.now.Sub(r.polledAt) < overdueLook {
+	if p.now.Sub(u.reportRequestedAt) < overduePollInterval || p.now.Sub(r.polledAt) < overduePollInterval {
 		return
 	}
 	r.polledAt = p.now
