--- a/schedule/missrate.go
+++ b/schedule/missrate.go
@@ -2,26 +2,26 @@
 
 import "math"
 
-// missRate is the share of reports of all upstreams of a pool that did not come
-// lately. What many upstreams show at once is not the fault of one of them: the
-// network or this instance may be slow, or drop messages.
+// missRate is the moving average of the share of reports that did not come, over all
+// upstreams of a pool. If reports of many upstreams are missing at the same time, the cause
+// is not one of them: the network or this instance may be slow or dropping messages.
 type missRate struct{ share float64 }
 
 const (
-	// reportWeight is the weight of one report in the share.
+	// reportWeight is the weight of one report in the moving average.
 	reportWeight = 0.02
-	// minMisses is how many reports in a row must not come at least before
-	// that counts against an upstream, and mostMisses how many do in any case.
-	minMisses  = 2
+	// minMisses and maxMisses bound the number of consecutive missing reports after
+	// which an upstream counts as silent.
+	minMisses = 2
 	maxMisses = 6
-	// maxMissShare bounds the share, so that its logarithm is not 0.
+	// maxMissShare bounds the share from above, so that its logarithm is not 0.
 	maxMissShare = 0.99
-	// maxChanceProbability is how likely so many misses in a row may be by chance, at the
-	// share of all upstreams.
+	// maxChanceProbability is how probable it may be, at the share of missing reports of
+	// all upstreams, that an upstream counts as silent by chance.
 	maxChanceProbability = 0.01
 )
 
-// record takes the fate of one report.
+// record updates the share with one report, which came or was missed.
 func (m *missRate) record(missed bool) {
 	value := 0.0
 	if missed {
--- a/schedule/rack.go
+++ b/schedule/rack.go
@@ -16,7 +16,9 @@
 
 // slowdownFactorFor returns how many times longer a task of a job takes on an upstream than
 // on one that is not slow and is in the rack of the data.
-func (p *Pool) slowdownFactorFor(j *job, u *upstream) float64 { return p.slowdownFactor(u) * p.remoteFactor(j, u) }
+func (p *Pool) slowdownFactorFor(j *job, u *upstream) float64 {
+	return p.slowdownFactor(u) * p.remoteFactor(j, u)
+}
 
 // fromLocal converts a duration in the rack of the data to one on the upstream of the run.
 func (r *run) fromLocal(local time.Duration) time.Duration {
