--- a/schedule/input.go
+++ b/schedule/input.go
@@ -8,19 +8,21 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// HandleStartResponse takes the answer to a start that was ordered of a life.
+// HandleStartResponse handles the answer to a start that was sent to an incarnation of an
+// upstream.
 func (p *Pool) HandleStartResponse(now time.Time, of fleet.UpstreamIncarnation, id fleet.Run, refusal fleet.Refusal, err error) Effects {
 	return p.handle(now, func() {
 		u := p.upstreams[of.ID]
 		if u == nil || u.runs[id] == nil {
-			return // it has ended by now
+			return // the run has ended meanwhile
 		}
 		r := u.runs[id]
 		switch {
 		case err != nil && of.StartedUnixMs < u.StartedUnixMs:
-			// It says nothing of this life, in which the run is being stopped.
+			// The error says nothing about this incarnation, in which the run is being
+			// stopped already.
 		case failure.Is(err, failure.Gone):
-			p.gone(u, "another life answers")
+			p.handleGone(u, "another life answers")
 		case err != nil:
 			p.stop(r, "start without answer")
 		case refusal == fleet.NotRefused:
@@ -31,18 +33,18 @@
 				r.percentRoseAt, r.percentAt = now, now
 			}
 		default:
-			p.refused(r, refusal)
+			p.handleRefusal(r, refusal)
 		}
 	})
 }
 
-// refused takes a start that certainly did not happen.
-func (p *Pool) refused(r *run, refusal fleet.Refusal) {
+// handleRefusal handles the refusal of a start: the run has certainly not started.
+func (p *Pool) handleRefusal(r *run, refusal fleet.Refusal) {
 	u := r.upstream
 	p.remove(r)
 	if refusal == fleet.RefusedFence {
-		p.fenced(u)
-		p.lose(r)
+		p.handleFenced(u)
+		p.endUntracked(r)
 		return
 	}
 	if r.job != nil {
@@ -59,15 +61,16 @@
 	p.again(r, "refused: "+string(refusal))
 }
 
-// lose ends the job of a run whose fate this pool cannot learn.
-func (p *Pool) lose(r *run) {
+// endUntracked ends the job of a run whose end this pool cannot learn of.
+func (p *Pool) endUntracked(r *run) {
 	if r.job != nil && p.jobs[r.job.Key] == r.job {
 		p.endJob(r.job, Unknown)
 	}
 }
 
-// loseBlocked ends the jobs that a run keeps back of which nothing more will be known.
-func (p *Pool) loseBlocked(ref fleet.TaskRef) {
+// endBlocked ends the jobs with tasks that are blocked by a run whose end this pool cannot
+// learn of.
+func (p *Pool) endBlocked(ref fleet.TaskRef) {
 	for _, j := range slices.Clone(p.jobsByID[ref.Job]) {
 		if t := j.tasks[ref.Index]; t != nil && t.state == blocked {
 			p.endJob(j, Unknown)
@@ -75,10 +78,11 @@
 	}
 }
 
-// HandleStopResponse takes the answer to a stop that was ordered of a life.
+// HandleStopResponse handles the answer to a stop that was sent to an incarnation of an
+// upstream.
 func (p *Pool) HandleStopResponse(now time.Time, of fleet.UpstreamIncarnation, id fleet.Run, err error) Effects {
 	return p.handle(now, func() {
-		u := p.current(of, 0)
+		u := p.currentUpstream(of, 0)
 		if u == nil || u.runs[id] == nil {
 			return
 		}
@@ -90,24 +94,25 @@
 			r.stopAckedAt, r.polledAt = now, now
 			p.effects.Polls = append(p.effects.Polls, u.ID)
 		case failure.Is(err, failure.Gone):
-			p.gone(u, "another life answers")
+			p.handleGone(u, "another life answers")
 		case failure.Is(err, failure.Conflict):
-			p.fenced(u)
+			p.handleFenced(u)
 		}
 	})
 }
 
-// HoldOrder returns the next order that renews an upstream's lease and asks for
-// its report, and whether the upstream still belongs to the pool. A silent
-// upstream is only asked: its leases must run out.
+// HoldOrder returns the next order that renews the leases of an upstream and requests a
+// report, and whether the upstream still belongs to the pool. The order for a silent
+// upstream only requests a report, because its leases must lapse.
 func (p *Pool) HoldOrder(now time.Time, upstreamID string) (fleet.Upstream, fleet.HoldOrder, bool) {
 	u := p.upstreams[upstreamID]
 	if u == nil {
 		return fleet.Upstream{}, fleet.HoldOrder{}, false
 	}
 	p.now = now
-	o := fleet.HoldOrder{Token: p.token, AckedSequence: p.seenEnds(u)}
-	// Runs of a former owner are over at the latest with the leases that it granted.
+	o := fleet.HoldOrder{Token: p.token, AckedSequence: p.ackedSequence(u)}
+	// Without renewal, runs of a former owner end at the latest when the leases that it
+	// granted lapse.
 	if u.accepted && !u.silent && u.foreignRuns == 0 && p.mayRenewLeases(u) {
 		o.LeaseUntilMs = p.grant(u)
 	}
@@ -117,65 +122,69 @@
 	return u.Upstream, o, true
 }
 
-// seenEnds returns up to which end an upstream may forget its ends: none while another
-// life may answer, which counts its own anew and would forget ends that nobody has seen.
-// A process that goes down leaves a call without an answer, unless this one stood still
-// meanwhile.
-func (p *Pool) seenEnds(u *upstream) uint64 {
-	if u.missedReports > 0 || !p.heardLately(u) {
+// ackedSequence returns the sequence number up to which an upstream may forget the ends of
+// its runs. It returns 0 while a new incarnation may answer instead: that one numbers its
+// ends from 1 again, and would forget ends that it has not reported yet. A restart can be
+// recognized by a call without an answer, or could have gone unnoticed because this process
+// was paused.
+func (p *Pool) ackedSequence(u *upstream) uint64 {
+	if u.missedReports > 0 || !p.isHeardRecently(u) {
 		return 0
 	}
 	return u.lastEndSequence
 }
 
-// PollOrder returns an order that asks for a report at once.
+// PollOrder returns an order that requests a report at once and renews no lease, and whether
+// the upstream still belongs to the pool.
 func (p *Pool) PollOrder(now time.Time, upstreamID string) (fleet.Upstream, fleet.HoldOrder, bool) {
 	u := p.upstreams[upstreamID]
 	if u == nil {
 		return fleet.Upstream{}, fleet.HoldOrder{}, false
 	}
 	p.now = now
-	return u.Upstream, fleet.HoldOrder{Token: p.token, AckedSequence: p.seenEnds(u)}, true
+	return u.Upstream, fleet.HoldOrder{Token: p.token, AckedSequence: p.ackedSequence(u)}, true
 }
 
-// HandleHoldResponse takes the answer to a hold or a look that was sent to a life at a time.
+// HandleHoldResponse handles the answer to an order of HoldOrder or PollOrder that was sent
+// to an incarnation of an upstream at the given time.
 func (p *Pool) HandleHoldResponse(now time.Time, to fleet.UpstreamIncarnation, sent time.Time, report fleet.Report, err error) Effects {
 	return p.handle(now, func() {
-		u := p.current(to, report.StartedUnixMs)
+		u := p.currentUpstream(to, report.StartedUnixMs)
 		switch {
 		case u == nil:
 		case failure.Is(err, failure.Gone):
-			p.gone(u, "another life answers")
+			p.handleGone(u, "another life answers")
 		case failure.Is(err, failure.Conflict):
-			p.fenced(u)
+			p.handleFenced(u)
 		case err != nil:
-			p.missed(u)
+			p.recordMiss(u)
 		default:
-			p.reported(u, sent, report)
+			p.handleReport(u, sent, report)
 		}
 	})
 }
 
-func (p *Pool) missed(u *upstream) {
+// recordMiss counts a report that did not come; the upstream may become silent.
+func (p *Pool) recordMiss(u *upstream) {
 	u.missedReports++
 	p.missRate.record(true)
-	if u.silent || u.missedReports < p.missesToSilent() {
+	if u.silent || u.missedReports < p.maxMissedReports() {
 		return
 	}
 	u.silent = true
 	p.addDecision(Decision{Kind: DecidedSilent, Upstream: u.ID, Task: len(u.runs), Age: p.now.Sub(u.clockReadAt)})
 }
 
-// missesToSilent is how many reports in a row must not come before an upstream
+// maxMissedReports returns the number of consecutive missing reports after which an upstream
 // counts as silent.
-func (p *Pool) missesToSilent() int {
+func (p *Pool) maxMissedReports() int {
 	if !p.cfg.Policy.ComparePeers {
 		return minMisses
 	}
 	return p.missRate.missesToSilent()
 }
 
-func (p *Pool) reported(u *upstream, sent time.Time, report fleet.Report) {
+func (p *Pool) handleReport(u *upstream, sent time.Time, report fleet.Report) {
 	if u.silent {
 		p.addDecision(Decision{Kind: DecidedResponding, Upstream: u.ID, Age: p.now.Sub(u.clockReadAt)})
 		p.crashHistory.retract(u.suspectedTasks)
@@ -187,37 +196,38 @@
 	for _, e := range report.Ended {
 		if e.Sequence > u.lastEndSequence {
 			u.lastEndSequence = e.Sequence
-			p.ended(u, e)
+			p.handleEnd(u, e)
 		}
 	}
 	if sent.Before(u.reportRequestedAt) {
-		return // a newer report has been read
+		return // the reports came out of order, and a newer one has been processed
 	}
 	u.reportRequestedAt = sent
-	p.readRunning(u, sent, report.Running)
+	p.reconcileRuns(u, sent, report.Running)
 	u.accepted = true
 	p.everAccepted = true
 }
 
-// readRunning compares what an upstream runs with the books.
-func (p *Pool) readRunning(u *upstream, sent time.Time, list []fleet.RunningTask) {
-	listed := make(map[fleet.Run]bool, len(list))
+// reconcileRuns compares the runs that an upstream reports with those that are tracked. It
+// stops unknown ones and requeues the tasks of those that are gone.
+func (p *Pool) reconcileRuns(u *upstream, sent time.Time, list []fleet.RunningTask) {
+	isListed := make(map[fleet.Run]bool, len(list))
 	for _, t := range list {
-		listed[t.Run] = true
+		isListed[t.Run] = true
 		r := u.runs[t.Run]
 		if r == nil {
-			p.found(u, t.Run)
+			p.stopForeign(u, t.Run)
 			continue
 		}
 		p.recordProgress(r, t.Percent)
 	}
 	for _, r := range sortedRuns(u) {
-		if listed[r.id] {
+		if isListed[r.id] {
 			continue
 		}
 		switch {
 		case r.state == stopped && sent.After(r.stopAckedAt):
-			u.leaveUnresolved(r)
+			u.addUnresolvedStart(r)
 			p.remove(r)
 			p.again(r, "stopped")
 		case r.state == running && sent.After(r.startAckedAt):
@@ -227,7 +237,7 @@
 	}
 }
 
-// sortedRuns returns the runs of an upstream in a fixed order.
+// sortedRuns returns the tracked runs of an upstream in a fixed order.
 func sortedRuns(u *upstream) []*run {
 	list := make([]*run, 0, len(u.runs))
 	for _, r := range u.runs {
@@ -237,9 +247,9 @@
 	return list
 }
 
-// found takes a run that nobody here ordered: one of an owner before. It is
-// stopped, and nothing starts on the upstream until it is gone.
-func (p *Pool) found(u *upstream, id fleet.Run) {
+// stopForeign tracks and stops a run that this pool has not ordered: a former owner has.
+// Nothing starts on the upstream until the run is gone.
+func (p *Pool) stopForeign(u *upstream, id fleet.Run) {
 	if slices.Contains(u.recentEnds, id) {
 		return
 	}
@@ -248,8 +258,8 @@
 	p.stop(r, "started by a former owner")
 }
 
-// ended takes one end of a run.
-func (p *Pool) ended(u *upstream, e fleet.EndedRun) {
+// handleEnd handles the reported end of a run.
+func (p *Pool) handleEnd(u *upstream, e fleet.EndedRun) {
 	u.recentEnds = append(u.recentEnds, e.Run)
 	if len(u.recentEnds) > maxRecentEnds {
 		u.recentEnds = u.recentEnds[1:]
@@ -264,15 +274,15 @@
 	}
 	switch e.End {
 	case fleet.EndDone:
-		p.done(r)
+		p.handleDone(r)
 	case fleet.EndFailed:
-		p.failed(r)
+		p.handleFailure(r)
 	default:
 		p.again(r, string(e.End))
 	}
 }
 
-func (p *Pool) done(r *run) {
+func (p *Pool) handleDone(r *run) {
 	j := r.job
 	t := j.tasks[r.id.Task.Index]
 	p.setTaskState(j, t, ended)
@@ -293,7 +303,7 @@
 	}
 }
 
-func (p *Pool) failed(r *run) {
+func (p *Pool) handleFailure(r *run) {
 	j := r.job
 	t := j.tasks[r.id.Task.Index]
 	t.failedRuns++
@@ -305,12 +315,12 @@
 	p.again(r, "failed")
 }
 
-// gone takes the end of an upstream's life: nothing of it runs.
-func (p *Pool) gone(u *upstream, reason string) {
+// handleGone removes an upstream whose incarnation has ended: its runs are over.
+func (p *Pool) handleGone(u *upstream, reason string) {
 	p.addDecision(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: reason})
 	runs := sortedRuns(u)
 	suspects := p.recordCrash(u, runs)
-	p.drop(u)
+	p.removeUpstream(u)
 	for _, r := range runs {
 		p.remove(r)
 		p.again(r, "upstream gone")
@@ -318,9 +328,9 @@
 	p.endCrashingJobs(suspects)
 }
 
-// fenced takes the news that another owner has an upstream. What becomes of
-// the runs there is not known here.
-func (p *Pool) fenced(u *upstream) {
+// handleFenced removes an upstream that has seen the fencing token of another owner. This
+// pool does not learn the ends of the runs there, so their jobs end with Unknown.
+func (p *Pool) handleFenced(u *upstream) {
 	if p.upstreams[u.ID] != u {
 		return
 	}
@@ -329,15 +339,15 @@
 		p.fencedAt = p.now
 	}
 	p.fencedIDs[u.ID] = true
-	p.drop(u)
+	p.removeUpstream(u)
 	for _, r := range sortedRuns(u) {
-		p.loseBlocked(r.id.Task)
+		p.endBlocked(r.id.Task)
 		p.remove(r)
-		p.lose(r)
+		p.endUntracked(r)
 	}
 }
 
-func (p *Pool) drop(u *upstream) {
+func (p *Pool) removeUpstream(u *upstream) {
 	delete(p.upstreams, u.ID)
 	p.sortedUpstreams = slices.DeleteFunc(p.sortedUpstreams, func(o *upstream) bool { return o == u })
 }
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -257,7 +257,7 @@
 // usable reports whether an upstream may get a task now.
 func (p *Pool) usable(u *upstream, now time.Time) bool {
 	switch {
-	case !u.accepted, u.silent, u.foreignRuns > 0, !p.acceptsStarts(u), u.renewalBlocked, !p.heardLately(u):
+	case !u.accepted, u.silent, u.foreignRuns > 0, !p.acceptsStarts(u), u.renewalBlocked, !p.isHeardRecently(u):
 		return false
 	case u.health.ejected:
 		return now.After(u.health.ejectedUntil) && (len(u.runs) == 0 || !p.cfg.Policy.SingleTrial)
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -94,10 +94,10 @@
 	u := p.upstreams[entry.ID]
 	switch {
 	case u == nil:
-		p.insert(entry)
+		p.insertUpstream(entry)
 		return true
 	case entry.StartedUnixMs > u.StartedUnixMs:
-		u = p.restarted(u, entry)
+		u = p.replaceRestarted(u, entry)
 	case entry.StartedUnixMs == u.StartedUnixMs:
 		entry.Draining = entry.Draining || u.Draining
 		u.Upstream = entry
@@ -133,7 +133,7 @@
 	var released []string
 	for _, u := range slices.Clone(p.sortedUpstreams) {
 		if len(u.runs) == 0 {
-			p.drop(u)
+			p.removeUpstream(u)
 			released = append(released, u.ID)
 		}
 	}
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Tick lets time pass.
+// Tick does everything that depends on time alone. It must be called regularly.
 func (p *Pool) Tick(now time.Time) Effects {
 	return p.handle(now, func() {
 		for _, u := range slices.Clone(p.sortedUpstreams) {
@@ -19,14 +19,14 @@
 		p.returnUnblocked()
 		p.rejectLate()
 		for _, j := range slices.Clone(p.queue) {
-			p.expire(j)
+			p.endIfExpired(j)
 		}
 	})
 }
 
 func (p *Pool) tickUpstream(u *upstream) {
 	if u.silent && p.now.After(u.lapsed()) {
-		p.lapse(u)
+		p.handleLapse(u)
 	}
 	for _, r := range sortedRuns(u) {
 		switch {
@@ -36,34 +36,34 @@
 			r.polledAt = p.now
 			p.effects.Polls = append(p.effects.Polls, u.ID)
 		case r.state == running:
-			p.lookIfOverdue(r)
+			p.pollIfOverdue(r)
 			p.checkProgress(r)
 		}
 	}
 	if !u.listed && len(u.runs) == 0 && p.now.Sub(u.unlistedAt) > p.cfg.RemovalGrace {
 		p.addDecision(Decision{Kind: DecidedGone, Upstream: u.ID, Reason: "its entry is gone"})
-		p.drop(u)
+		p.removeUpstream(u)
 	}
 }
 
-// lapse takes the end of the leases of a silent upstream: nothing of it runs any more. It
-// may have crashed, or only be cut off.
-func (p *Pool) lapse(u *upstream) {
+// handleLapse requeues the tasks of a silent upstream whose leases have lapsed: its runs are
+// over, whether it has crashed or is only unreachable.
+func (p *Pool) handleLapse(u *upstream) {
 	runs := sortedRuns(u)
 	suspects := p.recordCrash(u, runs)
 	u.suspectedTasks = append(u.suspectedTasks, suspects...)
 	for _, r := range runs {
-		u.leaveUnresolved(r)
+		u.addUnresolvedStart(r)
 		p.remove(r)
 		p.again(r, "lease lapsed on a silent upstream")
 	}
 	p.endCrashingJobs(suspects)
 }
 
-// lookIfOverdue asks for a report at once where a run should have ended and
-// reports get lost: the next one may tell of the end only after its timeout, up to
-// 400 ms later. On a sound network it asks for nothing.
-func (p *Pool) lookIfOverdue(r *run) {
+// pollIfOverdue polls the upstream of a run that should have ended, if reports are being
+// lost: otherwise the end may become known only after the next report has timed out, up to
+// 400 ms later. On a sound network it does not poll.
+func (p *Pool) pollIfOverdue(r *run) {
 	u := r.upstream
 	if !p.cfg.Policy.LookOverdue || p.missRate.share < lossyMissRate || u.silent || p.now.Before(r.expectedEnd(p.now)) && !p.now.After(r.orderedAt.Add(r.expectedTotal())) {
 		return
@@ -75,15 +75,15 @@
 	p.effects.Polls = append(p.effects.Polls, u.ID)
 }
 
-// expire gives up a job that cannot end while that is of use, because tasks of
-// it wait and there is no room. One whose tasks wait for the end of a run that
-// may still be at work goes on, and so does one that has begun while any upstream
-// is left that could run the rest: it is served late rather than for nothing.
-func (p *Pool) expire(j *job) {
+// endIfExpired ends a job that can no longer finish while its result is of use, because
+// tasks of it wait for capacity. It does not end a job whose tasks are only blocked by runs
+// that may still be executing. A job that has started goes on while any upstream could run
+// its waiting tasks: finishing late is better than having run the other tasks for nothing.
+func (p *Pool) endIfExpired(j *job) {
 	if !p.cfg.Policy.GiveUp || p.jobs[j.Key] != j || p.now.Add(j.expectedTaskDuration/2).Before(j.expiry()) {
 		return
 	}
-	if j.hasBegun() && p.anyLeft(j) {
+	if j.hasBegun() && p.mayStillRun(j) {
 		return
 	}
 	for _, t := range j.taskList {
@@ -94,8 +94,8 @@
 	}
 }
 
-// anyLeft reports whether any upstream that answers could run a task of j, now or
-// once it is not doubted any more.
-func (p *Pool) anyLeft(j *job) bool {
+// mayStillRun reports whether any upstream that answers could run a task of j, now or
+// after its ejection.
+func (p *Pool) mayStillRun(j *job) bool {
 	return p.fitsAnyUpstream(j, func(u *upstream) bool { return u.accepted && !u.silent && p.acceptsStarts(u) })
 }
