--- a/schedule/coordinator.go
+++ b/schedule/coordinator.go
@@ -155,7 +155,7 @@
 	for _, j := range expired {
 		for _, t := range j.taskList {
 			if r := p.runByTask[p.taskRef(j, t)]; r != nil && r.job == j {
-				p.stop(r, reasonCoordinatorExpired) // the task waits again when the run is over
+				p.stopRun(r, reasonCoordinatorExpired) // the task waits again when the run is over
 			}
 		}
 		p.returnAllWaiting(j, reasonCoordinatorExpired)
--- a/schedule/forecast.go
+++ b/schedule/forecast.go
@@ -134,7 +134,7 @@
 // expectedEndFrom returns when a job is expected to end if its last task starts at the
 // given time.
 func (j *job) expectedEndFrom(start time.Time) time.Time {
-	return start.Add(time.Duration(longestTask * float64(j.expectedTaskDuration)))
+	return start.Add(time.Duration(longestTaskFactor * float64(j.expectedTaskDuration)))
 }
 
 // rejectLate rejects the jobs that have not started and are expected to finish late. It
@@ -205,7 +205,7 @@
 // admissionDeadline returns the time by which a job that has not started must be expected
 // to finish in order not to be rejected.
 func (j *job) admissionDeadline() time.Time {
-	latestEnd := j.sent().Add(time.Duration(admissionShare * float64(j.allowed())))
+	latestEnd := j.submittedAt().Add(time.Duration(admissionShare * float64(j.objective())))
 	if timeoutAt := j.offeredAt.Add(j.Timeout); timeoutAt.Before(latestEnd) {
 		return timeoutAt
 	}
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -55,7 +55,7 @@
 		return
 	}
 	u.health.failures++
-	tolerated := !p.hasOther(j, u.ID) && u.health.failures < minFailuresIfOnly
+	tolerated := !p.hasAlternative(j, u.ID) && u.health.failures < minFailuresIfOnly
 	if !tolerated && p.cfg.Policy.DoubtFailing {
 		p.eject(u, "tasks fail")
 	}
@@ -153,14 +153,14 @@
 	if remaining < expect*3/2+max(minMoveTime, answersPerMove*p.answerTimeout) {
 		return
 	}
-	if !stalled && p.chooseBut(j, r.upstream.ID) == nil {
+	if !stalled && p.chooseExcept(j, r.upstream.ID) == nil {
 		return // no other upstream has capacity, and a slow run is better than waiting
 	}
 	t.moves++
 	if p.cfg.Policy.DoubtSlow {
 		p.eject(r.upstream, "slow")
 	}
-	p.stop(r, "slow")
+	p.stopRun(r, "slow")
 }
 
 // learnSlowdownFromPace updates the slowdown of an upstream from the projected duration of a
--- a/schedule/incarnations.go
+++ b/schedule/incarnations.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// isHeardRecently reports whether the last report of an upstream is so recent that the
+// hasRecentReport reports whether the last report of an upstream is so recent that the
 // upstream cannot have restarted since: a restart takes at least a second, and a lease is
 // shorter. It is always true for an upstream that does not restart under the same ID.
-func (p *Pool) isHeardRecently(u *upstream) bool {
+func (p *Pool) hasRecentReport(u *upstream) bool {
 	return u.StartedUnixMs == 0 || p.now.Sub(u.clockReadAt) <= p.cfg.Lease
 }
 
@@ -57,8 +57,8 @@
 			p.moveToSuccessor(r, successor)
 			continue
 		}
-		p.remove(r)
-		p.again(r, "its upstream has started again")
+		p.untrackRun(r)
+		p.requeue(r, "its upstream has started again")
 	}
 	p.endCrashingJobs(suspects)
 	for _, id := range u.unresolvedStarts {
@@ -79,7 +79,7 @@
 	successor.runs[r.id] = r
 	successor.used = successor.used.Plus(r.demand)
 	r.upstream, r.state = successor, starting
-	p.stop(r, "its upstream has started again, and may run it")
+	p.stopRun(r, "its upstream has started again, and may run it")
 }
 
 // maxUnresolvedStarts is how many runs are remembered per upstream of which it is not known
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -24,7 +24,7 @@
 		case failure.Is(err, failure.Gone):
 			p.handleGone(u, "another life answers")
 		case err != nil:
-			p.stop(r, "start without answer")
+			p.stopRun(r, "start without answer")
 		case refusal == fleet.NotRefused:
 			u.missedReports = 0
 			r.startAckedAt = now
@@ -41,7 +41,7 @@
 // handleRefusal handles the refusal of a start: the run has certainly not started.
 func (p *Pool) handleRefusal(r *run, refusal fleet.Refusal) {
 	u := r.upstream
-	p.remove(r)
+	p.untrackRun(r)
 	if refusal == fleet.RefusedFence {
 		p.handleFenced(u)
 		p.endUntracked(r)
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	p.again(r, "refused: "+string(refusal))
+	p.requeue(r, "refused: "+string(refusal))
 }
 
 // endUntracked ends the job of a run whose end this pool cannot learn of.
@@ -114,7 +114,7 @@
 	// Without renewal, runs of a former owner end at the latest when the leases that it
 	// granted lapse.
 	if u.accepted && !u.silent && u.foreignRuns == 0 && p.mayRenewLeases(u) {
-		o.LeaseUntilMs = p.grant(u)
+		o.LeaseUntilMs = p.grantLease(u)
 	}
 	if u.accepted && u.missedReports == 0 {
 		o.WaitMs = p.reportWait(u).Milliseconds()
@@ -128,7 +128,7 @@
 // recognized by a call without an answer, or could have gone unnoticed because this process
 // was paused.
 func (p *Pool) ackedSequence(u *upstream) uint64 {
-	if u.missedReports > 0 || !p.isHeardRecently(u) {
+	if u.missedReports > 0 || !p.hasRecentReport(u) {
 		return 0
 	}
 	return u.lastEndSequence
@@ -228,11 +228,11 @@
 		switch {
 		case r.state == stopped && sent.After(r.stopAckedAt):
 			u.addUnresolvedStart(r)
-			p.remove(r)
-			p.again(r, "stopped")
+			p.untrackRun(r)
+			p.requeue(r, "stopped")
 		case r.state == running && sent.After(r.startAckedAt):
-			p.remove(r)
-			p.again(r, "vanished")
+			p.untrackRun(r)
+			p.requeue(r, "vanished")
 		}
 	}
 }
@@ -254,8 +254,8 @@
 		return
 	}
 	r := &run{id: id, upstream: u, foreign: true, state: running, orderedAt: p.now, startAckedAt: p.now, percentRoseAt: p.now, percentAt: p.now}
-	p.add(r)
-	p.stop(r, "started by a former owner")
+	p.trackRun(r)
+	p.stopRun(r, "started by a former owner")
 }
 
 // handleEnd handles the reported end of a run.
@@ -268,7 +268,7 @@
 	if r == nil {
 		return
 	}
-	p.remove(r)
+	p.untrackRun(r)
 	if r.job == nil {
 		return
 	}
@@ -278,7 +278,7 @@
 	case fleet.EndFailed:
 		p.handleFailure(r)
 	default:
-		p.again(r, string(e.End))
+		p.requeue(r, string(e.End))
 	}
 }
 
@@ -312,7 +312,7 @@
 		p.endJob(j, Failed)
 		return
 	}
-	p.again(r, "failed")
+	p.requeue(r, "failed")
 }
 
 // handleGone removes an upstream whose incarnation has ended: its runs are over.
@@ -322,8 +322,8 @@
 	suspects := p.recordCrash(u, runs)
 	p.removeUpstream(u)
 	for _, r := range runs {
-		p.remove(r)
-		p.again(r, "upstream gone")
+		p.untrackRun(r)
+		p.requeue(r, "upstream gone")
 	}
 	p.endCrashingJobs(suspects)
 }
@@ -342,7 +342,7 @@
 	p.removeUpstream(u)
 	for _, r := range sortedRuns(u) {
 		p.endBlocked(r.id.Task)
-		p.remove(r)
+		p.untrackRun(r)
 		p.endUntracked(r)
 	}
 }
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -8,33 +8,33 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// backfillDepth bounds how many jobs of which nothing began are weighed by the
-// forecast in one go, and so the cost of an input: a forecast looks at each run.
-const backfillDepth = 16
+// maxForecastsPerPlacement limits how many forecasts placeWaiting makes for jobs that have not
+// started, and so the cost of an input: a forecast goes through all runs.
+const maxForecastsPerPlacement = 16
 
-// place starts what waits, as far as there is room. Where there is none, it looks
-// at each upstream and at each job once.
-func (p *Pool) place() {
+// placeWaiting starts waiting tasks while there is capacity. If there is none, it goes through
+// the upstreams and the queue only once.
+func (p *Pool) placeWaiting() {
 	if p.draining || len(p.queue) == 0 {
 		return
 	}
 	p.refreshRenewalCheck()
-	room := p.mostRoom()
-	if room <= 0 {
+	freeMilliCPU := p.maxFreeMilliCPU()
+	if freeMilliCPU <= 0 {
 		return
 	}
 	p.sortQueue()
-	weighed, started := 0, false
+	forecasts, started := 0, false
 	for _, j := range p.queue {
-		if j.Demand.MilliCPU > room {
+		if j.Demand.MilliCPU > freeMilliCPU {
 			continue
 		}
-		if !p.mayStart(j) || !p.startsNow(j, &weighed) {
+		if !p.mayStart(j) || !p.canStartNow(j, &forecasts) {
 			continue
 		}
 		if p.placeJob(j) {
 			started = true
-			room = p.mostRoom()
+			freeMilliCPU = p.maxFreeMilliCPU()
 		}
 	}
 	if started {
@@ -42,8 +42,9 @@
 	}
 }
 
-// mostRoom is the most that is free on one upstream, thousandths of a core.
-func (p *Pool) mostRoom() int64 {
+// maxFreeMilliCPU returns the largest free CPU capacity of a single usable upstream, in
+// thousandths of a core.
+func (p *Pool) maxFreeMilliCPU() int64 {
 	most := int64(0)
 	for _, u := range p.sortedUpstreams {
 		if left := u.Capacity.MilliCPU - u.used.MilliCPU; left > most && p.usable(u, p.now) {
@@ -57,37 +58,40 @@
 	return slices.ContainsFunc(j.taskList, func(t *task) bool { return t.state == waiting })
 }
 
-// longestTask is how much longer the longest task of a job takes than expected
-// of one: the tasks of a job differ by some 15%.
-const longestTask = 1.1
+// longestTaskFactor is how many times longer than expected the longest task of a job takes:
+// the durations of a job's tasks differ by about 15%.
+const longestTaskFactor = 1.1
 
-// lateFactor is how many times its objective a job may take and still be of
-// some use.
-const lateFactor = 3
+// expiryFactor is how many times its latency objective a job may take before its result is
+// of no use.
+const expiryFactor = 3
 
-// allowed is how long the job may take from its first sending.
-func (j *job) allowed() time.Duration {
-	return time.Duration(j.Stretch*longestTask*float64(j.expectedTaskDuration)) + j.Slack
+// objective returns the latency objective of a job, counted from its first submission.
+func (j *job) objective() time.Duration {
+	return time.Duration(j.Stretch*longestTaskFactor*float64(j.expectedTaskDuration)) + j.Slack
 }
 
-func (j *job) sent() time.Time { return j.offeredAt.Add(-j.Age) }
+func (j *job) submittedAt() time.Time { return j.offeredAt.Add(-j.Age) }
 
-// latestStart is when a task has to start for its job to be in time.
-func (j *job) latestStart() time.Time { return j.sent().Add(j.allowed() - j.expectedTaskDuration) }
+// latestStart returns the latest time at which a task can start for its job to meet its
+// latency objective.
+func (j *job) latestStart() time.Time {
+	return j.submittedAt().Add(j.objective() - j.expectedTaskDuration)
+}
 
-// expiry is when the job is given up if tasks of it still wait for room.
+// expiry returns when a job is ended if tasks of it still wait for capacity.
 func (j *job) expiry() time.Time {
-	useful := j.sent().Add(lateFactor * j.allowed())
-	if waits := j.offeredAt.Add(j.Timeout); waits.Before(useful) {
-		return waits
+	expiry := j.submittedAt().Add(expiryFactor * j.objective())
+	if timeoutAt := j.offeredAt.Add(j.Timeout); timeoutAt.Before(expiry) {
+		return timeoutAt
 	}
-	return useful
+	return expiry
 }
 
-// sortQueue puts first what has begun, so that its work is not lost for the rest
-// of it. Then comes what must start soonest to be in time. Priorities only break
-// ties: urgent jobs have the shortest objectives and go first by those, and strict
-// priority would starve the kinds with the most work.
+// sortQueue puts jobs that have started first, so that the work that was done for them is not
+// lost. The others follow in the order of their latest start times. Priorities only break
+// ties: urgent jobs have the shortest objectives and go first because of those, and strict
+// priorities would starve the jobs with the most work.
 func (p *Pool) sortQueue() {
 	y := p.cfg.Policy
 	slices.SortStableFunc(p.queue, func(a, b *job) int {
@@ -104,11 +108,11 @@
 	})
 }
 
-// hasBegun reports whether a task of the job began, here or elsewhere, or may have.
+// hasBegun reports whether a task of a job has started, here or elsewhere, or may have.
 func (j *job) hasBegun() bool { return j.begun || j.Begun || j.blockedTasks > 0 }
 
-// placeJob starts the tasks of a job that find room, and reports whether there
-// are any.
+// placeJob starts the waiting tasks of a job for which there is capacity, and reports whether
+// it has started any.
 func (p *Pool) placeJob(j *job) bool {
 	started := false
 	for _, t := range j.taskList {
@@ -119,17 +123,17 @@
 		if u == nil {
 			return started
 		}
-		p.start(j, t, u)
+		p.startTask(j, t, u)
 		started = true
 	}
 	return started
 }
 
-// startsNow reports whether tasks of a job may start now: something of it began
-// already, or all of it is expected to start early enough. What it cannot use yet
-// is left to the jobs behind it. It keeps work from starting that comes to nothing.
-// Weighed counts the forecasts that were made.
-func (p *Pool) startsNow(j *job, weighed *int) bool {
+// canStartNow reports whether tasks of a job may start now, because the job has started
+// already or all of its tasks are expected to start in time. This prevents work that would be
+// lost when the rest of the job cannot follow; the capacity is left to the jobs behind it in
+// the queue. canStartNow counts the forecasts that it makes in *forecasts.
+func (p *Pool) canStartNow(j *job, forecasts *int) bool {
 	if j.hasBegun() {
 		return true
 	}
@@ -140,42 +144,44 @@
 		return true
 	}
 	tasks := j.countWaiting()
-	free := p.roomFor(j, tasks)
+	free := p.countFitting(j, tasks)
 	switch {
 	case free == 0:
 		return false
 	case free >= tasks:
 		return true
-	case j.AllOrNothing, *weighed >= backfillDepth:
+	case j.AllOrNothing, *forecasts >= maxForecastsPerPlacement:
 		return false
 	}
-	*weighed++
+	*forecasts++
 	f := p.newForecast(j.Service)
 	f.reserveBegun(p.queue, j)
 	f.addFree(free)
-	start, found := f.reserve(tasks, j.expectedTaskDuration)
+	start, hasCapacity := f.reserve(tasks, j.expectedTaskDuration)
 	limit := j.latestStart()
 	if limit.Before(p.now) {
 		limit = j.expiry().Add(-j.expectedTaskDuration)
 	}
-	return !found || !start.After(limit)
+	return !hasCapacity || !start.After(limit)
 }
 
-// roomFor counts the tasks of a job that fit now, up to most.
-func (p *Pool) roomFor(j *job, most int) int {
+// countFitting returns how many tasks of a job could start now, limited to most. Slow
+// upstreams count only if the job would still finish in time on them, or if no other upstream
+// is large enough.
+func (p *Pool) countFitting(j *job, most int) int {
 	n, slow, fast := 0, 0, false
 	for _, u := range p.sortedUpstreams {
 		if u.Service != j.Service || !p.usable(u, p.now) {
 			continue
 		}
-		fits := p.fits(j, u, most)
-		slowness := p.slowdownFactorFor(j, u)
-		if slowness > 1 && !p.inTime(j, slowness) {
-			slow += fits
+		fitting := p.countFittingOn(j, u, most)
+		factor := p.slowdownFactorFor(j, u)
+		if factor > 1 && !p.finishesInTime(j, factor) {
+			slow += fitting
 			continue
 		}
-		fast = fast || slowness == 1 && j.Demand.Within(u.Capacity)
-		n += fits
+		fast = fast || factor == 1 && j.Demand.Within(u.Capacity)
+		n += fitting
 	}
 	if !fast {
 		n += slow
@@ -183,8 +189,9 @@
 	return min(n, most)
 }
 
-// fits counts the tasks of a job that an upstream has room for, up to most.
-func (p *Pool) fits(j *job, u *upstream, most int) int {
+// countFittingOn returns how many tasks of a job could start on an upstream now, limited to
+// most.
+func (p *Pool) countFittingOn(j *job, u *upstream, most int) int {
 	left := u.Capacity.Minus(u.used)
 	n := 0
 	for n < most && j.Demand.Within(left) {
@@ -197,14 +204,15 @@
 	return limitPerUpstream(j, u, n)
 }
 
-// hasOther reports whether any upstream but one could run a task of j.
-func (p *Pool) hasOther(j *job, but string) bool {
+// hasAlternative reports whether any usable upstream except the given one is large enough for
+// a task of j.
+func (p *Pool) hasAlternative(j *job, except string) bool {
 	return slices.ContainsFunc(p.sortedUpstreams, func(u *upstream) bool {
-		return u.ID != but && u.Service == j.Service && j.Demand.Within(u.Capacity) && p.usable(u, p.now)
+		return u.ID != except && u.Service == j.Service && j.Demand.Within(u.Capacity) && p.usable(u, p.now)
 	})
 }
 
-// chooseFor returns the upstream for a task, or nil.
+// chooseFor returns the upstream on which a task is to start now, or nil if there is none.
 func (p *Pool) chooseFor(j *job, t *task) *upstream {
 	if p.isSuspect(p.taskRef(j, t)) {
 		return p.chooseForSuspect(j)
@@ -212,52 +220,53 @@
 	return p.choose(j)
 }
 
-// choose returns the upstream with the least room left over for a task, or nil.
-// One that is slow is taken only where no other has room and the job can still be
-// in time there, or where all are slow.
-func (p *Pool) choose(j *job) *upstream { return p.chooseBut(j, "") }
+// choose returns the upstream on which a task of j would leave the least capacity free, or nil
+// if it fits on none. A slow upstream is chosen only if the task fits on no other, and the job
+// would still finish in time there or all upstreams that are large enough are slow.
+func (p *Pool) choose(j *job) *upstream { return p.chooseExcept(j, "") }
 
-// chooseBut is choose among all upstreams but one.
-func (p *Pool) chooseBut(j *job, but string) *upstream {
+// chooseExcept is like choose, but leaves out one upstream.
+func (p *Pool) chooseExcept(j *job, except string) *upstream {
 	var best, slow *upstream
-	var least int64
-	leastSlow, fast := 0.0, false
+	var leastLeft int64
+	lowestFactor, fast := 0.0, false
 	for _, u := range p.sortedUpstreams {
-		if u.Service != j.Service || !p.usable(u, p.now) || u.ID == but {
+		if u.Service != j.Service || !p.usable(u, p.now) || u.ID == except {
 			continue
 		}
-		slowness := p.slowdownFactorFor(j, u)
-		fast = fast || slowness == 1 && j.Demand.Within(u.Capacity)
+		factor := p.slowdownFactorFor(j, u)
+		fast = fast || factor == 1 && j.Demand.Within(u.Capacity)
 		left := u.Capacity.Minus(u.used)
 		if !j.Demand.Within(left) || limitPerUpstream(j, u, 1) == 0 {
 			continue
 		}
-		rest := left.MilliCPU - j.Demand.MilliCPU
+		leftAfter := left.MilliCPU - j.Demand.MilliCPU
 		switch {
-		case slowness > 1 && (slow == nil || slowness < leastSlow):
-			slow, leastSlow = u, slowness
-		case slowness > 1:
-		case best == nil || rest < least:
-			best, least = u, rest
+		case factor > 1 && (slow == nil || factor < lowestFactor):
+			slow, lowestFactor = u, factor
+		case factor > 1:
+		case best == nil || leftAfter < leastLeft:
+			best, leastLeft = u, leftAfter
 		}
 	}
-	if best == nil && slow != nil && (!fast || p.inTime(j, leastSlow)) {
+	if best == nil && slow != nil && (!fast || p.finishesInTime(j, lowestFactor)) {
 		return slow
 	}
 	return best
 }
 
-// inTime reports whether a job would be in time if a task of it started now on
-// an upstream that takes that many times longer.
-func (p *Pool) inTime(j *job, slowness float64) bool {
-	ends := p.now.Add(time.Duration(slowness * longestTask * float64(j.expectedTaskDuration)))
-	return ends.Before(j.sent().Add(j.allowed()))
+// finishesInTime reports whether a job would meet its objective if a task of it started now on
+// an upstream that takes the given factor longer than expected.
+func (p *Pool) finishesInTime(j *job, factor float64) bool {
+	end := p.now.Add(time.Duration(factor * longestTaskFactor * float64(j.expectedTaskDuration)))
+	return end.Before(j.submittedAt().Add(j.objective()))
 }
 
-// usable reports whether an upstream may get a task now.
+// usable reports whether a task may start on an upstream now, apart from the upstream's free
+// capacity.
 func (p *Pool) usable(u *upstream, now time.Time) bool {
 	switch {
-	case !u.accepted, u.silent, u.foreignRuns > 0, !p.acceptsStarts(u), u.renewalBlocked, !p.isHeardRecently(u):
+	case !u.accepted, u.silent, u.foreignRuns > 0, !p.acceptsStarts(u), u.renewalBlocked, !p.hasRecentReport(u):
 		return false
 	case u.health.ejected:
 		return now.After(u.health.ejectedUntil) && (len(u.runs) == 0 || !p.cfg.Policy.SingleTrial)
@@ -266,22 +275,23 @@
 	}
 }
 
-func (p *Pool) start(j *job, t *task, u *upstream) {
+// startTask orders a run of a task on an upstream.
+func (p *Pool) startTask(j *job, t *task, u *upstream) {
 	t.lastRun++
 	p.setTaskState(j, t, placed)
 	j.begun = true
-	carried := p.link.enqueue(p.now, orderBytes(j))
-	leaves := p.now.Add(carried)
+	linkDelay := p.link.enqueue(p.now, orderBytes(j))
+	sentAt := p.now.Add(linkDelay)
 	r := &run{
 		id: fleet.Run{Task: p.taskRef(j, t), Number: t.lastRun}, job: j, upstream: u, demand: j.Demand,
-		state: starting, orderedAt: leaves, percentRoseAt: leaves, percentAt: leaves, remoteFactor: p.remoteFactor(j, u),
+		state: starting, orderedAt: sentAt, percentRoseAt: sentAt, percentAt: sentAt, remoteFactor: p.remoteFactor(j, u),
 	}
 	r.expectedDuration = r.fromLocal(j.expectedTaskDuration)
-	p.add(r)
+	p.trackRun(r)
 	p.effects.Starts = append(p.effects.Starts, Start{
 		Upstream:  u.Upstream,
-		Order:     fleet.StartOrder{Run: r.id, Spec: j.Spec, LeaseUntilMs: p.grant(u), Token: p.token},
-		LinkDelay: carried,
+		Order:     fleet.StartOrder{Run: r.id, Spec: j.Spec, LeaseUntilMs: p.grantLease(u), Token: p.token},
+		LinkDelay: linkDelay,
 		SendBy:    p.now.Add(p.cfg.Lease),
 	})
 	p.addDecision(Decision{
@@ -290,7 +300,8 @@
 	})
 }
 
-func (p *Pool) add(r *run) {
+// trackRun adds a run to those of its upstream. A foreign run blocks its task.
+func (p *Pool) trackRun(r *run) {
 	r.upstream.runs[r.id] = r
 	p.runByTask[r.id.Task] = r
 	r.upstream.used = r.upstream.used.Plus(r.demand)
@@ -300,9 +311,8 @@
 	}
 }
 
-// remove takes a run out of the books: it is certain that it is not at work
-// and cannot begin any more.
-func (p *Pool) remove(r *run) {
+// untrackRun removes a run that is certainly not executing and cannot start any more.
+func (p *Pool) untrackRun(r *run) {
 	if r.upstream.runs[r.id] != r {
 		return
 	}
@@ -317,26 +327,27 @@
 	}
 }
 
-// clock estimates what an upstream's clock shows.
-func (u *upstream) clock(now time.Time) int64 {
+// clockMsAt returns the estimated time on an upstream's clock.
+func (u *upstream) clockMsAt(now time.Time) int64 {
 	return u.clockMs + now.Sub(u.clockReadAt).Milliseconds()
 }
 
-// grant returns the end of a lease from now, on the upstream's clock.
-func (p *Pool) grant(u *upstream) int64 {
-	until := u.clock(p.now) + p.cfg.Lease.Milliseconds()
+// grantLease returns the end of a lease that starts now, on the upstream's clock.
+func (p *Pool) grantLease(u *upstream) int64 {
+	until := u.clockMsAt(p.now) + p.cfg.Lease.Milliseconds()
 	u.maxLeaseUntilMs = max(u.maxLeaseUntilMs, until)
 	return until
 }
 
-// lapsed returns when every lease that was granted is certainly over.
-func (u *upstream) lapsed() time.Time {
+// leasesLapseAt returns when every lease that was granted to an upstream has certainly lapsed,
+// even if its clock is as slow as minClockRate.
+func (u *upstream) leasesLapseAt() time.Time {
 	left := time.Duration(float64(u.maxLeaseUntilMs-u.clockMs)/minClockRate) * time.Millisecond
 	return u.clockReadAt.Add(max(left, 0) + leaseLapseMargin)
 }
 
-// again puts a task back into the queue after a run of it is over.
-func (p *Pool) again(r *run, reason string) {
+// requeue puts the task of a run that is over back into the queue.
+func (p *Pool) requeue(r *run, reason string) {
 	j := r.job
 	if j == nil {
 		return
@@ -346,7 +357,7 @@
 		return
 	}
 	if p.runByTask[p.taskRef(j, t)] != nil {
-		p.setTaskState(j, t, blocked) // a run of a former owner was found meanwhile
+		p.setTaskState(j, t, blocked) // meanwhile a run of a former owner was reported
 	} else {
 		p.setTaskState(j, t, waiting)
 		p.enqueue(j)
@@ -357,8 +368,8 @@
 	})
 }
 
-// stop orders the end of a run, unless that is done already.
-func (p *Pool) stop(r *run, reason string) {
+// stopRun orders a run to stop, unless that has been done already.
+func (p *Pool) stopRun(r *run, reason string) {
 	if r.state == stopping || r.state == stopped {
 		return
 	}
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -57,7 +57,7 @@
 	var effects Effects
 	p.effects, p.now = &effects, now
 	input()
-	p.place()
+	p.placeWaiting()
 	p.effects = nil
 	return effects
 }
@@ -189,7 +189,7 @@
 		p.endJob(j, Expired)
 	default:
 		p.enqueue(j)
-		p.place()
+		p.placeWaiting()
 		switch {
 		case p.jobs[o.Key] != j || !j.hasWaiting():
 		case p.closedFor(j):
@@ -330,7 +330,7 @@
 			continue
 		}
 		r.job, r.unwantedSince = nil, p.now
-		p.stop(r, reason)
+		p.stopRun(r, reason)
 	}
 }
 
@@ -357,7 +357,7 @@
 	})
 	p.addDecision(Decision{
 		Kind: DecidedResult, Job: j.Key.ID, Coordinator: j.Key.Coordinator, Task: len(j.done), Reason: string(outcome), Age: p.now.Sub(j.offeredAt),
-		Late: p.now.After(j.sent().Add(j.allowed())),
+		Late: p.now.After(j.submittedAt().Add(j.objective())),
 	})
 }
 
--- a/schedule/scenario_test.go
+++ b/schedule/scenario_test.go
@@ -263,7 +263,7 @@
 	u := &upstream{clockMs: 5000, clockReadAt: epochZero, maxLeaseUntilMs: 5700}
 	lease, rate := 700*time.Millisecond, 0.98
 	real := time.Duration(float64(lease) / rate)
-	if lapsed := u.lapsed(); lapsed.Sub(epochZero) < real {
+	if lapsed := u.leasesLapseAt(); lapsed.Sub(epochZero) < real {
 		t.Errorf("the lease counts as lapsed after %v, it lasts %v", lapsed.Sub(epochZero), real)
 	}
 }
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -264,7 +264,7 @@
 	demand           fleet.Resources // zero for a foreign run, whose demand is not known
 	foreign          bool            // reported by the upstream, but ordered by a former owner
 	state            runState
-	orderedAt        time.Time
+	orderedAt        time.Time // when its start leaves this instance, after the delay of the link
 	startAckedAt     time.Time // when the answer to the start, or the first report of the run, came
 	unwantedSince    time.Time // when its job ended or was withdrawn
 	stopSentAt       time.Time
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -14,7 +14,7 @@
 		p.crashHistory.dropOld(now)
 		p.abandonExpiredCoordinators()
 		p.checkRenewals()
-		p.place()
+		p.placeWaiting()
 		p.returnClosed()
 		p.returnUnblocked()
 		p.rejectLate()
@@ -25,7 +25,7 @@
 }
 
 func (p *Pool) tickUpstream(u *upstream) {
-	if u.silent && p.now.After(u.lapsed()) {
+	if u.silent && p.now.After(u.leasesLapseAt()) {
 		p.handleLapse(u)
 	}
 	for _, r := range sortedRuns(u) {
@@ -54,8 +54,8 @@
 	u.suspectedTasks = append(u.suspectedTasks, suspects...)
 	for _, r := range runs {
 		u.addUnresolvedStart(r)
-		p.remove(r)
-		p.again(r, "lease lapsed on a silent upstream")
+		p.untrackRun(r)
+		p.requeue(r, "lease lapsed on a silent upstream")
 	}
 	p.endCrashingJobs(suspects)
 }
