--- a/entry/http.go
+++ b/entry/http.go
@@ -135,13 +135,13 @@
 	job := s.Job(now.UnixMilli(), defaultDeadlineMs)
 	span := n.tracer.Start(traceOf(c, traceRatio), "entry")
 	defer span.End()
-	job.Trace = span.Parent()
+	job.Trace = span.Traceparent()
 	wait := time.UnixMilli(job.DeadlineMs).Sub(now) + answerGrace
 	if s.WaitMs != nil {
 		wait = min(wait, time.Duration(*s.WaitMs)*time.Millisecond)
 	}
 	r, err := n.dispatch.Submit(n.stop, dispatch.Call{
-		Key: s.Key(), Job: job, Attempt: s.Attempt, Wait: wait, Trace: span.Parent(),
+		Key: s.Key(), Job: job, Attempt: s.Attempt, Wait: wait, Trace: span.Traceparent(),
 	})
 	if err != nil {
 		return err
@@ -239,7 +239,7 @@
 		list = append(list, api.InstanceStatus{
 			Instance: p.Instance, Incarnation: string(p.Incarnation), Zone: p.Zone, Role: api.RoleEntry,
 			State: string(p.State), ActiveJobs: p.Heartbeat.ActiveJobs, Revision: p.Heartbeat.Revision,
-			FreeSlots: p.Heartbeat.Free, QueuedTasks: p.Heartbeat.Queued,
+			FreeSlots: p.Heartbeat.FreeSlots, QueuedTasks: p.Heartbeat.QueuedTasks,
 		})
 	}
 	return c.JSON(list)
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -29,7 +29,7 @@
 		for _, name := range names {
 			n := in.nodes[name]
 			n.mu.Lock()
-			hub, count := n.around.IsHub, n.around.HubCount
+			hub, count := n.neighbours.IsHub, n.neighbours.HubCount
 			n.mu.Unlock()
 			if hub {
 				hubs = append(hubs, name)
@@ -54,16 +54,16 @@
 		first.mu.Lock()
 		defer first.mu.Unlock()
 		for _, other := range spokes[1:] {
-			if first.table.State(other) != membership.Listed {
+			if first.peers.State(other) != membership.Listed {
 				return false
 			}
 		}
-		return first.table.State("b-1") == membership.Listed
+		return first.peers.State("b-1") == membership.Listed
 	})
 	in.until("the owner of the other zone is known", func() bool { return len(first.router.Loads()) == 2 })
 	in.want(spokes[0], 2, 20)
 	in.want(spokes[0], 6, 20)
-	in.until("its connection to the owner of the other zone is in use", func() bool { return first.wants("b-1") })
+	in.until("its connection to the owner of the other zone is in use", func() bool { return first.isNeighbour("b-1") })
 	in.want("b-1", 6, 20)
 }
 
@@ -77,22 +77,22 @@
 	})
 	id := in.newID()
 	lost := in.background(spokes[0], id, 2, 5000) // its own zone goes first
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	in.kill(owner)
 	if status := <-lost; status != http.StatusGatewayTimeout {
 		t.Errorf("the job of the lost owner was answered %d", status)
 	}
-	in.until("the job's tasks are stopped", func() bool { return !in.ledger.Runs(id) })
+	in.until("the job's tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
 	in.until("work is done again", func() bool {
 		status, _ := in.submit(spokes[0], in.newID(), 2, 10)
 		return status == http.StatusOK
 	})
 	id = in.newID()
 	cut := in.background(spokes[1], id, 4, 5000) // some of it in the other zone
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	in.kill(spokes[1])
 	<-cut
-	in.until("its tasks are stopped", func() bool { return !in.ledger.Runs(id) })
+	in.until("its tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
 }
 
 // TestLargeZoneConfig: an instance that is no hub and does not reach the store
@@ -111,12 +111,12 @@
 	for _, name := range names {
 		n := in.nodes[name]
 		n.mu.Lock()
-		fmt.Fprintf(&b, "%s: hub %v of %d, near %d, far %d;", name, n.around.IsHub, n.around.HubCount, len(n.around.Near), len(n.around.Far))
+		fmt.Fprintf(&b, "%s: hub %v of %d, near %d, far %d;", name, n.neighbours.IsHub, n.neighbours.HubCount, len(n.neighbours.Near), len(n.neighbours.Far))
 		states := map[membership.State]int{}
-		for p := range n.table.All() {
+		for p := range n.peers.All() {
 			states[p.State]++
 		}
-		fmt.Fprintf(&b, " %v, absent %d\n", states, len(n.absent))
+		fmt.Fprintf(&b, " %v, absent %d\n", states, len(n.refusedAt))
 		n.mu.Unlock()
 	}
 	return b.String()
@@ -145,8 +145,8 @@
 	in := newInstallation(t, []string{"a"}, 2, "a-1")
 	in.startSized("a-2", 0.1)
 	small := in.nodes["a-2"]
-	in.until("the smaller one stands by", func() bool { return small.upstreamNeed() == needRoughly })
-	if in.nodes["a-1"].upstreamNeed() != needClosely {
+	in.until("the smaller one stands by", func() bool { return small.upstreamNeed() == followPeriodically })
+	if in.nodes["a-1"].upstreamNeed() != followContinuously {
 		t.Error("the owner reads the upstreams only from time to time")
 	}
 	in.until("it has read them", func() bool { return small.knows("u-a-1") })
@@ -178,18 +178,18 @@
 	}
 	change := func(what string, input func(), want bool) {
 		t.Helper()
-		before := n.around
+		before := n.neighbours
 		input()
-		n.setNeighbours(n.router.inUse())
-		if (n.around != before) != want {
+		n.updateNeighboursLocked(n.router.inUse())
+		if (n.neighbours != before) != want {
 			t.Errorf("%s: worked out anew %v, want %v", what, !want, want)
 		}
 	}
-	change("instances are listed", func() { n.table.SetListed(lo.Values(known)) }, true)
+	change("instances are listed", func() { n.peers.SetListed(lo.Values(known)) }, true)
 	change("nothing", func() {}, false)
-	change("a heartbeat", func() { n.table.RecordHeartbeat("a-3.1", membership.Heartbeat{}, 1) }, false)
-	change("an instance is lost", func() { n.table.MarkEnded("a-3.1") }, true)
-	change("another does not run", func() { n.absent["a-5"] = clock.Now() }, true)
+	change("a heartbeat", func() { n.peers.RecordHeartbeat("a-3.1", membership.Heartbeat{}, 1) }, false)
+	change("an instance is lost", func() { n.peers.MarkEnded("a-3.1") }, true)
+	change("another does not run", func() { n.refusedAt["a-5"] = clock.Now() }, true)
 	change("the groups of a zone are counted", func() { n.groupCounts["a"] = 30 }, true)
 	change("an owner is in use", func() { n.router.used["b-2"] = clock.Now() }, true)
 	change("it still is", func() { n.router.used["b-2"] = clock.Now() }, false)
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -24,11 +24,11 @@
 	var fleet []*Node
 	for name, l := range known {
 		n := bareNode(name, l.Zone)
-		n.in.CPUShare = l.CPUShare
+		n.settings.CPUShare = l.CPUShare
 		for i := range zones {
 			n.groupCounts[fmt.Sprintf("%c", 'a'+i)] = 4
 		}
-		n.setPeers(known)
+		n.setPeerList(known)
 		fleet = append(fleet, n)
 	}
 	return fleet
@@ -43,11 +43,11 @@
 	for _, instances := range []int{100, 300, 1000} {
 		readers, rare := 0, 0
 		for _, n := range startingFleet(zones, instances) {
-			n.began = clock.Now()
-			if n.upstreamNeed() != needNothing {
+			n.startedAt = clock.Now()
+			if n.upstreamNeed() != followNothing {
 				readers++
 			}
-			if n.peerWait() == spokeWait {
+			if n.peerWatchWait() == spokeWatchWait {
 				rare++
 			}
 		}
@@ -65,7 +65,7 @@
 func TestReadersWithoutList(t *testing.T) {
 	n := bareNode("a-1", "a")
 	n.awaitList()
-	if n.upstreamNeed() != needClosely {
+	if n.upstreamNeed() != followContinuously {
 		t.Error("it does not read the upstreams")
 	}
 }
@@ -75,12 +75,16 @@
 func TestSpokesWatchRarely(t *testing.T) {
 	in, hubs, spokes := largeInstallation(t)
 	spoke := in.nodes[spokes[0]]
-	in.until("the spoke hears hubs", func() bool { return spoke.peerWait() == spokeWait && spoke.configWait() == spokeWait })
-	if hub := in.nodes[hubs[0]]; hub.peerWait() != peerWait {
+	in.until("the spoke hears hubs", func() bool {
+		return spoke.peerWatchWait() == spokeWatchWait && spoke.configWatchWait() == spokeWatchWait
+	})
+	if hub := in.nodes[hubs[0]]; hub.peerWatchWait() != hubPeerWatchWait {
 		t.Error("a hub watches the list of instances rarely")
 	}
 	for _, name := range hubs[2:] {
 		in.kill(name)
 	}
-	in.until("it watches closely", func() bool { return spoke.configWait() == closeConfigWait || spoke.upstreamNeed() != needNothing })
+	in.until("it watches closely", func() bool {
+		return spoke.configWatchWait() == shortConfigWatchWait || spoke.upstreamNeed() != followNothing
+	})
 }
--- a/node/router.go
+++ b/node/router.go
@@ -39,7 +39,7 @@
 
 // sentOffer is an offer to a peer.
 type sentOffer struct {
-	owner.Answer
+	owner.OfferCallbacks
 	peer string     // the instance that it went to
 	link inner.Link // that it went on; nil while it is being sent
 	// withdrawn is set once the offer is not wanted any more, for a reason.
@@ -86,13 +86,13 @@
 	if h == nil {
 		return nil, false
 	}
-	return h.Group, !h.handing
+	return h.Group, !h.handingOver
 }
 
 // Loads implements ingress.Owners.
 func (r *router) Loads() []ingress.OwnerLoad {
 	r.n.mu.Lock()
-	own := slices.DeleteFunc(r.n.ownedGroups(), func(g *held) bool { return g.handing })
+	own := slices.DeleteFunc(r.n.ownedGroupsLocked(), func(g *ownedGroup) bool { return g.handingOver })
 	r.n.mu.Unlock()
 	var fresh, stale []ingress.OwnerLoad
 	for _, g := range own {
@@ -101,7 +101,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for group, v := range r.views {
-		if slices.ContainsFunc(own, func(g *held) bool { return g.Name == group }) {
+		if slices.ContainsFunc(own, func(g *ownedGroup) bool { return g.Name == group }) {
 			continue
 		}
 		l := v.load
@@ -120,7 +120,7 @@
 }
 
 func loadOf(group string, l schedule.Load) ingress.OwnerLoad {
-	return ingress.OwnerLoad{Group: group, Zone: zoneOf(group), Free: l.Free, Waiting: l.Waiting, Capacity: l.Capacity, Closed: l.Closed}
+	return ingress.OwnerLoad{Group: group, Zone: zoneOfGroup(group), Free: l.Free, Waiting: l.Waiting, Capacity: l.Capacity, Closed: l.Closed}
 }
 
 // heard takes what a peer says of the groups that it owns.
@@ -134,7 +134,7 @@
 		if c.GetLeaving() || v != nil && v.token > c.GetToken() {
 			continue
 		}
-		r.views[c.GetGroup()] = &view{peer: from, token: c.GetToken(), load: loadOf(c.GetGroup(), loadFrom(c)), heard: clock.Now()}
+		r.views[c.GetGroup()] = &view{peer: from, token: c.GetToken(), load: loadOf(c.GetGroup(), loadFromProto(c)), heard: clock.Now()}
 	}
 	for group, v := range r.views {
 		if v.peer == from && !claimed[group] {
@@ -156,7 +156,7 @@
 }
 
 // Offer implements ingress.Owners.
-func (r *router) Offer(group string, o schedule.Offer, answer owner.Answer) error {
+func (r *router) Offer(group string, o schedule.Offer, answer owner.OfferCallbacks) error {
 	if g, open := r.group(group); open {
 		o.Key.Coordinator = string(r.n.self)
 		return g.Offer(o, answer)
@@ -169,13 +169,13 @@
 	}
 	k := offerKey{group, o.Key}
 	peer := v.peer
-	sent := &sentOffer{Answer: answer, peer: peer.Instance()}
+	sent := &sentOffer{OfferCallbacks: answer, peer: peer.Instance()}
 	r.sent[k] = sent
 	v.load.Free -= len(o.Tasks)
 	r.used[peer.Instance()] = clock.Now()
-	aliveMs := aliveAt(r.clocks[peer], o.AliveAt)
+	aliveMs := aliveOnPeerClock(r.clocks[peer], o.AliveAt)
 	r.mu.Unlock()
-	frame := &inner.Frame{Body: &inner.Frame_Offer{Offer: offerTo(group, o, aliveMs)}}
+	frame := &inner.Frame{Body: &inner.Frame_Offer{Offer: offerToProto(group, o, aliveMs)}}
 	link, err := r.n.mesh.Ask(peer, frame, func(f *inner.Frame, err error) { r.offerEnded(k, f, err) })
 	if err != nil {
 		r.take(k)
@@ -208,17 +208,17 @@
 	}
 	switch {
 	case failure.Is(err, failure.Stopping):
-		answer.Ended(schedule.Result{Key: k.key, Outcome: schedule.Completed}, schedule.Load{})
+		answer.OfferEnded(schedule.Result{Key: k.key, Outcome: schedule.Completed}, schedule.Load{})
 	case err != nil:
 		event.OfferLost.Log(r.n.log, slog.String("job", k.key.ID), slog.String("group", k.group), slog.String("error", err.Error()))
-		answer.Ended(schedule.Result{Key: k.key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
+		answer.OfferEnded(schedule.Result{Key: k.key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
 	default:
 		ended := f.GetOfferEnded()
 		r.updateLoad(ended.GetLoad())
-		answer.Ended(schedule.Result{
+		answer.OfferEnded(schedule.Result{
 			Key: k.key, Outcome: schedule.Outcome(ended.GetOutcome()), Begun: ended.GetBegun(),
-			Done: toInts(ended.GetDone()), Returned: toInts(ended.GetReturned()), History: pastFrom(ended.GetPast()),
-		}, loadFrom(ended.GetLoad()))
+			Done: toInts(ended.GetDone()), Returned: toInts(ended.GetReturned()), History: taskHistoryFromProto(ended.GetPast()),
+		}, loadFromProto(ended.GetLoad()))
 	}
 }
 
@@ -226,7 +226,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if v := r.views[c.GetGroup()]; v != nil && v.token == c.GetToken() {
-		v.load = loadOf(c.GetGroup(), loadFrom(c))
+		v.load = loadOf(c.GetGroup(), loadFromProto(c))
 		v.heard = clock.Now()
 	}
 }
@@ -239,7 +239,7 @@
 	answer := r.sent[k]
 	r.mu.Unlock()
 	if answer != nil {
-		answer.Returned(schedule.Result{Key: k.key, Returned: toInts(m.GetTasks()), History: pastFrom(m.GetPast()), Begun: m.GetBegun()}, loadFrom(m.GetLoad()))
+		answer.TasksReturned(schedule.Result{Key: k.key, Returned: toInts(m.GetTasks()), History: taskHistoryFromProto(m.GetPast()), Begun: m.GetBegun()}, loadFromProto(m.GetLoad()))
 	}
 }
 
@@ -286,14 +286,14 @@
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(failure.Stopping.New("group %s is not owned here", m.GetGroup()))}})
 		return
 	}
-	o := offerFrom(m)
+	o := offerFromProto(m)
 	o.Key.Coordinator = coordinatorOf(link, from)
-	o.AliveAt = r.n.atClock(m.GetAliveMs())
-	err := g.Offer(o, owner.Answer{
-		Returned: func(res schedule.Result, l schedule.Load) {
-			_ = link.Send(returnedFrame(g, res, l)) // a closed connection has ended the offer
+	o.AliveAt = r.n.timeOfClock(m.GetAliveMs())
+	err := g.Offer(o, owner.OfferCallbacks{
+		TasksReturned: func(res schedule.Result, l schedule.Load) {
+			_ = link.Send(offerReturnedFrame(g, res, l)) // a closed connection has ended the offer
 		},
-		Ended: func(res schedule.Result, l schedule.Load) { reply(endedFrame(g, res, l)) },
+		OfferEnded: func(res schedule.Result, l schedule.Load) { reply(offerEndedFrame(g, res, l)) },
 	})
 	if err != nil {
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(err)}})
@@ -310,7 +310,7 @@
 // them for lost, and its customers may send them again.
 func (r *router) linkClosed(link inner.Link, from fate.Incarnation) {
 	coordinator := coordinatorOf(link, from)
-	for _, g := range r.n.owned() {
+	for _, g := range r.n.ownedGroups() {
 		g.WithdrawAll(coordinator, "the connection to the coordinator closed")
 	}
 	r.mu.Lock()
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -31,7 +31,7 @@
 	id := in.newID()
 	began := time.Now()
 	lost := in.background(coordinator, id, 2, 5000)
-	in.until("the job runs", func() bool { return in.ledger.Runs(id) })
+	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
 	in.silencePeers()
 	if status := <-lost; status != http.StatusGatewayTimeout {
 		t.Errorf("a job over a silent connection was answered %d", status)
@@ -39,7 +39,7 @@
 	if took := time.Since(began); took > 4*time.Second {
 		t.Errorf("a job over a silent connection was answered after %v", took)
 	}
-	in.until("its tasks are stopped", func() bool { return !in.ledger.Runs(id) })
+	in.until("its tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
 	for name := range in.nodes {
 		in.until(name+" hears every owner", func() bool {
 			loads := in.nodes[name].router.Loads()
@@ -57,7 +57,7 @@
 // connection to the store has gone silent.
 func TestStoreConnectionsGoSilent(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 2, "a-1")
-	in.store.SilenceOpen()
+	in.store.BlackholeOpen()
 	in.configure(2, "/checks/", "/more/")
 	began := time.Now()
 	in.until("the next version is in force", func() bool { return in.nodes["a-1"].config.Load().Version == 2 })
@@ -74,7 +74,7 @@
 		in.want("a-1", 2, 20)
 	}
 	for range 3 {
-		in.upstreams[0].SilenceOpen()
+		in.upstreams[0].BlackholeOpen()
 		in.want("a-1", 2, 20)
 	}
 }
@@ -86,20 +86,20 @@
 	a, b := in.nodes["a-1"], in.nodes["b-1"]
 	lost := func(n *Node, peer string) {
 		n.mu.Lock()
-		p := n.heard[peer]
+		p := n.lastHeartbeat[peer]
 		n.mu.Unlock()
 		if p == nil {
-			t.Fatalf("%s has never heard %s", n.in.Name, peer)
+			t.Fatalf("%s has never heard %s", n.settings.Name, peer)
 		}
 		n.mu.Lock()
-		n.table.Tick(n.nowMs() + time.Hour.Milliseconds())
+		n.peers.Tick(n.uptimeMs() + time.Hour.Milliseconds())
 		n.mu.Unlock()
 		n.mesh.Sever(in.nodes[peer].self)
 	}
 	lost(a, "b-1")
 	lost(b, "a-1")
 	for _, n := range []*Node{a, b} {
-		in.until(n.in.Name+" hears every owner", func() bool { return len(n.router.Loads()) == 2 })
+		in.until(n.settings.Name+" hears every owner", func() bool { return len(n.router.Loads()) == 2 })
 	}
-	in.until("they are neighbours", func() bool { return a.wants("b-1") && b.wants("a-1") })
+	in.until("they are neighbours", func() bool { return a.isNeighbour("b-1") && b.isNeighbour("a-1") })
 }
