--- /dev/null
+++ b/schedule/cluster_test.go
@@ -0,0 +1,207 @@
+package schedule
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/sedgehatch/sedgehatch/fleet"
+	"github.com/sedgehatch/sedgehatch/platform/standin"
+
+	"github.com/samber/lo"
+)
+
+// failer is the part of testing.T and rapid.T that the model tests need.
+type failer interface {
+	Fatalf(format string, args ...any)
+}
+
+// testCluster is a simulated installation: upstreams that follow their protocol, calls that
+// are slow, lost or carried out late, and a sequence of pools that own the upstreams. It
+// checks invariants against what the upstreams run.
+type testCluster struct {
+	*standin.Simulation
+	t               failer
+	upstreams       []*standin.SimulatedUpstream
+	pool            *Pool
+	poolToken       int // fencing token of the pool; answers to former pools are dropped
+	openJobs        map[JobKey]*simJob
+	submissions     map[fleet.TaskRef]int                         // how often a task was offered
+	orderedFor      map[fleet.Run]int                             // the submission that a run was last ordered for
+	listedCapacity  map[string]fleet.Resources                    // of each upstream, as last passed to the pool
+	capacityAtOrder map[fleet.Run]fleet.Resources                 // listedCapacity of the upstream when a run was ordered
+	pendingStarts   map[*standin.UpstreamModel][]fleet.StartOrder // starts that may still be carried out
+	startedTasks    map[fleet.TaskRef]bool                        // tasks of which a run of the last submission has started
+	returnedTasks   map[fleet.TaskRef]bool                        // tasks that were returned and have not been offered since
+	lostJobs        []lostJob
+	results         int
+	ackedDone       map[fleet.TaskRef]bool // tasks whose end as done was acknowledged to the upstream, and that have not been offered since
+	mayEvacuate     bool                   // as in modelCase
+	mayRestart      bool                   // as in modelCase
+	mayResize       bool                   // as in modelCase
+	mayCrash        bool                   // as in modelCase
+	crashesByTask   map[fleet.TaskRef]int  // for each task that crashes upstreams, how many it has crashed under the current pool
+	evacuated       bool                   // all upstreams are closed
+}
+
+type simJob struct {
+	offer Offer
+	done  map[int]bool
+}
+
+// maxStopMillis is the longest time that an upstream takes to stop a run, in milliseconds.
+const maxStopMillis = 50
+
+// Timeouts of calls in the simulation.
+const (
+	callTimeout  = 60 * time.Millisecond
+	startTimeout = 40 * time.Millisecond
+)
+
+// applyIfCurrent passes the result of a call to the pool, unless another pool has taken over
+// since the call was made.
+func (w *testCluster) applyIfCurrent(token int, input func(p *Pool, now time.Time) Effects) {
+	if token == w.poolToken {
+		w.applyEffects(input(w.pool, w.Now()))
+	}
+}
+
+func (w *testCluster) sendStart(s Start) {
+	token, run := w.poolToken, s.Order.Run
+	w.orderedFor[run] = w.submissions[run.Task]
+	u := w.findUpstream(s.Upstream.ID)
+	w.checkCapacity(u, run)
+	w.pendingStarts[u.UpstreamModel] = append(w.pendingStarts[u.UpstreamModel], s.Order)
+	u.CallStart(s.Order, startTimeout, func(refusal fleet.Refusal, err error) {
+		w.applyIfCurrent(token, func(p *Pool, now time.Time) Effects {
+			return p.HandleStartResponse(now, s.Upstream.Incarnation(), run, refusal, err)
+		})
+	})
+}
+
+// checkCapacity checks that an ordered run fits the capacity that the pool was given, together
+// with the runs on the upstream and the orders of the pool that may still start there.
+func (w *testCluster) checkCapacity(u *standin.SimulatedUpstream, ordered fleet.Run) {
+	capacity := w.listedCapacity[u.ID]
+	w.capacityAtOrder[ordered] = capacity
+	used := w.jobOfTask(ordered.Task).offer.Demand
+	runs := u.Running()
+	w.pendingStarts[u.UpstreamModel] = slices.DeleteFunc(w.pendingStarts[u.UpstreamModel], func(o fleet.StartOrder) bool {
+		return slices.Contains(runs, o.Run) || u.StartRefusal(w.Now(), o) != fleet.NotRefused
+	})
+	for _, o := range w.pendingStarts[u.UpstreamModel] {
+		runs = append(runs, o.Run)
+	}
+	for _, r := range lo.Uniq(runs) {
+		if r != ordered {
+			used = used.Plus(w.jobOfTask(r.Task).offer.Demand)
+		}
+	}
+	if !used.Within(capacity) {
+		w.t.Fatalf("%v is ordered on %s, which would then use %v of the %v that the pool was given", ordered, u.ID, used, capacity)
+	}
+}
+
+func (w *testCluster) sendStop(s Stop) {
+	token := w.poolToken
+	w.findUpstream(s.Upstream.ID).CallStop(s.Run, w.pool.Token(), callTimeout, func(err error) {
+		w.applyIfCurrent(token, func(p *Pool, now time.Time) Effects {
+			return p.HandleStopResponse(now, s.Upstream.Incarnation(), s.Run, err)
+		})
+	})
+}
+
+func (w *testCluster) sendHold(to fleet.Upstream, o fleet.HoldOrder, then func(ok bool)) {
+	token, sent := w.poolToken, w.Now()
+	u := w.findUpstream(to.ID)
+	u.CallHold(o, callTimeout, func(report fleet.Report, err error) {
+		if token != w.poolToken {
+			return
+		}
+		w.applyEffects(w.pool.HandleHoldResponse(w.Now(), to.Incarnation(), sent, report, err))
+		then(err == nil)
+	})
+}
+
+func (w *testCluster) findUpstream(id string) *standin.SimulatedUpstream {
+	for _, u := range w.upstreams {
+		if u.ID == id {
+			return u
+		}
+	}
+	panic("no upstream " + id)
+}
+
+var startTime = time.Unix(1_000_000, 0)
+
+func newTestCluster(t failer, seed uint64) *testCluster {
+	w := &testCluster{
+		Simulation: standin.NewSimulation(startTime, seed), t: t,
+		openJobs: map[JobKey]*simJob{}, startedTasks: map[fleet.TaskRef]bool{}, returnedTasks: map[fleet.TaskRef]bool{}, ackedDone: map[fleet.TaskRef]bool{}, crashesByTask: map[fleet.TaskRef]int{},
+		submissions: map[fleet.TaskRef]int{}, orderedFor: map[fleet.Run]int{}, capacityAtOrder: map[fleet.Run]fleet.Resources{},
+		listedCapacity: map[string]fleet.Resources{}, pendingStarts: map[*standin.UpstreamModel][]fleet.StartOrder{},
+	}
+	for i := range 4 {
+		w.upstreams = append(w.upstreams, w.newUpstream(fmt.Sprintf("u%d", i)))
+	}
+	return w
+}
+
+func (w *testCluster) newUpstream(id string) *standin.SimulatedUpstream {
+	u := w.NewUpstream(fleet.Upstream{ID: id, Service: "s", Zone: "z", Capacity: fleet.Resources{MilliCPU: 8000}},
+		func(r fleet.Run) (time.Duration, fleet.Resources) {
+			return w.RandMillis(20, 400), w.jobOfTask(r.Task).offer.Demand
+		})
+	u.ClockRate = 0.98 + 0.02*w.Rand.Float64()
+	u.StopTime = func() time.Duration { return w.RandMillis(0, maxStopMillis) }
+	startedFor := map[fleet.Run]int{} // the submission that a run was started for on this upstream
+	u.OnEndAcknowledged = func(e fleet.EndedRun) {
+		if e.End == fleet.EndDone && startedFor[e.Run] == w.submissions[e.Run.Task] {
+			w.ackedDone[e.Run.Task] = true
+		}
+	}
+	u.OnStart = func(r fleet.Run) {
+		startedFor[r] = w.orderedFor[r]
+		if w.ackedDone[r.Task] && w.orderedFor[r] == w.submissions[r.Task] {
+			w.t.Fatalf("%v starts after the end of its task as done was acknowledged", r)
+		}
+		if w.returnedTasks[r.Task] {
+			w.t.Fatalf("%v starts after its task was returned", r)
+		}
+		if w.orderedFor[r] == w.submissions[r.Task] {
+			w.startedTasks[r.Task] = true
+		}
+		w.checkStart(u, r)
+		w.maybeCrash(u, r)
+	}
+	return u
+}
+
+// maybeCrash crashes an upstream soon after it has started a run of a task that crashes
+// upstreams.
+func (w *testCluster) maybeCrash(u *standin.SimulatedUpstream, r fleet.Run) {
+	if _, isCrasher := w.crashesByTask[r.Task]; !isCrasher {
+		return
+	}
+	token := w.poolToken
+	w.AfterFunc(w.RandMillis(1, 15), func() {
+		if !slices.Contains(u.Running(), r) {
+			return
+		}
+		w.restart(u)
+		if token != w.poolToken {
+			return
+		}
+		w.crashesByTask[r.Task]++
+		if n := w.crashesByTask[r.Task]; n > maxCrashes {
+			w.t.Fatalf("%v has crashed %d upstreams", r.Task, n)
+		}
+	})
+}
+
+// setFaults sets the shares of calls that are lost and that are carried out late.
+func (w *testCluster) setFaults(lossShare, lateShare float64) {
+	for _, u := range w.upstreams {
+		u.LossShare, u.LateShare = lossShare, lateShare
+	}
+}
--- a/schedule/link_test.go
+++ b/schedule/link_test.go
@@ -8,9 +8,9 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// narrowPool is a pool of 20 upstreams with room for two tasks each, on a link of 2
-// Mbit/s, of which starts may use 175 kB a second.
-func narrowPool(now time.Time) *Pool {
+// poolOnNarrowLink returns a pool of 20 upstreams with capacity for two tasks each. Its link has
+// 2 Mbit/s, of which starts may use 175 kB per second.
+func poolOnNarrowLink(now time.Time) *Pool {
 	cfg := DefaultConfig
 	cfg.LinkRate = 250_000
 	p := NewPool(cfg, 1)
@@ -25,9 +25,10 @@
 	return p
 }
 
-// wide is a job of 8 tasks of 60 ms whose orders have 1,200 bytes of it: 67 ms of what
-// starts may use of the link. It is in time within 149 ms, of which 66 are work.
-func wide(n int) Offer {
+// wideOffer returns a job with 8 tasks of 60 ms and a specification of 1,200 bytes. The link
+// takes 67 ms to transmit its orders. Its latency objective is 166 ms, and it is admitted only
+// if it is expected to finish within 149 ms, of which the longest task takes 66 ms.
+func wideOffer(n int) Offer {
 	return Offer{
 		Key: JobKey{"c", fmt.Sprintf("%016x", n), 1}, Service: "s", Route: "r", Spec: string(make([]byte, 1200)),
 		Demand: fleet.Resources{MilliCPU: 32_000}, Estimate: 60 * time.Millisecond, MaxAttempts: 4, Tasks: []int{0, 1, 2, 3, 4, 5, 6, 7},
@@ -35,44 +36,44 @@
 	}
 }
 
-// TestBurstOnNarrowLink: wide jobs come together. The upstreams have room for all of
-// them, the link carries one in time: the next are refused, and nothing of them has
-// begun. Once the link is free, jobs are taken again.
+// TestBurstOnNarrowLink offers several wide jobs at once. The upstreams have capacity for all of
+// them, but the link can transmit only one in time: the others must be rejected before any of
+// their tasks start. Once the link is free, jobs must be accepted again.
 func TestBurstOnNarrowLink(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := narrowPool(now)
-	first := p.Offer(now, wide(1))
+	p := poolOnNarrowLink(now)
+	first := p.Offer(now, wideOffer(1))
 	if len(first.Starts) != 8 {
-		t.Fatalf("%d tasks of the first job were started", len(first.Starts))
+		t.Fatalf("%d tasks of the first job were started, want 8", len(first.Starts))
 	}
 	if last := first.Starts[7].LinkDelay; last < 60*time.Millisecond || last > 70*time.Millisecond {
-		t.Errorf("the last of its orders is carried after %v, it has 67 ms of the link before it", last)
+		t.Errorf("the last of its orders is transmitted after %v, want about 67 ms", last)
 	}
 	if free := p.Load(now).Free; free > 1 {
-		t.Errorf("room for %d tasks is told while the link is full", free)
+		t.Errorf("the load shows capacity for %d tasks while the link is full", free)
 	}
 	for n := 2; n <= 4; n++ {
 		now = now.Add(minForecastInterval)
-		e := p.Offer(now, wide(n))
+		e := p.Offer(now, wideOffer(n))
 		if len(e.Starts) > 0 || len(e.Results) != 1 || e.Results[0].Outcome != Expired || e.Results[0].Begun {
-			t.Errorf("job %d on a full link: %s", n, text(e))
+			t.Errorf("job %d on a full link: %s", n, formatEffects(e))
 		}
 	}
 	now = now.Add(60 * time.Millisecond)
-	if e := p.Offer(now, wide(5)); len(e.Starts) != 8 {
-		t.Errorf("a job on a link that is free again: %s", text(e))
+	if e := p.Offer(now, wideOffer(5)); len(e.Starts) != 8 {
+		t.Errorf("a job after the link became free again: %s", formatEffects(e))
 	}
 }
 
-// TestWideLinkChangesNothing: on a link of a gigabit the same jobs start as on one that
-// is not known.
+// TestWideLinkChangesNothing checks that a link of 1 Gbit/s does not limit the jobs: all of them
+// start, as they do if the rate of the link is not known.
 func TestWideLinkChangesNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := narrowPool(now)
+	p := poolOnNarrowLink(now)
 	p.link.rate = 125_000_000
 	for n := 1; n <= 5; n++ {
-		if e := p.Offer(now, wide(n)); len(e.Starts) != 8 {
-			t.Errorf("job %d: %s", n, text(e))
+		if e := p.Offer(now, wideOffer(n)); len(e.Starts) != 8 {
+			t.Errorf("job %d: %s", n, formatEffects(e))
 		}
 	}
 }
--- a/schedule/model_test.go
+++ b/schedule/model_test.go
@@ -19,10 +19,10 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m, 20261202)) }
 
-// openKeys returns the keys of the jobs that are open, in a fixed order.
-func (w *world) openKeys() []JobKey {
-	keys := make([]JobKey, 0, len(w.open))
-	for key := range w.open {
+// openKeys returns the keys of the open jobs in a fixed order.
+func (w *testCluster) openKeys() []JobKey {
+	keys := make([]JobKey, 0, len(w.openJobs))
+	for key := range w.openJobs {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b JobKey) int {
@@ -31,8 +31,8 @@
 	return keys
 }
 
-// anyOpen draws one of the jobs that are open.
-func (w *world) anyOpen() (JobKey, bool) {
+// drawOpenJob draws one of the open jobs.
+func (w *testCluster) drawOpenJob() (JobKey, bool) {
 	keys := w.openKeys()
 	if len(keys) == 0 {
 		return JobKey{}, false
@@ -40,78 +40,80 @@
 	return keys[w.Rand.IntN(len(keys))], true
 }
 
-// jobOf returns a job by its task, also one that is not open any more.
-func (w *world) jobOf(t fleet.TaskRef) *simJob {
+// jobOfTask returns the job of a task. For a job that is not open any more, it returns one
+// with the same demand.
+func (w *testCluster) jobOfTask(t fleet.TaskRef) *simJob {
 	for _, key := range w.openKeys() {
 		if key.ID == t.Job {
-			return w.open[key]
+			return w.openJobs[key]
 		}
 	}
 	return &simJob{offer: Offer{Demand: fleet.Resources{MilliCPU: 3000}}}
 }
 
-func (w *world) apply(e Effects) {
+func (w *testCluster) applyEffects(e Effects) {
 	w.checkWaiting()
 	for _, s := range e.Starts {
 		if w.evacuated {
-			w.t.Fatalf("%v starts on %s, which is evacuated", s.Order.Run, s.Upstream.ID)
+			w.t.Fatalf("%v starts on %s, whose zone is evacuated", s.Order.Run, s.Upstream.ID)
 		}
-		w.start(s)
+		w.sendStart(s)
 	}
 	for _, s := range e.Stops {
-		w.stop(s)
+		w.sendStop(s)
 	}
 	for _, id := range e.Polls {
 		if u, o, known := w.pool.PollOrder(w.Now(), id); known {
-			w.hold(u, o, func(bool) {})
+			w.sendHold(u, o, func(bool) {})
 		}
 	}
 	for _, r := range append(e.Returns, e.Results...) {
-		w.result(r)
+		w.checkResult(r)
 	}
 }
 
-// result checks a result: nothing that was returned as never begun has begun.
-func (w *world) result(r Result) {
-	j := w.open[r.Key]
+// checkResult checks that tasks that were returned are not running, and that those that were
+// returned as never started have never started.
+func (w *testCluster) checkResult(r Result) {
+	j := w.openJobs[r.Key]
 	if j == nil {
-		w.t.Fatalf("a result for %v, which has ended", r.Key)
+		w.t.Fatalf("got a result for %v, which has ended already", r.Key)
 	}
 	for _, index := range r.Returned {
 		ref := fleet.TaskRef{Job: r.Key.ID, Index: index}
-		if _, ran := r.History[index]; ran {
-			w.atRest(ref)
+		if _, hasRun := r.History[index]; hasRun {
+			w.checkReturnedAfterRuns(ref)
 			continue
 		}
-		w.neverBegun(ref)
+		w.checkNeverStarted(ref)
 	}
 	if r.Outcome == "" {
-		return // only some tasks came back
+		return // only some tasks were returned, and the job goes on
 	}
 	if r.Outcome != Completed && !r.Begun {
 		for _, index := range j.offer.Tasks {
-			if w.begun[fleet.TaskRef{Job: r.Key.ID, Index: index}] {
-				w.t.Fatalf("%s ended %s as not begun, and task %d had begun", r.Key.ID, r.Outcome, index)
+			if w.startedTasks[fleet.TaskRef{Job: r.Key.ID, Index: index}] {
+				w.t.Fatalf("%s ended %s as never started, but task %d had started", r.Key.ID, r.Outcome, index)
 			}
 		}
 	}
-	delete(w.open, r.Key)
+	delete(w.openJobs, r.Key)
 	w.results++
 }
 
-// follow keeps asking for the reports of one upstream.
-func (w *world) follow(id string) {
-	epoch := w.epoch
+// requestReports requests the reports of one upstream, one after the other.
+func (w *testCluster) requestReports(id string) {
+	token := w.poolToken
 	var next func()
 	next = func() {
-		if epoch != w.epoch {
+		if token != w.poolToken {
 			return
 		}
 		u, o, known := w.pool.HoldOrder(w.Now(), id)
 		if !known {
 			return
 		}
-		w.hold(u, o, func(ok bool) {
+		w.sendHold(u, o, func(ok bool) {
 			if ok {
 				next()
 				return
@@ -122,64 +124,65 @@
 	next()
 }
 
-// lostJob is a job whose owner was lost. Its customer sends it again.
+// lostJob is a job whose owner was lost. Its customer resubmits it.
 type lostJob struct {
 	id string
 	at time.Time
 }
 
-// resendAfter is how long that takes at least: leases that the lost owner granted run
-// out before.
-const resendAfter = 1300 * time.Millisecond
+// minResubmitDelay is the time after which the customer of a lost job may resubmit it. The
+// leases that the lost owner granted have lapsed by then.
+const minResubmitDelay = 1300 * time.Millisecond
 
-// lostLongAgo returns the id of a lost job whose customer may send it again by now.
-func (w *world) lostLongAgo() (string, bool) {
-	if len(w.lost) == 0 || w.Now().Sub(w.lost[0].at) < resendAfter {
+// takeResubmittable removes and returns the ID of a lost job whose customer may resubmit it
+// now.
+func (w *testCluster) takeResubmittable() (string, bool) {
+	if len(w.lostJobs) == 0 || w.Now().Sub(w.lostJobs[0].at) < minResubmitDelay {
 		return "", false
 	}
-	id := w.lost[0].id
-	w.lost = w.lost[1:]
+	id := w.lostJobs[0].id
+	w.lostJobs = w.lostJobs[1:]
 	return id, true
 }
 
-// takeOver starts a new pool under a higher token. What the one before had open
-// is lost with it.
-func (w *world) takeOver() {
-	w.epoch++
-	for ref := range w.crashers {
-		w.crashers[ref] = 0 // another owner begins to count anew
-	}
-	w.pool = NewPool(DefaultConfig, uint64(w.epoch))
-	clear(w.told)
+// takeOver starts a new pool under a higher fencing token. The open jobs of the former pool
+// are lost with it.
+func (w *testCluster) takeOver() {
+	w.poolToken++
+	for ref := range w.crashesByTask {
+		w.crashesByTask[ref] = 0 // a new owner does not know of earlier crashes
+	}
+	w.pool = NewPool(DefaultConfig, uint64(w.poolToken))
+	clear(w.listedCapacity)
 	for _, key := range w.openKeys() {
-		w.lost = append(w.lost, lostJob{key.ID, w.Now()})
-		delete(w.open, key)
+		w.lostJobs = append(w.lostJobs, lostJob{key.ID, w.Now()})
+		delete(w.openJobs, key)
 	}
 	w.listUpstreams()
-	w.ticks(w.epoch)
+	w.scheduleTicks(w.poolToken)
 }
 
-func (w *world) ticks(epoch int) {
-	if epoch != w.epoch {
+func (w *testCluster) scheduleTicks(token int) {
+	if token != w.poolToken {
 		return
 	}
-	w.apply(w.pool.Tick(w.Now()))
-	w.AfterFunc(25*time.Millisecond, func() { w.ticks(epoch) })
+	w.applyEffects(w.pool.Tick(w.Now()))
+	w.AfterFunc(25*time.Millisecond, func() { w.scheduleTicks(token) })
 }
 
-// drain drains the pool; another takes over some time later.
-func (w *world) drain() {
-	w.apply(w.pool.Drain(w.Now()))
-	epoch := w.epoch
+// drain drains the pool. Another pool takes over some time later.
+func (w *testCluster) drain() {
+	w.applyEffects(w.pool.Drain(w.Now()))
+	token := w.poolToken
 	w.AfterFunc(w.RandMillis(100, 800), func() {
-		if epoch == w.epoch {
+		if token == w.poolToken {
 			w.takeOver()
 		}
 	})
 }
 
-// evacuate closes all upstreams, or opens them again.
-func (w *world) evacuate() {
+// toggleEvacuation closes all upstreams, or reopens them.
+func (w *testCluster) toggleEvacuation() {
 	w.evacuated = !w.evacuated
 	for _, u := range w.upstreams {
 		u.Upstream.Closed = w.evacuated
@@ -187,53 +190,54 @@
 	w.listUpstreams()
 }
 
-// restart starts an upstream again under its id. Its entry tells that some time later.
-func (w *world) restart(u *standin.SimulatedUpstream) {
-	down := w.RandMillis(1000, 3000)
-	u.Crash(down)
-	w.AfterFunc(down+w.RandMillis(0, 1500), w.listUpstreams)
+// restart restarts an upstream under its ID. Its entry is updated some time later.
+func (w *testCluster) restart(u *standin.SimulatedUpstream) {
+	downtime := w.RandMillis(1000, 3000)
+	u.Crash(downtime)
+	w.AfterFunc(downtime+w.RandMillis(0, 1500), w.listUpstreams)
 }
 
-// latestEntry is how long after a change of room the entry of an upstream tells it at most,
-// milliseconds: long enough for orders that go by the former room.
-const latestEntry = 800
+// maxEntryDelayMillis is the longest time from a change of an upstream's capacity to the update
+// of its entry, in milliseconds. It is long enough for orders that still rely on the former
+// capacity.
+const maxEntryDelayMillis = 800
 
-// resize changes the room of an upstream. Its entry tells that some time later.
-func (w *world) resize(u *standin.SimulatedUpstream) {
-	room := fleet.Resources{MilliCPU: int64(1000 * (1 + w.Rand.IntN(8)))}
-	u.UpstreamModel.Capacity = room
-	w.AfterFunc(w.RandMillis(0, latestEntry), func() {
-		if u.UpstreamModel.Capacity != room {
-			return // another change has been told since, or is about to be
+// resize changes the capacity of an upstream. Its entry is updated some time later.
+func (w *testCluster) resize(u *standin.SimulatedUpstream) {
+	capacity := fleet.Resources{MilliCPU: int64(1000 * (1 + w.Rand.IntN(8)))}
+	u.UpstreamModel.Capacity = capacity
+	w.AfterFunc(w.RandMillis(0, maxEntryDelayMillis), func() {
+		if u.UpstreamModel.Capacity != capacity {
+			return // there has been another change since, with an update of its own
 		}
-		u.Upstream.Capacity = room
-		u.Upstream.LargestCapacity = u.Upstream.LargestCapacity.Max(room)
+		u.Upstream.Capacity = capacity
+		u.Upstream.LargestCapacity = u.Upstream.LargestCapacity.Max(capacity)
 		w.listUpstreams()
 	})
 }
 
-// listUpstreams tells the pool of the upstreams as they are listed now.
-func (w *world) listUpstreams() {
+// listUpstreams passes the current entries of the upstreams to the pool.
+func (w *testCluster) listUpstreams() {
 	var list []fleet.Upstream
 	for _, u := range w.upstreams {
 		list = append(list, u.Upstream)
-		w.told[u.ID] = u.Upstream.Capacity
+		w.listedCapacity[u.ID] = u.Upstream.Capacity
 	}
 	added, effects := w.pool.SetUpstreams(w.Now(), list)
-	w.apply(effects)
+	w.applyEffects(effects)
 	for _, id := range added {
-		w.follow(id)
+		w.requestReports(id)
 	}
 }
 
-// offer offers a new job, or one again whose customer came back by another
+// offerJob offers a new job, or a job whose customer has resubmitted it to another
 // coordinator.
-func (w *world) offer(n int) {
+func (w *testCluster) offerJob(n int) {
 	key := JobKey{"home", fmt.Sprintf("%016x", n), 1}
-	if other, found := w.anyOpen(); found && w.Rand.IntN(10) == 0 {
+	if other, found := w.drawOpenJob(); found && w.Rand.IntN(10) == 0 {
 		key = JobKey{fmt.Sprintf("home-%d", n), other.ID, 1}
 	}
-	if id, found := w.lostLongAgo(); found && w.Rand.IntN(2) == 0 {
+	if id, found := w.takeResubmittable(); found && w.Rand.IntN(2) == 0 {
 		key = JobKey{fmt.Sprintf("home-%d", n), id, 1}
 	}
 	o := Offer{
@@ -244,75 +248,72 @@
 	for i := range 1 + w.Rand.IntN(8) {
 		o.Tasks = append(o.Tasks, i)
 	}
-	if w.crashes && w.Rand.IntN(8) == 0 {
-		w.crashers[fleet.TaskRef{Job: key.ID}] = 0
+	if w.mayCrash && w.Rand.IntN(8) == 0 {
+		w.crashesByTask[fleet.TaskRef{Job: key.ID}] = 0
 	}
-	w.open[o.Key] = &simJob{offer: o, done: map[int]bool{}}
+	w.openJobs[o.Key] = &simJob{offer: o, done: map[int]bool{}}
 	effects := w.pool.Offer(w.Now(), o)
-	ofNew := func(r Result, _ int) bool { return r.Key == o.Key }
-	for _, r := range lo.Reject(effects.Results, ofNew) {
-		w.result(r) // of a sending before
+	isForOffer := func(r Result, _ int) bool { return r.Key == o.Key }
+	for _, r := range lo.Reject(effects.Results, isForOffer) {
+		w.checkResult(r) // of an earlier submission
 	}
-	effects.Results = lo.Filter(effects.Results, ofNew)
+	effects.Results = lo.Filter(effects.Results, isForOffer)
 	for _, i := range o.Tasks {
 		ref := fleet.TaskRef{Job: o.Key.ID, Index: i}
-		w.sending[ref]++
-		delete(w.begun, ref)
-		delete(w.returned, ref)
-		delete(w.noted, ref)
+		w.submissions[ref]++
+		delete(w.startedTasks, ref)
+		delete(w.returnedTasks, ref)
+		delete(w.ackedDone, ref)
 	}
-	w.apply(effects)
+	w.applyEffects(effects)
 }
 
-// TestModel runs pools against simulated upstreams under faults. No task has two
-// runs at once, no upstream is filled over its capacity, nothing that is said
-// not to have begun has, and once the faults end every job does.
+// TestModel runs pools against simulated upstreams under faults. No task may have two runs at
+// once, no upstream may be loaded beyond its capacity, no task that is reported as never
+// started may have started, and once the faults end, every job must end.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		modelCase{
-			seed: rapid.Uint64().Draw(t, "seed"),
-			loss: rapid.SampledFrom([]float64{0, 0.02, 0.1, 0.3}).Draw(t, "loss"),
-			late: rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(t, "late"),
-			jobs: rapid.IntRange(20, 80).Draw(t, "jobs"), evacuates: rapid.Bool().Draw(t, "evacuates"),
-			restarts: rapid.Bool().Draw(t, "restarts"), resizes: rapid.Bool().Draw(t, "resizes"), crashes: rapid.Bool().Draw(t, "crashes"),
+			seed:      rapid.Uint64().Draw(t, "seed"),
+			lossShare: rapid.SampledFrom([]float64{0, 0.02, 0.1, 0.3}).Draw(t, "loss"),
+			lateShare: rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(t, "late"),
+			steps:     rapid.IntRange(20, 80).Draw(t, "jobs"), mayEvacuate: rapid.Bool().Draw(t, "evacuates"),
+			mayRestart: rapid.Bool().Draw(t, "restarts"), mayResize: rapid.Bool().Draw(t, "resizes"), mayCrash: rapid.Bool().Draw(t, "crashes"),
 		}.run(t)
 	})
 }
 
-// TestModelSeeds replays draws of TestModel that have shown a fault.
+// TestModelSeeds replays cases of TestModel in which jobs were resubmitted while runs of their
+// first submission were being stopped. They once made the pool violate an invariant.
 func TestModelSeeds(t *testing.T) {
 	for _, c := range []modelCase{
-		// Jobs that were sent again while runs of their first sending were being stopped.
-		{seed: 0x196, loss: 0.3, late: 0, jobs: 20},
-		{seed: 0x935b, loss: 0.1, late: 0.05, jobs: 47},
+		{seed: 0x196, lossShare: 0.3, lateShare: 0, steps: 20},
+		{seed: 0x935b, lossShare: 0.1, lateShare: 0.05, steps: 47},
 	} {
 		t.Run(fmt.Sprintf("%#x", c.seed), func(t *testing.T) { c.run(t) })
 	}
 }
 
-// modelCase is one play of the model: its seed, the shares of calls that are lost
-// and carried out late, and how many things happen.
+// modelCase is one execution of the model. Each kind of event beyond the basic ones has a
+// switch of its own, so that the seeds in TestModelSeeds keep their sequences of events.
 type modelCase struct {
-	seed       uint64
-	loss, late float64
-	jobs       int
-	// evacuates closes all upstreams at some times and opens them again; the seeds
-	// that were kept before do without.
-	evacuates bool
-	// restarts starts upstreams again under the same id; as evacuates.
-	restarts bool
-	// resizes changes the room of upstreams, and crashes lets some tasks crash each upstream
-	// that starts them; as evacuates.
-	resizes, crashes bool
+	seed                 uint64
+	lossShare, lateShare float64 // shares of calls that are lost, and that are carried out late
+	steps                int     // number of events
+	mayEvacuate          bool    // all upstreams are closed from time to time, and reopened
+	mayRestart           bool    // upstreams restart under the same ID
+	// mayResize changes the capacity of upstreams, and mayCrash makes some tasks crash every
+	// upstream that starts them.
+	mayResize, mayCrash bool
 }
 
 func (c modelCase) run(t failer) {
-	w := newWorld(t, c.seed)
-	w.evacuates, w.restarts, w.resizes, w.crashes = c.evacuates, c.restarts, c.resizes, c.crashes
+	w := newTestCluster(t, c.seed)
+	w.mayEvacuate, w.mayRestart, w.mayResize, w.mayCrash = c.mayEvacuate, c.mayRestart, c.mayResize, c.mayCrash
 	w.takeOver()
-	w.Run(epochZero.Add(300 * time.Millisecond))
-	w.setFaults(c.loss, c.late)
-	for i := range c.jobs {
+	w.Run(startTime.Add(300 * time.Millisecond))
+	w.setFaults(c.lossShare, c.lateShare)
+	for i := range c.steps {
 		w.step(i)
 	}
 	w.setFaults(0, 0)
@@ -320,22 +321,22 @@
 		u.Partitioned, u.Stalled, u.Failing = false, false, false
 	}
 	if w.evacuated {
-		w.evacuate()
+		w.toggleEvacuation()
 	}
-	if w.resizes {
+	if w.mayResize {
 		for _, u := range w.upstreams {
 			u.UpstreamModel.Capacity, u.Upstream.Capacity = fleet.Resources{MilliCPU: 8000}, fleet.Resources{MilliCPU: 8000}
 		}
 		w.listUpstreams()
 	}
 	w.Run(w.Now().Add(15 * time.Second))
-	if len(w.open) > 0 || !w.pool.Idle() {
-		t.Fatalf("%d jobs are open long after the faults, idle %v", len(w.open), w.pool.Idle())
+	if len(w.openJobs) > 0 || !w.pool.Idle() {
+		t.Fatalf("%d jobs are still open 15 s after the faults ended, idle %v", len(w.openJobs), w.pool.Idle())
 	}
 }
 
-// step lets one thing happen, and some time pass.
-func (w *world) step(i int) {
+// step makes one event happen, and some time pass.
+func (w *testCluster) step(i int) {
 	u := w.upstreams[w.Rand.IntN(len(w.upstreams))]
 	switch w.Rand.IntN(12) {
 	case 0:
@@ -349,30 +350,30 @@
 	case 5:
 		w.drain()
 	case 6:
-		if w.evacuates {
-			w.evacuate()
+		if w.mayEvacuate {
+			w.toggleEvacuation()
 			break
 		}
-		w.offer(i)
+		w.offerJob(i)
 	case 7:
-		if w.restarts {
+		if w.mayRestart {
 			w.restart(u)
 			break
 		}
-		w.offer(i)
+		w.offerJob(i)
 	case 8:
-		if w.resizes {
+		if w.mayResize {
 			w.resize(u)
 			break
 		}
-		w.offer(i)
+		w.offerJob(i)
 	case 4:
-		if key, found := w.anyOpen(); found {
-			delete(w.open, key)
-			w.apply(w.pool.Withdraw(w.Now(), key, "test"))
+		if key, found := w.drawOpenJob(); found {
+			delete(w.openJobs, key)
+			w.applyEffects(w.pool.Withdraw(w.Now(), key, "test"))
 		}
 	default:
-		w.offer(i)
+		w.offerJob(i)
 	}
 	w.Run(w.Now().Add(w.RandMillis(1, 120)))
 }
--- a/schedule/modelcheck_test.go
+++ b/schedule/modelcheck_test.go
@@ -5,24 +5,26 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// check holds what runs against what must always hold.
-func (w *world) check(u *standin.SimulatedUpstream, started fleet.Run) {
-	room := u.UpstreamModel.Capacity.Max(w.room[started]) // it may have shrunk since the pool was told
-	if used := u.Used(); !used.Within(room) {
-		w.t.Fatalf("%s at %v: %v of %v in use after the start of %v", u.ID, w.Now().Sub(epochZero), used, room, started)
+// checkStart checks the invariants after the start of a run: no upstream is loaded beyond its
+// capacity, and no task has two runs.
+func (w *testCluster) checkStart(u *standin.SimulatedUpstream, started fleet.Run) {
+	capacity := u.UpstreamModel.Capacity.Max(w.capacityAtOrder[started]) // it may have shrunk since the run was ordered
+	if used := u.Used(); !used.Within(capacity) {
+		w.t.Fatalf("%s at %v: %v of %v in use after the start of %v", u.ID, w.Now().Sub(startTime), used, capacity, started)
 	}
-	for _, o := range w.upstreams {
-		o.Advance(w.Now())
-		for _, id := range o.Running() {
-			if id.Task == started.Task && (o != u || id != started) {
-				w.t.Fatalf("%v runs on %s while %v starts on %s at %v", id, o.ID, started, u.ID, w.Now().Sub(epochZero))
+	for _, other := range w.upstreams {
+		other.Advance(w.Now())
+		for _, id := range other.Running() {
+			if id.Task == started.Task && (other != u || id != started) {
+				w.t.Fatalf("%v runs on %s while %v starts on %s at %v", id, other.ID, started, u.ID, w.Now().Sub(startTime))
 			}
 		}
 	}
 }
 
-// checkWaiting counts the tasks that wait anew. None has a run in the books.
-func (w *world) checkWaiting() {
+// checkWaiting checks the pool's count of waiting tasks, and that no waiting task has a tracked
+// run.
+func (w *testCluster) checkWaiting() {
 	count := 0
 	for _, j := range w.pool.queue {
 		for _, t := range j.taskList {
@@ -31,27 +33,27 @@
 			}
 			count++
 			if r := w.pool.runByTask[w.pool.taskRef(j, t)]; r != nil {
-				w.t.Fatalf("task %d of %s waits for a place while %v is in the books", t.index, j.Key.ID, r.id)
+				w.t.Fatalf("task %d of %s is waiting while its run %v is tracked", t.index, j.Key.ID, r.id)
 			}
 		}
 	}
 	if w.pool.Waiting() != count {
-		w.t.Fatalf("the pool counts %d waiting tasks, and has %d", w.pool.Waiting(), count)
+		w.t.Fatalf("the pool counts %d waiting tasks, but has %d", w.pool.Waiting(), count)
 	}
 }
 
-// neverBegun checks a task that was returned as never begun: no run that was ordered
-// for its sending has begun, none of an earlier one is at work, and none begins later.
-func (w *world) neverBegun(ref fleet.TaskRef) {
-	if w.begun[ref] {
-		w.t.Fatalf("task %d of %s was returned and had begun", ref.Index, ref.Job)
+// checkNeverStarted checks a task that was returned as never started: no run that was ordered
+// for its last submission has started, none of an earlier one is running, and none starts later.
+func (w *testCluster) checkNeverStarted(ref fleet.TaskRef) {
+	if w.startedTasks[ref] {
+		w.t.Fatalf("task %d of %s was returned as never started, but had started", ref.Index, ref.Job)
 	}
-	w.noneRuns(ref)
-	w.returned[ref] = true
+	w.checkNotRunning(ref)
+	w.returnedTasks[ref] = true
 }
 
-// noneRuns checks that no run of a task that is returned is at work.
-func (w *world) noneRuns(ref fleet.TaskRef) {
+// checkNotRunning checks that no upstream runs a task that is returned.
+func (w *testCluster) checkNotRunning(ref fleet.TaskRef) {
 	for _, u := range w.upstreams {
 		u.Advance(w.Now())
 		for _, id := range u.Running() {
@@ -62,9 +64,9 @@
 	}
 }
 
-// atRest checks a task that was returned after runs of its own: none is at work, and
-// none begins later.
-func (w *world) atRest(ref fleet.TaskRef) {
-	w.noneRuns(ref)
-	w.returned[ref] = true
+// checkReturnedAfterRuns checks a task that was returned after it had runs: none of them is
+// running, and none starts later.
+func (w *testCluster) checkReturnedAfterRuns(ref fleet.TaskRef) {
+	w.checkNotRunning(ref)
+	w.returnedTasks[ref] = true
 }
--- a/schedule/scenario_test.go
+++ b/schedule/scenario_test.go
@@ -17,18 +17,18 @@
 
 // scenario drives a pool by the commands of a file in testdata.
 type scenario struct {
-	pool *Pool
-	now  time.Time
-	seq  map[string]uint64
+	pool         *Pool
+	now          time.Time
+	endSequences map[string]uint64
 }
 
-// TestScenarios runs the tables of testdata: each command is one input, its
-// output what the pool decided. testdata/README tells the commands.
+// TestScenarios runs the files in testdata/scenarios: each command is one input, and its output
+// shows the decisions of the pool. testdata/README describes the commands.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
 		cfg := DefaultConfig
 		cfg.RemoteFactor = 2
-		s := &scenario{pool: NewPool(cfg, 7), now: epochZero, seq: map[string]uint64{}}
+		s := &scenario{pool: NewPool(cfg, 7), now: startTime, endSequences: map[string]uint64{}}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			return s.run(t, d)
 		})
@@ -54,37 +54,37 @@
 	switch d.Cmd {
 	case "upstreams":
 		added, effects := s.pool.SetUpstreams(s.now, s.upstreams(t, d.Input))
-		return "new: " + strings.Join(added, " ") + "\n" + text(effects)
+		return "new: " + strings.Join(added, " ") + "\n" + formatEffects(effects)
 	case "offer":
-		return text(s.pool.Offer(s.now, s.offer(t, first, arg)))
+		return formatEffects(s.pool.Offer(s.now, s.offer(t, first, arg)))
 	case "withdraw":
-		return text(s.pool.Withdraw(s.now, JobKey{"home", first, 0}, "left"))
+		return formatEffects(s.pool.Withdraw(s.now, JobKey{"home", first, 0}, "left"))
 	case "ack":
-		return text(s.pool.HandleStartResponse(s.now, s.life(first, arg), runOf(t, arg("run", "")), refusals[arg("refused", "")], errs[arg("error", "")]))
+		return formatEffects(s.pool.HandleStartResponse(s.now, s.incarnation(first, arg), parseRun(t, arg("run", "")), refusals[arg("refused", "")], errs[arg("error", "")]))
 	case "stopped":
-		return text(s.pool.HandleStopResponse(s.now, s.life(first, arg), runOf(t, arg("run", "")), errs[arg("error", "")]))
+		return formatEffects(s.pool.HandleStopResponse(s.now, s.incarnation(first, arg), parseRun(t, arg("run", "")), errs[arg("error", "")]))
 	case "report":
-		return text(s.pool.HandleHoldResponse(s.now, s.life(first, arg), s.now, s.report(t, first, arg), errs[arg("error", "")]))
+		return formatEffects(s.pool.HandleHoldResponse(s.now, s.incarnation(first, arg), s.now, s.report(t, first, arg), errs[arg("error", "")]))
 	case "hold":
 		_, o, _ := s.pool.HoldOrder(s.now, first)
 		return fmt.Sprintf("lease %d ms, wait %d ms\n", max(o.LeaseUntilMs-s.clock(), 0), o.WaitMs)
 	case "renew":
-		s.pool.RenewCoordinator(first, s.now.Add(-duration(t, arg("alive", "0s"))))
+		s.pool.RenewCoordinator(first, s.now.Add(-parseDuration(t, arg("alive", "0s"))))
 		return ""
 	case "wait":
-		s.now = s.now.Add(duration(t, first))
+		s.now = s.now.Add(parseDuration(t, first))
 		return ""
 	case "tick":
-		s.now = s.now.Add(duration(t, first))
-		return text(s.pool.Tick(s.now))
+		s.now = s.now.Add(parseDuration(t, first))
+		return formatEffects(s.pool.Tick(s.now))
 	case "drain":
-		return text(s.pool.Drain(s.now)) + "released: " + strings.Join(s.pool.Release(), " ") + "\n"
+		return formatEffects(s.pool.Drain(s.now)) + "released: " + strings.Join(s.pool.Release(), " ") + "\n"
 	case "release":
 		return "released: " + strings.Join(s.pool.Release(), " ") + fmt.Sprintf(", idle %v\n", s.pool.Idle())
 	case "load":
 		return fmt.Sprintf("%+v\n", s.pool.Load(s.now))
 	default:
-		t.Fatalf("no command %s", d.Cmd)
+		t.Fatalf("unknown command %s", d.Cmd)
 		return ""
 	}
 }
@@ -98,9 +98,9 @@
 	"late": fleet.RefusedLate, "unhealthy": fleet.RefusedUnhealthy,
 }
 
-// life is the life of an upstream that a call was made to: born, or the one that the
-// pool knows.
-func (s *scenario) life(id string, arg func(string, string) string) fleet.UpstreamIncarnation {
+// incarnation returns the incarnation of an upstream that a call was made to: the one that the
+// argument born gives, or else the one that the pool tracks.
+func (s *scenario) incarnation(id string, arg func(string, string) string) fleet.UpstreamIncarnation {
 	born, err := strconv.ParseInt(arg("born", "0"), 10, 64)
 	if u := s.pool.upstreams[id]; err == nil && born == 0 && u != nil {
 		return u.Incarnation()
@@ -108,9 +108,9 @@
 	return fleet.UpstreamIncarnation{ID: id, StartedUnixMs: born}
 }
 
-func (s *scenario) clock() int64 { return s.now.Sub(epochZero).Milliseconds() }
+func (s *scenario) clock() int64 { return s.now.Sub(startTime).Milliseconds() }
 
-func duration(t *testing.T, text string) time.Duration {
+func parseDuration(t *testing.T, text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 	return d
 }
 
-func number(t *testing.T, text string) int {
+func parseInt(t *testing.T, text string) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
 		t.Fatal(err)
@@ -131,16 +131,17 @@
 	for line := range strings.Lines(input) {
 		fields := strings.Fields(line)
 		list = append(list, fleet.Upstream{
-			ID: fields[0], Service: "s", Capacity: fleet.Resources{MilliCPU: int64(number(t, fields[1]))}, LargestCapacity: s.largest(fields[0], int64(number(t, fields[1]))),
+			ID: fields[0], Service: "s", Capacity: fleet.Resources{MilliCPU: int64(parseInt(t, fields[1]))}, LargestCapacity: s.largestCapacity(fields[0], int64(parseInt(t, fields[1]))),
 			Draining: slices.Contains(fields[2:], "draining"), Closed: slices.Contains(fields[2:], "closed"),
-			StartedUnixMs: int64(number(t, fieldOf(fields[2:], "born", "0"))), Rack: fieldOf(fields[2:], "rack", ""),
+			StartedUnixMs: int64(parseInt(t, fieldValue(fields[2:], "born", "0"))), Rack: fieldValue(fields[2:], "rack", ""),
 		})
 	}
 	return list
 }
 
-// largest returns the largest capacity that an upstream has had so far.
-func (s *scenario) largest(id string, cpu int64) fleet.Resources {
+// largestCapacity returns the largest CPU capacity that an upstream has had so far, with its
+// current one.
+func (s *scenario) largestCapacity(id string, cpu int64) fleet.Resources {
 	now := fleet.Resources{MilliCPU: cpu}
 	if u := s.pool.upstreams[id]; u != nil {
 		return now.Max(u.LargestCapacity)
@@ -148,10 +149,10 @@
 	return now
 }
 
-// fieldOf reads key=value among fields.
-func fieldOf(fields []string, key, fallback string) string {
+// fieldValue returns the value of the field key=value, or fallback if there is none.
+func fieldValue(fields []string, key, fallback string) string {
 	for _, f := range fields {
-		if value, is := strings.CutPrefix(f, key+"="); is {
+		if value, found := strings.CutPrefix(f, key+"="); found {
 			return value
 		}
 	}
@@ -160,63 +161,65 @@
 
 func (s *scenario) offer(t *testing.T, id string, arg func(string, string) string) Offer {
 	o := Offer{
-		Key: JobKey{arg("from", "home"), id, 0}, Service: "s", Route: "r" + arg("est", "100ms"), Demand: fleet.Resources{MilliCPU: int64(number(t, arg("cpu", "8000")))},
-		Estimate: duration(t, arg("est", "100ms")), Priority: number(t, arg("priority", "0")), MaxAttempts: number(t, arg("attempts", "2")),
-		Stretch: 1.6, Slack: duration(t, arg("slack", "60ms")), Timeout: duration(t, arg("patience", "5s")), MayQueue: arg("queue", "") != "", Begun: arg("begun", "") != "",
-		AllOrNothing: arg("whole", "") != "", History: map[int]TaskHistory{}, Rack: arg("rack", ""), MaxPerUpstream: number(t, arg("most", "0")),
+		Key: JobKey{arg("from", "home"), id, 0}, Service: "s", Route: "r" + arg("est", "100ms"), Demand: fleet.Resources{MilliCPU: int64(parseInt(t, arg("cpu", "8000")))},
+		Estimate: parseDuration(t, arg("est", "100ms")), Priority: parseInt(t, arg("priority", "0")), MaxAttempts: parseInt(t, arg("attempts", "2")),
+		Stretch: 1.6, Slack: parseDuration(t, arg("slack", "60ms")), Timeout: parseDuration(t, arg("patience", "5s")), MayQueue: arg("queue", "") != "", Begun: arg("begun", "") != "",
+		AllOrNothing: arg("whole", "") != "", History: map[int]TaskHistory{}, Rack: arg("rack", ""), MaxPerUpstream: parseInt(t, arg("most", "0")),
 	}
-	if ago := arg("alive", ""); ago != "" {
-		o.AliveAt = s.now.Add(-duration(t, ago))
+	if aliveFor := arg("alive", ""); aliveFor != "" {
+		o.AliveAt = s.now.Add(-parseDuration(t, aliveFor))
 	}
 	for _, part := range strings.FieldsFunc(arg("past", ""), func(c rune) bool { return c == ',' }) {
 		var task int
-		var had TaskHistory
-		if n, err := fmt.Sscanf(part, "%d:%d:%d:%d", &task, &had.LastRun, &had.FailedRuns, &had.Crashes); n < 3 {
+		var history TaskHistory
+		if n, err := fmt.Sscanf(part, "%d:%d:%d:%d", &task, &history.LastRun, &history.FailedRuns, &history.Crashes); n < 3 {
 			t.Fatal(err)
 		}
-		o.History[task] = had
+		o.History[task] = history
 	}
-	for i := range number(t, arg("tasks", "1")) {
+	for i := range parseInt(t, arg("tasks", "1")) {
 		o.Tasks = append(o.Tasks, i)
 	}
 	return o
 }
 
-// runOf reads job.task#number.
-func runOf(t *testing.T, text string) fleet.Run {
+// parseRun parses a run in the form job.task#number.
+func parseRun(t *testing.T, text string) fleet.Run {
 	task, run, _ := strings.Cut(text, "#")
 	job, index, _ := strings.Cut(task, ".")
-	return fleet.Run{Task: fleet.TaskRef{Job: job, Index: number(t, index)}, Number: uint32(number(t, run))}
+	return fleet.Run{Task: fleet.TaskRef{Job: job, Index: parseInt(t, index)}, Number: uint32(parseInt(t, run))}
 }
 
 func (s *scenario) report(t *testing.T, upstream string, arg func(string, string) string) fleet.Report {
-	r := fleet.Report{ClockMs: s.clock(), StartedUnixMs: int64(number(t, arg("says", "0")))}
+	r := fleet.Report{ClockMs: s.clock(), StartedUnixMs: int64(parseInt(t, arg("says", "0")))}
 	if r.StartedUnixMs == 0 {
-		r.StartedUnixMs = s.life(upstream, arg).StartedUnixMs
+		r.StartedUnixMs = s.incarnation(upstream, arg).StartedUnixMs
 	}
 	if arg("counts", "") == "anew" {
-		s.seq[upstream] = 0
+		s.endSequences[upstream] = 0
 	}
 	for _, part := range strings.FieldsFunc(arg("running", ""), func(c rune) bool { return c == ',' }) {
 		run, percent, _ := strings.Cut(part, ":")
-		r.Running = append(r.Running, fleet.RunningTask{Run: runOf(t, run), Percent: number(t, percent)})
+		r.Running = append(r.Running, fleet.RunningTask{Run: parseRun(t, run), Percent: parseInt(t, percent)})
 	}
 	for _, part := range strings.FieldsFunc(arg("ended", ""), func(c rune) bool { return c == ',' }) {
 		run, how, _ := strings.Cut(part, ":")
-		s.seq[upstream]++
-		r.Ended = append(r.Ended, fleet.EndedRun{Sequence: s.seq[upstream], Run: runOf(t, run), End: fleet.End(how)})
+		s.endSequences[upstream]++
+		r.Ended = append(r.Ended, fleet.EndedRun{Sequence: s.endSequences[upstream], Run: parseRun(t, run), End: fleet.End(how)})
 	}
 	return r
 }
 
-func runText(r fleet.Run) string { return fmt.Sprintf("%s.%d#%d", r.Task.Job, r.Task.Index, r.Number) }
+func formatRun(r fleet.Run) string {
+	return fmt.Sprintf("%s.%d#%d", r.Task.Job, r.Task.Index, r.Number)
+}
 
-// pastText words what returned tasks take along.
-func pastText(past map[int]TaskHistory) string {
-	if len(past) == 0 {
+// formatHistory formats the histories of returned tasks.
+func formatHistory(histories map[int]TaskHistory) string {
+	if len(histories) == 0 {
 		return ""
 	}
-	words := lo.MapValues(past, func(p TaskHistory, _ int) string {
+	words := lo.MapValues(histories, func(p TaskHistory, _ int) string {
 		if p.Crashes > 0 {
 			return fmt.Sprintf("{%d %d crashed %d}", p.LastRun, p.FailedRuns, p.Crashes)
 		}
@@ -225,23 +228,23 @@
 	return fmt.Sprintf(", past %v", words)
 }
 
-// text words effects, in order.
-func text(e Effects) string {
+// formatEffects formats effects, one line for each.
+func formatEffects(e Effects) string {
 	var b strings.Builder
 	for _, s := range e.Starts {
-		fmt.Fprintf(&b, "start %s on %s\n", runText(s.Order.Run), s.Upstream.ID)
+		fmt.Fprintf(&b, "start %s on %s\n", formatRun(s.Order.Run), s.Upstream.ID)
 	}
 	for _, s := range e.Stops {
-		fmt.Fprintf(&b, "stop %s on %s\n", runText(s.Run), s.Upstream.ID)
+		fmt.Fprintf(&b, "stop %s on %s\n", formatRun(s.Run), s.Upstream.ID)
 	}
 	for _, id := range e.Polls {
 		fmt.Fprintf(&b, "look at %s\n", id)
 	}
 	for _, r := range e.Returns {
-		fmt.Fprintf(&b, "%s returns %v%s\n", r.Key.ID, r.Returned, pastText(r.History))
+		fmt.Fprintf(&b, "%s returns %v%s\n", r.Key.ID, r.Returned, formatHistory(r.History))
 	}
 	for _, r := range e.Results {
-		fmt.Fprintf(&b, "%s ends %s: done %v, returned %v, begun %v%s\n", r.Key.ID, r.Outcome, r.Done, r.Returned, r.Begun, pastText(r.History))
+		fmt.Fprintf(&b, "%s ends %s: done %v, returned %v, begun %v%s\n", r.Key.ID, r.Outcome, r.Done, r.Returned, r.Begun, formatHistory(r.History))
 	}
 	for _, d := range e.Decisions {
 		switch d.Kind {
@@ -257,13 +260,14 @@
 	return b.String()
 }
 
-// TestLapseWaitsForSlowClocks: a lease of 700 ms on a clock that runs 2% slow
-// lasts 714 ms; before that nothing of it may start again.
+// TestLapseWaitsForSlowClocks checks that a lease is not taken to have lapsed too early: on a
+// clock that runs 2% slow, a lease of 700 ms lasts 714 ms, and its tasks must not start again
+// before.
 func TestLapseWaitsForSlowClocks(t *testing.T) {
-	u := &upstream{clockMs: 5000, clockReadAt: epochZero, maxLeaseUntilMs: 5700}
+	u := &upstream{clockMs: 5000, clockReadAt: startTime, maxLeaseUntilMs: 5700}
 	lease, rate := 700*time.Millisecond, 0.98
 	real := time.Duration(float64(lease) / rate)
-	if lapsed := u.leasesLapseAt(); lapsed.Sub(epochZero) < real {
-		t.Errorf("the lease counts as lapsed after %v, it lasts %v", lapsed.Sub(epochZero), real)
+	if lapsed := u.leasesLapseAt(); lapsed.Sub(startTime) < real {
+		t.Errorf("the lease is taken to have lapsed after %v, but lasts %v", lapsed.Sub(startTime), real)
 	}
 }
