--- a/schedule/incarnations_test.go
+++ b/schedule/incarnations_test.go
@@ -24,8 +24,8 @@
 	}
 	for _, step := range []struct {
 		event string
-		do   func()
-		want uint64
+		do    func()
+		want  uint64
 	}{
 		{"a report contains the end with number 3", func() { p.HandleHoldResponse(now, called, now, report, nil) }, 3},
 		{"a call gets no answer", func() { p.HandleHoldResponse(now, called, now, fleet.Report{}, failure.Lost.New("x")) }, 0},
