--- a/schedule/coordinator.go
+++ b/schedule/coordinator.go
@@ -54,9 +54,9 @@
 
 // RenewCoordinator renews the lease of a coordinator: at the time alive it was running, and
 // the customers of all jobs that it had not withdrawn were connected.
-func (p *Pool) RenewCoordinator(coordinator string, alive time.Time) {
-	if c := p.coordinatorLeases[coordinator]; c != nil && alive.After(c.aliveAt) {
-		c.aliveAt = alive
+func (p *Pool) RenewCoordinator(coordinator string, aliveAt time.Time) {
+	if c := p.coordinatorLeases[coordinator]; c != nil && aliveAt.After(c.aliveAt) {
+		c.aliveAt = aliveAt
 	}
 }
 
@@ -75,15 +75,15 @@
 	return j.coordinatorLease.aliveAt
 }
 
-// mayStart reports whether the coordinator of a job was alive recently enough for tasks of
+// isCoordinatorFresh reports whether the coordinator of a job was alive recently enough for tasks of
 // the job to start.
-func (p *Pool) mayStart(j *job) bool {
+func (p *Pool) isCoordinatorFresh(j *job) bool {
 	return j.coordinatorLease == nil || p.now.Sub(p.lastAlive(j)) <= p.cfg.CoordinatorStaleAfter
 }
 
-// coordinatorExpired reports whether the coordinator of a job has not been known to be alive
+// isCoordinatorExpired reports whether the coordinator of a job has not been known to be alive
 // for so long that the job is abandoned.
-func (p *Pool) coordinatorExpired(j *job) bool {
+func (p *Pool) isCoordinatorExpired(j *job) bool {
 	return j.coordinatorLease != nil && p.now.Sub(lo.Latest(p.lastAlive(j), j.offeredAt)) > p.cfg.CoordinatorExpiresAfter
 }
 
@@ -97,7 +97,7 @@
 	case r.job == nil:
 		return p.now.Sub(r.unwantedSince) > p.cfg.CoordinatorStaleAfter
 	default:
-		return !p.mayStart(r.job)
+		return !p.isCoordinatorFresh(r.job)
 	}
 }
 
@@ -147,7 +147,7 @@
 	}
 	var expired []*job
 	for _, j := range p.jobs {
-		if p.coordinatorExpired(j) {
+		if p.isCoordinatorExpired(j) {
 			expired = append(expired, j)
 		}
 	}
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -174,7 +174,7 @@
 	var best *upstream
 	var fewestSuspects, fewestRuns int
 	for _, u := range p.sortedUpstreams {
-		if u.Service != j.Service || !p.usable(u, p.now) || !j.Demand.Within(u.Capacity.Minus(u.used)) || limitPerUpstream(j, u, 1) == 0 {
+		if u.Service != j.Service || !p.usable(u, p.now) || !j.Demand.Within(u.Capacity.Minus(u.used)) || remainingPerUpstream(j, u, 1) == 0 {
 			continue
 		}
 		suspects := p.countSuspects(u)
--- a/schedule/forecast.go
+++ b/schedule/forecast.go
@@ -60,13 +60,13 @@
 	if r.job == nil {
 		return now.Add(minResendInterval) // it is being stopped
 	}
-	expect := r.expectedTotal()
-	end := r.orderedAt.Add(expect)
+	expected := r.expectedTotal()
+	end := r.orderedAt.Add(expected)
 	if r.percent > 0 && r.percentAt.After(r.orderedAt) {
 		age := r.percentAt.Sub(r.orderedAt)
 		end = r.percentAt.Add(age * time.Duration(100-min(r.percent, 100)) / time.Duration(r.percent))
 	}
-	if overdueEnd := now.Add(time.Duration(overdueExtraShare * float64(expect))); r.orderedAt.Add(expect).Before(now) && end.Before(overdueEnd) {
+	if overdueEnd := now.Add(time.Duration(overdueExtraShare * float64(expected))); r.orderedAt.Add(expected).Before(now) && end.Before(overdueEnd) {
 		return overdueEnd
 	}
 	return end
@@ -78,7 +78,7 @@
 	if r.job == nil {
 		return 0
 	}
-	return r.fromLocal(r.job.expectedTaskDuration)
+	return r.remoteDuration(r.job.expectedTaskDuration)
 }
 
 // addFree adds slots that are free now, each for one task.
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -22,10 +22,10 @@
 // health holds the failures of an upstream, and whether it is ejected: no task starts on
 // it until ejectedUntil, and a trial task then shows whether it works again.
 type health struct {
-	failures     int // jobs that failed on it first, since its last success
-	ejected      bool
-	ejection     time.Duration // length of the last ejection
-	ejectedUntil time.Time
+	failures       int // jobs that failed on it first, since its last success
+	ejected        bool
+	ejectionLength time.Duration // length of the last ejection
+	ejectedUntil   time.Time
 }
 
 // eject stops giving work to an upstream for some time. It has no effect while an
@@ -35,10 +35,10 @@
 	if h.ejected && p.now.Before(h.ejectedUntil) {
 		return
 	}
-	h.ejection = min(max(2*h.ejection, minEjection), maxEjection)
+	h.ejectionLength = min(max(2*h.ejectionLength, minEjection), maxEjection)
 	h.ejected = true
-	h.ejectedUntil = p.now.Add(h.ejection)
-	p.addDecision(Decision{Kind: DecidedEject, Upstream: u.ID, Reason: reason, Task: h.failures, Age: h.ejection})
+	h.ejectedUntil = p.now.Add(h.ejectionLength)
+	p.addDecision(Decision{Kind: DecidedEject, Upstream: u.ID, Reason: reason, Task: h.failures, Age: h.ejectionLength})
 }
 
 // chargeFailure counts a failed run against its upstream and ejects the upstream at once,
@@ -140,17 +140,17 @@
 		return
 	}
 	t := j.tasks[r.id.Task.Index]
-	age, expect := r.percentAt.Sub(r.orderedAt), r.expectedTotal()
-	if t.moves >= maxMoves || r.percentAt == r.percentRoseAt && r.percent == 0 || age < paceCheckAge(expect) {
+	age, expected := r.percentAt.Sub(r.orderedAt), r.expectedTotal()
+	if t.moves >= maxMoves || r.percentAt == r.percentRoseAt && r.percent == 0 || age < paceCheckAge(expected) {
 		return
 	}
 	remaining := p.remainingTime(r, age)
 	p.learnSlowdownFromPace(r, age, remaining)
 	stalled := p.isStalled(r)
-	if !stalled && age+remaining < slowFactor*expect {
+	if !stalled && age+remaining < slowFactor*expected {
 		return
 	}
-	if remaining < expect*3/2+max(minMoveTime, answersPerMove*p.answerTimeout) {
+	if remaining < expected*3/2+max(minMoveTime, answersPerMove*p.answerTimeout) {
 		return
 	}
 	if !stalled && p.chooseExcept(j, r.upstream.ID) == nil {
@@ -174,8 +174,8 @@
 }
 
 // paceCheckAge returns the age from which on the pace of a run is checked.
-func paceCheckAge(expect time.Duration) time.Duration {
-	return max(time.Duration(paceCheckShare*float64(expect)), minPaceCheckAge)
+func paceCheckAge(expected time.Duration) time.Duration {
+	return max(time.Duration(paceCheckShare*float64(expected)), minPaceCheckAge)
 }
 
 // forever is the projected duration of a run without progress.
--- a/schedule/incarnations.go
+++ b/schedule/incarnations.go
@@ -15,14 +15,14 @@
 
 // currentUpstream returns the upstream whose incarnation answered a call, or nil if that
 // incarnation has ended. The incarnation is the one that was called, or a newer one whose
-// start time the answer reports, possibly before its entry is in the store. reported is 0
-// if the answer does not come from the process itself.
-func (p *Pool) currentUpstream(of fleet.UpstreamIncarnation, reported int64) *upstream {
-	u := p.upstreams[of.ID]
+// start time the answer reports, possibly before its entry is in the store. reportedStart is
+// 0 if the answer does not come from the process itself.
+func (p *Pool) currentUpstream(called fleet.UpstreamIncarnation, reportedStart int64) *upstream {
+	u := p.upstreams[called.ID]
 	if u == nil {
 		return nil
 	}
-	startedUnixMs := max(of.StartedUnixMs, reported)
+	startedUnixMs := max(called.StartedUnixMs, reportedStart)
 	switch {
 	case startedUnixMs < u.StartedUnixMs:
 		return nil
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -10,15 +10,15 @@
 
 // HandleStartResponse handles the answer to a start that was sent to an incarnation of an
 // upstream.
-func (p *Pool) HandleStartResponse(now time.Time, of fleet.UpstreamIncarnation, id fleet.Run, refusal fleet.Refusal, err error) Effects {
+func (p *Pool) HandleStartResponse(now time.Time, called fleet.UpstreamIncarnation, id fleet.Run, refusal fleet.Refusal, err error) Effects {
 	return p.handle(now, func() {
-		u := p.upstreams[of.ID]
+		u := p.upstreams[called.ID]
 		if u == nil || u.runs[id] == nil {
 			return // the run has ended meanwhile
 		}
 		r := u.runs[id]
 		switch {
-		case err != nil && of.StartedUnixMs < u.StartedUnixMs:
+		case err != nil && called.StartedUnixMs < u.StartedUnixMs:
 			// The error says nothing about this incarnation, in which the run is being
 			// stopped already.
 		case failure.Is(err, failure.Gone):
@@ -44,7 +44,7 @@
 	p.untrackRun(r)
 	if refusal == fleet.RefusedFence {
 		p.handleFenced(u)
-		p.endUntracked(r)
+		p.endAsUnknown(r)
 		return
 	}
 	if r.job != nil {
@@ -61,16 +61,16 @@
 	p.requeue(r, "refused: "+string(refusal))
 }
 
-// endUntracked ends the job of a run whose end this pool cannot learn of.
-func (p *Pool) endUntracked(r *run) {
+// endAsUnknown ends the job of a run whose end this pool cannot learn of.
+func (p *Pool) endAsUnknown(r *run) {
 	if r.job != nil && p.jobs[r.job.Key] == r.job {
 		p.endJob(r.job, Unknown)
 	}
 }
 
-// endBlocked ends the jobs with tasks that are blocked by a run whose end this pool cannot
+// endBlockedAsUnknown ends the jobs with tasks that are blocked by a run whose end this pool cannot
 // learn of.
-func (p *Pool) endBlocked(ref fleet.TaskRef) {
+func (p *Pool) endBlockedAsUnknown(ref fleet.TaskRef) {
 	for _, j := range slices.Clone(p.jobsByID[ref.Job]) {
 		if t := j.tasks[ref.Index]; t != nil && t.state == blocked {
 			p.endJob(j, Unknown)
@@ -80,9 +80,9 @@
 
 // HandleStopResponse handles the answer to a stop that was sent to an incarnation of an
 // upstream.
-func (p *Pool) HandleStopResponse(now time.Time, of fleet.UpstreamIncarnation, id fleet.Run, err error) Effects {
+func (p *Pool) HandleStopResponse(now time.Time, called fleet.UpstreamIncarnation, id fleet.Run, err error) Effects {
 	return p.handle(now, func() {
-		u := p.currentUpstream(of, 0)
+		u := p.currentUpstream(called, 0)
 		if u == nil || u.runs[id] == nil {
 			return
 		}
@@ -147,9 +147,9 @@
 
 // HandleHoldResponse handles the answer to an order of HoldOrder or PollOrder that was sent
 // to an incarnation of an upstream at the given time.
-func (p *Pool) HandleHoldResponse(now time.Time, to fleet.UpstreamIncarnation, sent time.Time, report fleet.Report, err error) Effects {
+func (p *Pool) HandleHoldResponse(now time.Time, called fleet.UpstreamIncarnation, sent time.Time, report fleet.Report, err error) Effects {
 	return p.handle(now, func() {
-		u := p.currentUpstream(to, report.StartedUnixMs)
+		u := p.currentUpstream(called, report.StartedUnixMs)
 		switch {
 		case u == nil:
 		case failure.Is(err, failure.Gone):
@@ -291,10 +291,10 @@
 	took := p.now.Sub(r.orderedAt)
 	p.learnSlowdown(r, p.now.Sub(r.startedAt()))
 	if p.cfg.Policy.LearnTimes {
-		p.durationsOf(j.Route).add(r.toLocal(took))
+		p.durationsOf(j.Route).add(r.localDuration(took))
 	}
 	if p.cfg.Policy.LearnJob {
-		j.learnDuration(r.toLocal(took))
+		j.learnDuration(r.localDuration(took))
 	}
 	p.resetHealth(r.upstream)
 	if j.unfinished == 0 {
@@ -341,9 +341,9 @@
 	p.fencedIDs[u.ID] = true
 	p.removeUpstream(u)
 	for _, r := range sortedRuns(u) {
-		p.endBlocked(r.id.Task)
+		p.endBlockedAsUnknown(r.id.Task)
 		p.untrackRun(r)
-		p.endUntracked(r)
+		p.endAsUnknown(r)
 	}
 }
 
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -29,7 +29,7 @@
 		if j.Demand.MilliCPU > freeMilliCPU {
 			continue
 		}
-		if !p.mayStart(j) || !p.canStartNow(j, &forecasts) {
+		if !p.isCoordinatorFresh(j) || !p.canStartNow(j, &forecasts) {
 			continue
 		}
 		if p.placeJob(j) {
@@ -93,14 +93,14 @@
 // ties: urgent jobs have the shortest objectives and go first because of those, and strict
 // priorities would starve the jobs with the most work.
 func (p *Pool) sortQueue() {
-	y := p.cfg.Policy
+	policy := p.cfg.Policy
 	slices.SortStableFunc(p.queue, func(a, b *job) int {
 		switch {
-		case y.BegunFirst && a.hasBegun() != b.hasBegun() && a.hasBegun():
+		case policy.BegunFirst && a.hasBegun() != b.hasBegun() && a.hasBegun():
 			return -1
-		case y.BegunFirst && a.hasBegun() != b.hasBegun():
+		case policy.BegunFirst && a.hasBegun() != b.hasBegun():
 			return 1
-		case !y.EarliestFirst:
+		case !policy.EarliestFirst:
 			return a.offeredAt.Compare(b.offeredAt)
 		default:
 			return cmp.Or(a.latestStart().Compare(b.latestStart()), cmp.Compare(a.Priority, b.Priority))
@@ -201,7 +201,7 @@
 	if u.health.ejected && p.cfg.Policy.SingleTrial {
 		n = min(n, 1)
 	}
-	return limitPerUpstream(j, u, n)
+	return remainingPerUpstream(j, u, n)
 }
 
 // hasAlternative reports whether any usable upstream except the given one is large enough for
@@ -237,7 +237,7 @@
 		factor := p.slowdownFactorFor(j, u)
 		fast = fast || factor == 1 && j.Demand.Within(u.Capacity)
 		left := u.Capacity.Minus(u.used)
-		if !j.Demand.Within(left) || limitPerUpstream(j, u, 1) == 0 {
+		if !j.Demand.Within(left) || remainingPerUpstream(j, u, 1) == 0 {
 			continue
 		}
 		leftAfter := left.MilliCPU - j.Demand.MilliCPU
@@ -286,7 +286,7 @@
 		id: fleet.Run{Task: p.taskRef(j, t), Number: t.lastRun}, job: j, upstream: u, demand: j.Demand,
 		state: starting, orderedAt: sentAt, percentRoseAt: sentAt, percentAt: sentAt, remoteFactor: p.remoteFactor(j, u),
 	}
-	r.expectedDuration = r.fromLocal(j.expectedTaskDuration)
+	r.expectedDuration = r.remoteDuration(j.expectedTaskDuration)
 	p.trackRun(r)
 	p.effects.Starts = append(p.effects.Starts, Start{
 		Upstream:  u.Upstream,
--- a/schedule/rack.go
+++ b/schedule/rack.go
@@ -20,20 +20,20 @@
 	return p.slowdownFactor(u) * p.remoteFactor(j, u)
 }
 
-// fromLocal converts a duration in the rack of the data to one on the upstream of the run.
-func (r *run) fromLocal(local time.Duration) time.Duration {
+// remoteDuration converts a duration in the rack of the data to one on the upstream of the run.
+func (r *run) remoteDuration(local time.Duration) time.Duration {
 	return time.Duration(max(r.remoteFactor, 1) * float64(local))
 }
 
-// toLocal converts a duration on the upstream of the run to one in the rack of the data.
-func (r *run) toLocal(took time.Duration) time.Duration {
+// localDuration converts a duration on the upstream of the run to one in the rack of the data.
+func (r *run) localDuration(took time.Duration) time.Duration {
 	return time.Duration(float64(took) / max(r.remoteFactor, 1))
 }
 
-// limitPerUpstream returns how many more tasks of a job may run on an upstream under the
+// remainingPerUpstream returns how many more tasks of a job may run on an upstream under the
 // job's MaxPerUpstream, limited to most. Runs that are being stopped count, and so do those
 // of other submissions of the job.
-func limitPerUpstream(j *job, u *upstream, most int) int {
+func remainingPerUpstream(j *job, u *upstream, most int) int {
 	if j.MaxPerUpstream == 0 {
 		return most
 	}
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -242,7 +242,7 @@
 	DecidedReadmit                        // an ejected upstream gets work again
 	DecidedSilent                         // an upstream does not answer
 	DecidedResponding                     // a silent upstream answers again
-	DecidedGone                           // an upstream has ended or restarted
+	DecidedGone                           // an upstream is removed: it has ended, restarted or lost its entry
 	DecidedFenced                         // an upstream has seen a higher fencing token
 	DecidedSuspect                        // a task is suspected of crashing upstreams
 )
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -83,7 +83,7 @@
 	if !p.cfg.Policy.GiveUp || p.jobs[j.Key] != j || p.now.Add(j.expectedTaskDuration/2).Before(j.expiry()) {
 		return
 	}
-	if j.hasBegun() && p.mayStillRun(j) {
+	if j.hasBegun() && p.hasRunnableUpstream(j) {
 		return
 	}
 	for _, t := range j.taskList {
@@ -94,8 +94,8 @@
 	}
 }
 
-// mayStillRun reports whether any upstream that answers could run a task of j, now or
+// hasRunnableUpstream reports whether any upstream that answers could run a task of j, now or
 // after its ejection.
-func (p *Pool) mayStillRun(j *job) bool {
+func (p *Pool) hasRunnableUpstream(j *job) bool {
 	return p.fitsAnyUpstream(j, func(u *upstream) bool { return u.accepted && !u.silent && p.acceptsStarts(u) })
 }
