--- a/schedule/coordinator.go
+++ b/schedule/coordinator.go
@@ -75,8 +75,8 @@
 	return j.coordinatorLease.aliveAt
 }
 
-// isCoordinatorFresh reports whether the coordinator of a job was alive recently enough for tasks of
-// the job to start.
+// isCoordinatorFresh reports whether the coordinator of a job was alive recently enough for
+// tasks of the job to start.
 func (p *Pool) isCoordinatorFresh(j *job) bool {
 	return j.coordinatorLease == nil || p.now.Sub(p.lastAlive(j)) <= p.cfg.CoordinatorStaleAfter
 }
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -61,15 +61,16 @@
 	p.requeue(r, "refused: "+string(refusal))
 }
 
-// endAsUnknown ends the job of a run whose end this pool cannot learn of.
+// endAsUnknown ends the job of a run whose end this pool cannot learn of, with the outcome
+// Unknown.
 func (p *Pool) endAsUnknown(r *run) {
 	if r.job != nil && p.jobs[r.job.Key] == r.job {
 		p.endJob(r.job, Unknown)
 	}
 }
 
-// endBlockedAsUnknown ends the jobs with tasks that are blocked by a run whose end this pool cannot
-// learn of.
+// endBlockedAsUnknown ends the jobs with tasks that are blocked by a run whose end this pool
+// cannot learn of, with the outcome Unknown.
 func (p *Pool) endBlockedAsUnknown(ref fleet.TaskRef) {
 	for _, j := range slices.Clone(p.jobsByID[ref.Job]) {
 		if t := j.tasks[ref.Index]; t != nil && t.state == blocked {
@@ -124,9 +125,9 @@
 
 // ackedSequence returns the sequence number up to which an upstream may forget the ends of
 // its runs. It returns 0 while a new incarnation may answer instead: that one numbers its
-// ends from 1 again, and would forget ends that it has not reported yet. A restart can be
-// recognized by a call without an answer, or could have gone unnoticed because this process
-// was paused.
+// ends from 1 again, and would forget ends that it has not reported yet. An upstream that
+// restarts leaves a call unanswered. Only while this process is paused can that go unnoticed,
+// and then the last report is not recent.
 func (p *Pool) ackedSequence(u *upstream) uint64 {
 	if u.missedReports > 0 || !p.hasRecentReport(u) {
 		return 0
