--- a/schedule/model_test.go
+++ b/schedule/model_test.go
@@ -283,10 +283,10 @@
 	})
 }
 
-// TestModelSeeds replays cases of TestModel in which jobs were resubmitted while runs of their
-// first submission were being stopped. They once made the pool violate an invariant.
+// TestModelSeeds replays cases of TestModel that are known to reveal faults.
 func TestModelSeeds(t *testing.T) {
 	for _, c := range []modelCase{
+		// Jobs are resubmitted while runs of their first submission are being stopped.
 		{seed: 0x196, lossShare: 0.3, lateShare: 0, steps: 20},
 		{seed: 0x935b, lossShare: 0.1, lateShare: 0.05, steps: 47},
 	} {
