--- a/schedule/input.go
+++ b/schedule/input.go
@@ -8,226 +8,237 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// HandleStartResponse takes the answer to a start that was ordered of a life.
-func (p *Pool) HandleStartResponse(now time.Time, of fleet.UpstreamIncarnation, id fleet.Run, refusal fleet.Refusal, err error) Effects {
-	return p.do(now, func() {
-		u := p.upstreams[of.ID]
+// HandleStartResponse handles the answer to a start that was sent to an incarnation of an
+// upstream.
+func (p *Pool) HandleStartResponse(now time.Time, called fleet.UpstreamIncarnation, id fleet.Run, refusal fleet.Refusal, err error) Effects {
+	return p.handle(now, func() {
+		u := p.upstreams[called.ID]
 		if u == nil || u.runs[id] == nil {
-			return // it has ended by now
+			return // the run has ended meanwhile
 		}
 		r := u.runs[id]
 		switch {
-		case err != nil && of.StartedUnixMs < u.StartedUnixMs:
-			// It says nothing of this life, in which the run is being stopped.
+		case err != nil && called.StartedUnixMs < u.StartedUnixMs:
+			// The error says nothing about this incarnation, in which the run is being
+			// stopped already.
 		case failure.Is(err, failure.Gone):
-			p.gone(u, "another life answers")
+			p.handleGone(u, "another life answers")
 		case err != nil:
-			p.stop(r, "start without answer")
+			p.stopRun(r, "start without answer")
 		case refusal == fleet.NotRefused:
-			u.misses = 0
-			r.acked = now
+			u.missedReports = 0
+			r.startAckedAt = now
 			if r.state == starting {
 				r.state = running
-				r.moved, r.seen = now, now
+				r.percentRoseAt, r.percentAt = now, now
 			}
 		default:
-			p.refused(r, refusal)
+			p.handleRefusal(r, refusal)
 		}
 	})
 }
 
-// refused takes a start that certainly did not happen.
-func (p *Pool) refused(r *run, refusal fleet.Refusal) {
-	u := r.up
-	p.remove(r)
+// handleRefusal handles the refusal of a start: the run has certainly not started.
+func (p *Pool) handleRefusal(r *run, refusal fleet.Refusal) {
+	u := r.upstream
+	p.untrackRun(r)
 	if refusal == fleet.RefusedFence {
-		p.fenced(u)
-		p.lose(r)
+		p.handleFenced(u)
+		p.endAsUnknown(r)
 		return
 	}
 	if r.job != nil {
 		t := r.job.tasks[r.id.Task.Index]
 		switch refusal {
 		case fleet.RefusedOldRun:
-			t.number += oldRunStep
+			t.lastRun += runNumberStep
 		case fleet.RefusedUnhealthy, fleet.RefusedNoRoom, fleet.RefusedInvalid:
 			if p.cfg.Policy.DoubtRefusing {
-				p.doubt(u, string(refusal))
+				p.eject(u, string(refusal))
 			}
 		}
 	}
-	p.again(r, "refused: "+string(refusal))
+	p.requeue(r, "refused: "+string(refusal))
 }
 
-// lose ends the job of a run whose fate this pool cannot learn.
-func (p *Pool) lose(r *run) {
+// endAsUnknown ends the job of a run whose end this pool cannot learn of, with the outcome
+// Unknown.
+func (p *Pool) endAsUnknown(r *run) {
 	if r.job != nil && p.jobs[r.job.Key] == r.job {
-		p.end(r.job, Unknown)
+		p.endJob(r.job, Unknown)
 	}
 }
 
-// loseBlocked ends the jobs that a run keeps back of which nothing more will be known.
-func (p *Pool) loseBlocked(ref fleet.TaskRef) {
-	for _, j := range slices.Clone(p.byID[ref.Job]) {
+// endBlockedAsUnknown ends the jobs with tasks that are blocked by a run whose end this pool
+// cannot learn of, with the outcome Unknown.
+func (p *Pool) endBlockedAsUnknown(ref fleet.TaskRef) {
+	for _, j := range slices.Clone(p.jobsByID[ref.Job]) {
 		if t := j.tasks[ref.Index]; t != nil && t.state == blocked {
-			p.end(j, Unknown)
+			p.endJob(j, Unknown)
 		}
 	}
 }
 
-// HandleStopResponse takes the answer to a stop that was ordered of a life.
-func (p *Pool) HandleStopResponse(now time.Time, of fleet.UpstreamIncarnation, id fleet.Run, err error) Effects {
-	return p.do(now, func() {
-		u := p.current(of, 0)
+// HandleStopResponse handles the answer to a stop that was sent to an incarnation of an
+// upstream.
+func (p *Pool) HandleStopResponse(now time.Time, called fleet.UpstreamIncarnation, id fleet.Run, err error) Effects {
+	return p.handle(now, func() {
+		u := p.currentUpstream(called, 0)
 		if u == nil || u.runs[id] == nil {
 			return
 		}
 		r := u.runs[id]
 		switch {
 		case err == nil:
-			u.misses = 0
+			u.missedReports = 0
 			r.state = stopped
-			r.stopAcked, r.looked = now, now
-			p.out.Polls = append(p.out.Polls, u.ID)
+			r.stopAckedAt, r.polledAt = now, now
+			p.effects.Polls = append(p.effects.Polls, u.ID)
 		case failure.Is(err, failure.Gone):
-			p.gone(u, "another life answers")
+			p.handleGone(u, "another life answers")
 		case failure.Is(err, failure.Conflict):
-			p.fenced(u)
+			p.handleFenced(u)
 		}
 	})
 }
 
-// HoldOrder returns the next order that renews an upstream's lease and asks for
-// its report, and whether the upstream still belongs to the pool. A silent
-// upstream is only asked: its leases must run out.
+// HoldOrder returns the next order that renews the leases of an upstream and requests a
+// report, and whether the upstream still belongs to the pool. The order for a silent
+// upstream only requests a report, because its leases must lapse.
 func (p *Pool) HoldOrder(now time.Time, upstreamID string) (fleet.Upstream, fleet.HoldOrder, bool) {
 	u := p.upstreams[upstreamID]
 	if u == nil {
 		return fleet.Upstream{}, fleet.HoldOrder{}, false
 	}
 	p.now = now
-	o := fleet.HoldOrder{Token: p.token, AckedSequence: p.seenEnds(u)}
-	// Runs of a former owner are over at the latest with the leases that it granted.
-	if u.joined && !u.silent && u.unknown == 0 && p.mayRenew(u) {
-		o.LeaseUntilMs = p.grant(u)
+	o := fleet.HoldOrder{Token: p.token, AckedSequence: p.ackedSequence(u)}
+	// Without renewal, runs of a former owner end at the latest when the leases that it
+	// granted lapse.
+	if u.accepted && !u.silent && u.foreignRuns == 0 && p.mayRenewLeases(u) {
+		o.LeaseUntilMs = p.grantLease(u)
 	}
-	if u.joined && u.misses == 0 {
+	if u.accepted && u.missedReports == 0 {
 		o.WaitMs = p.reportWait(u).Milliseconds()
 	}
 	return u.Upstream, o, true
 }
 
-// seenEnds returns up to which end an upstream may forget its ends: none while another
-// life may answer, which counts its own anew and would forget ends that nobody has seen.
-// A process that goes down leaves a call without an answer, unless this one stood still
-// meanwhile.
-func (p *Pool) seenEnds(u *upstream) uint64 {
-	if u.misses > 0 || !p.heardLately(u) {
+// ackedSequence returns the sequence number up to which an upstream may forget the ends of
+// its runs. It returns 0 while a new incarnation may answer instead: that one numbers its
+// ends from 1 again, and would forget ends that it has not reported yet. An upstream that
+// restarts leaves a call unanswered. Only while this process is paused can that go unnoticed,
+// and then the last report is not recent.
+func (p *Pool) ackedSequence(u *upstream) uint64 {
+	if u.missedReports > 0 || !p.hasRecentReport(u) {
 		return 0
 	}
-	return u.seenEnds
+	return u.lastEndSequence
 }
 
-// PollOrder returns an order that asks for a report at once.
+// PollOrder returns an order that requests a report at once and renews no lease, and whether
+// the upstream still belongs to the pool.
 func (p *Pool) PollOrder(now time.Time, upstreamID string) (fleet.Upstream, fleet.HoldOrder, bool) {
 	u := p.upstreams[upstreamID]
 	if u == nil {
 		return fleet.Upstream{}, fleet.HoldOrder{}, false
 	}
 	p.now = now
-	return u.Upstream, fleet.HoldOrder{Token: p.token, AckedSequence: p.seenEnds(u)}, true
+	return u.Upstream, fleet.HoldOrder{Token: p.token, AckedSequence: p.ackedSequence(u)}, true
 }
 
-// HandleHoldResponse takes the answer to a hold or a look that was sent to a life at a time.
-func (p *Pool) HandleHoldResponse(now time.Time, to fleet.UpstreamIncarnation, sent time.Time, report fleet.Report, err error) Effects {
-	return p.do(now, func() {
-		u := p.current(to, report.StartedUnixMs)
+// HandleHoldResponse handles the answer to an order of HoldOrder or PollOrder that was sent
+// to an incarnation of an upstream at the given time.
+func (p *Pool) HandleHoldResponse(now time.Time, called fleet.UpstreamIncarnation, sent time.Time, report fleet.Report, err error) Effects {
+	return p.handle(now, func() {
+		u := p.currentUpstream(called, report.StartedUnixMs)
 		switch {
 		case u == nil:
 		case failure.Is(err, failure.Gone):
-			p.gone(u, "another life answers")
+			p.handleGone(u, "another life answers")
 		case failure.Is(err, failure.Conflict):
-			p.fenced(u)
+			p.handleFenced(u)
 		case err != nil:
-			p.missed(u)
+			p.recordMiss(u)
 		default:
-			p.reported(u, sent, report)
+			p.handleReport(u, sent, report)
 		}
 	})
 }
 
-func (p *Pool) missed(u *upstream) {
-	u.misses++
-	p.reports.count(true)
-	if u.silent || u.misses < p.missesToSilent() {
+// recordMiss counts a report that did not come; the upstream may become silent.
+func (p *Pool) recordMiss(u *upstream) {
+	u.missedReports++
+	p.missRate.record(true)
+	if u.silent || u.missedReports < p.maxMissedReports() {
 		return
 	}
 	u.silent = true
-	p.decide(Decision{Kind: DecidedSilent, Upstream: u.ID, Task: len(u.runs), Age: p.now.Sub(u.clockAt)})
+	p.addDecision(Decision{Kind: DecidedSilent, Upstream: u.ID, Task: len(u.runs), Age: p.now.Sub(u.clockReadAt)})
 }
 
-// missesToSilent is how many reports in a row must not come before an upstream
+// maxMissedReports returns the number of consecutive missing reports after which an upstream
 // counts as silent.
-func (p *Pool) missesToSilent() int {
+func (p *Pool) maxMissedReports() int {
 	if !p.cfg.Policy.ComparePeers {
-		return fewestMisses
+		return minMisses
 	}
-	return p.reports.enough()
+	return p.missRate.missesToSilent()
 }
 
-func (p *Pool) reported(u *upstream, sent time.Time, report fleet.Report) {
+func (p *Pool) handleReport(u *upstream, sent time.Time, report fleet.Report) {
 	if u.silent {
-		p.decide(Decision{Kind: DecidedResponding, Upstream: u.ID, Age: p.now.Sub(u.clockAt)})
-		p.crashes.takeBack(u.suspects)
-		u.suspects = nil
+		p.addDecision(Decision{Kind: DecidedResponding, Upstream: u.ID, Age: p.now.Sub(u.clockReadAt)})
+		p.crashHistory.retract(u.suspectedTasks)
+		u.suspectedTasks = nil
 	}
-	u.misses, u.silent = 0, false
-	p.reports.count(false)
-	u.clockMs, u.clockAt = report.ClockMs, p.now
+	u.missedReports, u.silent = 0, false
+	p.missRate.record(false)
+	u.clockMs, u.clockReadAt = report.ClockMs, p.now
 	for _, e := range report.Ended {
-		if e.Sequence > u.seenEnds {
-			u.seenEnds = e.Sequence
-			p.ended(u, e)
+		if e.Sequence > u.lastEndSequence {
+			u.lastEndSequence = e.Sequence
+			p.handleEnd(u, e)
 		}
 	}
-	if sent.Before(u.reported) {
-		return // a newer report has been read
+	if sent.Before(u.reportRequestedAt) {
+		return // the reports came out of order, and a newer one has been processed
 	}
-	u.reported = sent
-	p.readRunning(u, sent, report.Running)
-	u.joined = true
-	p.everJoined = true
+	u.reportRequestedAt = sent
+	p.reconcileRuns(u, sent, report.Running)
+	u.accepted = true
+	p.everAccepted = true
 }
 
-// readRunning compares what an upstream runs with the books.
-func (p *Pool) readRunning(u *upstream, sent time.Time, list []fleet.RunningTask) {
-	listed := make(map[fleet.Run]bool, len(list))
+// reconcileRuns compares the runs that an upstream reports with those that are tracked. It
+// stops unknown ones and requeues the tasks of those that are gone.
+func (p *Pool) reconcileRuns(u *upstream, sent time.Time, list []fleet.RunningTask) {
+	isListed := make(map[fleet.Run]bool, len(list))
 	for _, t := range list {
-		listed[t.Run] = true
+		isListed[t.Run] = true
 		r := u.runs[t.Run]
 		if r == nil {
-			p.found(u, t.Run)
+			p.stopForeign(u, t.Run)
 			continue
 		}
-		p.progressed(r, t.Percent)
+		p.recordProgress(r, t.Percent)
 	}
 	for _, r := range sortedRuns(u) {
-		if listed[r.id] {
+		if isListed[r.id] {
 			continue
 		}
 		switch {
-		case r.state == stopped && sent.After(r.stopAcked):
-			u.leaveUnresolved(r)
-			p.remove(r)
-			p.again(r, "stopped")
-		case r.state == running && sent.After(r.acked):
-			p.remove(r)
-			p.again(r, "vanished")
+		case r.state == stopped && sent.After(r.stopAckedAt):
+			u.addUnresolvedStart(r)
+			p.untrackRun(r)
+			p.requeue(r, "stopped")
+		case r.state == running && sent.After(r.startAckedAt):
+			p.untrackRun(r)
+			p.requeue(r, "vanished")
 		}
 	}
 }
 
-// sortedRuns returns the runs of an upstream in a fixed order.
+// sortedRuns returns the tracked runs of an upstream in a fixed order.
 func sortedRuns(u *upstream) []*run {
 	list := make([]*run, 0, len(u.runs))
 	for _, r := range u.runs {
@@ -237,107 +248,107 @@
 	return list
 }
 
-// found takes a run that nobody here ordered: one of an owner before. It is
-// stopped, and nothing starts on the upstream until it is gone.
-func (p *Pool) found(u *upstream, id fleet.Run) {
-	if slices.Contains(u.over, id) {
+// stopForeign tracks and stops a run that this pool has not ordered: a former owner has.
+// Nothing starts on the upstream until the run is gone.
+func (p *Pool) stopForeign(u *upstream, id fleet.Run) {
+	if slices.Contains(u.recentEnds, id) {
 		return
 	}
-	r := &run{id: id, up: u, unknown: true, state: running, ordered: p.now, acked: p.now, moved: p.now, seen: p.now}
-	p.add(r)
-	p.stop(r, "started by a former owner")
+	r := &run{id: id, upstream: u, foreign: true, state: running, orderedAt: p.now, startAckedAt: p.now, percentRoseAt: p.now, percentAt: p.now}
+	p.trackRun(r)
+	p.stopRun(r, "started by a former owner")
 }
 
-// ended takes one end of a run.
-func (p *Pool) ended(u *upstream, e fleet.EndedRun) {
-	u.over = append(u.over, e.Run)
-	if len(u.over) > rememberedEnds {
-		u.over = u.over[1:]
+// handleEnd handles the reported end of a run.
+func (p *Pool) handleEnd(u *upstream, e fleet.EndedRun) {
+	u.recentEnds = append(u.recentEnds, e.Run)
+	if len(u.recentEnds) > maxRecentEnds {
+		u.recentEnds = u.recentEnds[1:]
 	}
 	r := u.runs[e.Run]
 	if r == nil {
 		return
 	}
-	p.remove(r)
+	p.untrackRun(r)
 	if r.job == nil {
 		return
 	}
 	switch e.End {
 	case fleet.EndDone:
-		p.done(r)
+		p.handleDone(r)
 	case fleet.EndFailed:
-		p.failed(r)
+		p.handleFailure(r)
 	default:
-		p.again(r, string(e.End))
+		p.requeue(r, string(e.End))
 	}
 }
 
-func (p *Pool) done(r *run) {
+func (p *Pool) handleDone(r *run) {
 	j := r.job
 	t := j.tasks[r.id.Task.Index]
-	p.setState(j, t, ended)
-	j.left--
+	p.setTaskState(j, t, ended)
+	j.unfinished--
 	j.done = append(j.done, t.index)
-	took := p.now.Sub(r.ordered)
-	p.learnSpeed(r, p.now.Sub(r.began()))
+	took := p.now.Sub(r.orderedAt)
+	p.learnSlowdown(r, p.now.Sub(r.startedAt()))
 	if p.cfg.Policy.LearnTimes {
-		p.timesOf(j.Route).learn(r.near(took))
+		p.durationsOf(j.Route).add(r.localDuration(took))
 	}
 	if p.cfg.Policy.LearnJob {
-		j.learn(r.near(took))
+		j.learnDuration(r.localDuration(took))
 	}
-	p.trust(r.up)
-	if j.left == 0 {
-		p.forget(j)
-		p.result(j, Completed, nil)
+	p.resetHealth(r.upstream)
+	if j.unfinished == 0 {
+		p.removeJob(j)
+		p.addResult(j, Completed, nil)
 	}
 }
 
-func (p *Pool) failed(r *run) {
+func (p *Pool) handleFailure(r *run) {
 	j := r.job
 	t := j.tasks[r.id.Task.Index]
-	t.attempts++
-	p.blame(r)
-	if t.attempts >= j.MaxAttempts {
-		p.end(j, Failed)
+	t.failedRuns++
+	p.chargeFailure(r)
+	if t.failedRuns >= j.MaxAttempts {
+		p.endJob(j, Failed)
 		return
 	}
-	p.again(r, "failed")
+	p.requeue(r, "failed")
 }
 
-// gone takes the end of an upstream's life: nothing of it runs.
-func (p *Pool) gone(u *upstream, reason string) {
-	p.decide(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: reason})
+// handleGone removes an upstream whose incarnation has ended: its runs are over.
+func (p *Pool) handleGone(u *upstream, reason string) {
+	p.addDecision(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: reason})
 	runs := sortedRuns(u)
-	suspects := p.crashed(u, runs)
-	p.drop(u)
+	suspects := p.recordCrash(u, runs)
+	p.removeUpstream(u)
 	for _, r := range runs {
-		p.remove(r)
-		p.again(r, "upstream gone")
+		p.untrackRun(r)
+		p.requeue(r, "upstream gone")
 	}
-	p.giveUpConvicted(suspects)
+	p.endCrashingJobs(suspects)
 }
 
-// fenced takes the news that another owner has an upstream. What becomes of
-// the runs there is not known here.
-func (p *Pool) fenced(u *upstream) {
+// handleFenced removes an upstream that has seen the fencing token of another owner. This
+// pool does not learn the ends of the runs there, so their jobs end with Unknown.
+func (p *Pool) handleFenced(u *upstream) {
 	if p.upstreams[u.ID] != u {
 		return
 	}
-	p.decide(Decision{Kind: DecidedFenced, Upstream: u.ID, Task: len(u.runs)})
+	p.addDecision(Decision{Kind: DecidedFenced, Upstream: u.ID, Task: len(u.runs)})
 	if len(p.fencedIDs) == 0 {
 		p.fencedAt = p.now
 	}
 	p.fencedIDs[u.ID] = true
-	p.drop(u)
+	p.removeUpstream(u)
 	for _, r := range sortedRuns(u) {
-		p.loseBlocked(r.id.Task)
-		p.remove(r)
-		p.lose(r)
+		p.endBlockedAsUnknown(r.id.Task)
+		p.untrackRun(r)
+		p.endAsUnknown(r)
 	}
 }
 
-func (p *Pool) drop(u *upstream) {
+func (p *Pool) removeUpstream(u *upstream) {
 	delete(p.upstreams, u.ID)
-	p.sorted = slices.DeleteFunc(p.sorted, func(o *upstream) bool { return o == u })
+	p.sortedUpstreams = slices.DeleteFunc(p.sortedUpstreams, func(o *upstream) bool { return o == u })
 }
