--- a/cli/pages_test.go
+++ b/cli/pages_test.go
@@ -99,9 +99,9 @@
 		t.Fatal(err)
 	}
 	upstream, err := standin.NewUpstream(standin.UpstreamConfig{
-		ID: "u", Service: "desk", Zone: "a", Address: "127.0.0.1:0", Capacity: fleet.Demand{MilliCPU: 16000, MemoryMB: 1000},
-		Takes: standin.TakesOf, Demand: func(string) fleet.Demand { return fleet.Demand{MilliCPU: 1000} },
-	}, store, standin.NewLedger())
+		ID: "u", Service: "desk", Zone: "a", Address: "127.0.0.1:0", Capacity: fleet.Resources{MilliCPU: 16000, MemoryMB: 1000},
+		TaskDuration: standin.SpecDuration, Demand: func(string) fleet.Resources { return fleet.Resources{MilliCPU: 1000} },
+	}, store, standin.NewRunTracker())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -183,14 +183,14 @@
 			continue
 		}
 		if p.broker != s.d.cfg.Self {
-			s.d.cfg.Metrics.Waste("slot_withdraw")
+			s.d.cfg.Metrics.CountWasted("slot_withdraw")
 		}
 		s.post(p, &inner.Frame{Body: &inner.Frame_SlotWithdraw{SlotWithdraw: &inner.SlotWithdraw{Pool: pool, Tickets: tickets}}})
 	}
 }
 
-// Held returns how many places are in use by this instance's jobs.
-func (d *Dispatcher) Held() int {
+// HeldSlots returns how many places are in use by this instance's jobs.
+func (d *Dispatcher) HeldSlots() int {
 	d.slots.mu.Lock()
 	defer d.slots.mu.Unlock()
 	held := 0
--- a/entry/http.go
+++ b/entry/http.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	n.metrics.Sent("session")
+	n.metrics.CountSent("session")
 	return c.JSON(api.SessionOpened{Session: session, ExpiresInMs: life.Milliseconds(), Entry: n.cfg.Instance})
 }
 
@@ -115,7 +115,7 @@
 	if err := s.Check(); err != nil {
 		return err
 	}
-	n.metrics.Sent("submit")
+	n.metrics.CountSent("submit")
 	if err := n.needSettings(); err != nil {
 		return err
 	}
@@ -135,18 +135,18 @@
 	job := s.Job(now.UnixMilli(), defaultDeadlineMs)
 	span := n.tracer.Start(traceOf(c, traceRatio), "entry")
 	defer span.End()
-	job.Trace = span.Parent()
+	job.Trace = span.Traceparent()
 	wait := time.UnixMilli(job.DeadlineMs).Sub(now) + answerGrace
 	if s.WaitMs != nil {
 		wait = min(wait, time.Duration(*s.WaitMs)*time.Millisecond)
 	}
-	r, err := n.dispatch.Submit(n.stop, dispatch.Call{
-		Key: s.Key(), Job: job, Attempt: s.Attempt, Wait: wait, Trace: span.Parent(),
+	r, err := n.dispatch.Submit(n.stop, dispatch.Request{
+		Key: s.Key(), Job: job, Attempt: s.Attempt, Wait: wait, Trace: span.Traceparent(),
 	})
 	if err != nil {
 		return err
 	}
-	n.metrics.Sent("answer")
+	n.metrics.CountSent("answer")
 	return sendAnswer(c, &r)
 }
 
@@ -205,8 +205,8 @@
 	if err != nil || wait > api.MaxDeadlineMs {
 		return failure.Field(failure.InvalidInput, "wait_ms", "is a number from 0 to %d", api.MaxDeadlineMs)
 	}
-	n.metrics.Sent("poll")
-	r, err := n.dispatch.Submit(n.stop, dispatch.Call{Key: key, Wait: time.Duration(wait) * time.Millisecond})
+	n.metrics.CountSent("poll")
+	r, err := n.dispatch.Submit(n.stop, dispatch.Request{Key: key, Wait: time.Duration(wait) * time.Millisecond})
 	if err != nil {
 		return err
 	}
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	n.metrics.Sent("cancel")
+	n.metrics.CountSent("cancel")
 	r, err := n.dispatch.Cancel(n.stop, key)
 	if err != nil {
 		return err
@@ -232,14 +232,14 @@
 	free, queued := n.dispatch.Load()
 	list := []api.InstanceStatus{{
 		Instance: n.cfg.Instance, Incarnation: string(n.self), Zone: n.cfg.Zone, Role: api.RoleEntry,
-		State: n.state(), ActiveJobs: uint64(n.dispatch.Active()), Revision: n.Revision(),
+		State: n.state(), ActiveJobs: uint64(n.dispatch.ActiveJobs()), Revision: n.Revision(),
 		FreeSlots: uint64(free), QueuedTasks: uint64(queued),
 	}}
 	for _, p := range n.Peers() {
 		list = append(list, api.InstanceStatus{
 			Instance: p.Instance, Incarnation: string(p.Incarnation), Zone: p.Zone, Role: api.RoleEntry,
-			State: string(p.State), ActiveJobs: p.Load.ActiveJobs, Revision: p.Load.Revision,
-			FreeSlots: p.Load.Free, QueuedTasks: p.Load.Queued,
+			State: string(p.State), ActiveJobs: p.Heartbeat.ActiveJobs, Revision: p.Heartbeat.Revision,
+			FreeSlots: p.Heartbeat.FreeSlots, QueuedTasks: p.Heartbeat.QueuedTasks,
 		})
 	}
 	return c.JSON(list)
@@ -255,7 +255,7 @@
 func (n *Node) getStatus(c *fiber.Ctx) error {
 	return c.JSON(api.Status{
 		Instance: n.cfg.Instance, Incarnation: string(n.self), Fleet: n.cfg.Fleet, Zone: n.cfg.Zone,
-		Leaving: n.leaving.Load(), ActiveJobs: n.dispatch.Active(), Messages: metrics.Values(n.metrics.Messages),
+		Leaving: n.leaving.Load(), ActiveJobs: n.dispatch.ActiveJobs(), Messages: metrics.Values(n.metrics.Messages),
 	})
 }
 
--- a/entry/node.go
+++ b/entry/node.go
@@ -105,7 +105,7 @@
 
 func newPlatform(i do.Injector) (*kv.Client, error) {
 	counters := do.MustInvoke[*metrics.Set](i)
-	return kv.NewClient(do.MustInvoke[Config](i).Platform, do.MustInvoke[Hooks](i).DialPlatform, counters.Sent), nil
+	return kv.NewClient(do.MustInvoke[Config](i).Platform, do.MustInvoke[Hooks](i).DialPlatform, counters.CountSent), nil
 }
 
 func newNode(i do.Injector) (*Node, error) {
@@ -130,7 +130,7 @@
 	n.mesh = inner.NewMesh(inner.Config{
 		Fleet: cfg.Fleet, Self: n.self, Region: cfg.Region, Zone: cfg.Zone, Rack: cfg.Rack,
 		Address: n.inner.Addr().String(), Directory: n, Handler: n, Met: n.met,
-		Dial: hooks.DialInner, Count: n.metrics.Sent,
+		Dial: hooks.DialInner, Count: n.metrics.CountSent,
 	})
 	n.dispatch = dispatch.New(n.dispatchConfig(hooks), n.mesh)
 	n.app = n.newApp()
@@ -198,7 +198,7 @@
 // flight ends, then the instance does. It reports false when its grace, or
 // ctx, ended first.
 func (n *Node) Stop(ctx context.Context) bool {
-	event.Draining.Log(n.log, slog.Int("jobs", n.dispatch.Active()))
+	event.Draining.Log(n.log, slog.Int("jobs", n.dispatch.ActiveJobs()))
 	n.leaving.Store(true)
 	n.dispatch.Drain()
 	n.updateView()
@@ -219,7 +219,7 @@
 	if drained {
 		event.Drained.Log(n.log)
 	} else {
-		event.DrainTimeout.Log(n.log, slog.Int("jobs", n.dispatch.Active()))
+		event.DrainTimeout.Log(n.log, slog.Int("jobs", n.dispatch.ActiveJobs()))
 	}
 	n.Kill()
 	return drained
@@ -237,7 +237,7 @@
 // idle reports whether nobody needs this instance any more: no caller, no job,
 // and no home that has it as witness.
 func (n *Node) idle() bool {
-	return n.inFlight.Load() == 0 && n.dispatch.Active() == 0 && n.dispatch.Witnessed() == 0
+	return n.inFlight.Load() == 0 && n.dispatch.ActiveJobs() == 0 && n.dispatch.WitnessedJobs() == 0
 }
 
 // Kill ends the instance at once, as its death would.
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -28,7 +28,7 @@
 	who := fate.Incarnation(h.GetIncarnation())
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.table.Met(membership.Listing{
+	n.table.ApplyHello(membership.Listing{
 		Instance: who.Instance(), Address: h.GetAddress(), Region: h.GetRegion(), Zone: h.GetZone(), Rack: h.GetRack(),
 	})
 }
@@ -43,24 +43,24 @@
 		reply(n.known())
 		return
 	}
-	n.dispatch.Frame(from, f, reply)
+	n.dispatch.HandleFrame(from, f, reply)
 }
 
 func (n *Node) heard(from fate.Incarnation, hb *inner.Heartbeat) {
-	load := membership.Load{
+	load := membership.Heartbeat{
 		Leaving: hb.GetLeaving(), ActiveJobs: hb.GetActiveJobs(), Revision: hb.GetSettingsRevision(),
-		Free: hb.GetFreeSlots(), Queued: hb.GetQueuedTasks(),
+		FreeSlots: hb.GetFreeSlots(), QueuedTasks: hb.GetQueuedTasks(),
 	}
 	n.mu.Lock()
-	changes := n.table.Heard(from, load, time.Now().UnixMilli())
+	changes := n.table.RecordHeartbeat(from, load, time.Now().UnixMilli())
 	n.mu.Unlock()
 	n.changed(changes)
 	if load.Revision > n.Revision() || !n.settings.Load().known {
 		go n.learnSettings(from)
 	}
-	n.dispatch.SetLoad(from, int(load.Free), int(load.Queued))
+	n.dispatch.SetBrokerLoad(from, int(load.FreeSlots), int(load.QueuedTasks))
 	for _, id := range hb.GetLeavingUpstreams() {
-		n.dispatch.UpstreamLeaving(id)
+		n.dispatch.MarkUpstreamLeaving(id)
 	}
 }
 
@@ -76,13 +76,13 @@
 	for _, c := range changes {
 		if c.Peer.State == membership.Dead {
 			n.mesh.Drop(c.Peer.Instance)
-			go n.dispatch.PeerLost(c.Peer.Incarnation)
+			go n.dispatch.HandlePeerLost(c.Peer.Incarnation)
 		}
 	}
 }
 
 func (n *Node) logChange(c membership.Change) {
-	attrs := []slog.Attr{slog.String("peer", string(c.Peer.Incarnation)), slog.String("before", string(c.Before))}
+	attrs := []slog.Attr{slog.String("peer", string(c.Peer.Incarnation)), slog.String("before", string(c.Previous))}
 	switch c.Peer.State {
 	case membership.Alive:
 		event.PeerAlive.Log(n.log, attrs...)
@@ -117,9 +117,9 @@
 func (n *Node) view() dispatch.View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	v := dispatch.View{Staffed: map[string]bool{n.cfg.Zone: true}, Others: n.listedOthers()}
+	v := dispatch.View{ZonesWithInstances: map[string]bool{n.cfg.Zone: true}, OtherInstances: n.listedOthers()}
 	for _, p := range n.table.Peers() {
-		v.Staffed[p.Zone] = true
+		v.ZonesWithInstances[p.Zone] = true
 		if p.State == membership.Alive {
 			v.Members = append(v.Members, dispatch.Member{
 				Entry:       placement.Entry{Instance: p.Instance, Region: p.Region, Zone: p.Zone, Rack: p.Rack},
@@ -192,7 +192,7 @@
 			continue
 		}
 		f := &inner.Frame{Body: &inner.Frame_Heartbeat{Heartbeat: &inner.Heartbeat{
-			Leaving: n.leaving.Load(), ActiveJobs: uint64(n.dispatch.Active()), SettingsRevision: n.settings.Load().revision,
+			Leaving: n.leaving.Load(), ActiveJobs: uint64(n.dispatch.ActiveJobs()), SettingsRevision: n.settings.Load().revision,
 			FreeSlots: uint64(free), QueuedTasks: uint64(queued), LeavingUpstreams: leaving,
 		}}}
 		go n.beatTo(p, f)
@@ -207,7 +207,7 @@
 		return
 	}
 	n.mu.Lock()
-	changes := n.table.Ended(p.Incarnation)
+	changes := n.table.MarkEnded(p.Incarnation)
 	n.mu.Unlock()
 	n.changed(changes)
 }
@@ -281,7 +281,7 @@
 // Ready reports whether this instance hears members entries, itself included,
 // and knows upstreams.
 func (n *Node) Ready(members, upstreams int) bool {
-	m, u := n.dispatch.Known()
+	m, u := n.dispatch.FleetSize()
 	return m >= members && u >= upstreams
 }
 
@@ -291,7 +291,7 @@
 }
 
 // Held returns how many places at upstreams this instance's jobs hold.
-func (n *Node) Held() int { return n.dispatch.Held() }
+func (n *Node) Held() int { return n.dispatch.HeldSlots() }
 
 // InnerBytes returns the bytes that this instance has sent to others.
 func (n *Node) InnerBytes() int64 { return n.mesh.Sent() }
--- a/ingress/modelowner_test.go
+++ b/ingress/modelowner_test.go
@@ -13,7 +13,7 @@
 	process
 	zone    string
 	pool    *schedule.Pool // nil while another owns the group
-	answers map[schedule.JobKey]owner.Answer
+	answers map[schedule.JobKey]owner.OfferCallbacks
 	peer    *modelOwner
 	heard   time.Time // from its peer
 }
@@ -23,7 +23,7 @@
 	o.w.note("", "%s takes the group", o.name)
 	o.w.token++
 	o.pool = schedule.NewPool(schedule.DefaultConfig, o.w.token)
-	o.answers = map[schedule.JobKey]owner.Answer{}
+	o.answers = map[schedule.JobKey]owner.OfferCallbacks{}
 	added, effects := o.pool.SetUpstreams(o.Now(), o.w.listed(o.zone))
 	o.apply(effects)
 	for _, id := range added {
@@ -35,9 +35,9 @@
 // drop gives the group up: all that was offered is lost.
 func (o *modelOwner) drop() {
 	answers := o.answers
-	o.pool, o.answers = nil, map[schedule.JobKey]owner.Answer{}
+	o.pool, o.answers = nil, map[schedule.JobKey]owner.OfferCallbacks{}
 	for _, key := range o.w.sortedKeys(answers) {
-		answers[key].Ended(schedule.Result{Key: key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
+		answers[key].OfferEnded(schedule.Result{Key: key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
 	}
 }
 
@@ -91,7 +91,7 @@
 	o.w.upstreams[id].CallHold(order, modelCall, func(report fleet.Report, err error) {
 		o.do(func() {
 			if o.pool == pool {
-				o.apply(pool.Held(o.Now(), fleet.Life{ID: id}, sent, report, err))
+				o.apply(pool.HandleHoldResponse(o.Now(), fleet.UpstreamIncarnation{ID: id}, sent, report, err))
 				then(err)
 			}
 		})
@@ -104,11 +104,11 @@
 	pool := o.pool
 	for _, s := range e.Starts {
 		o.w.note(s.Order.Run.Task.Job, "%s starts %v on %s", o.name, s.Order.Run, s.Upstream.ID)
-		o.AfterFunc(o.w.Millis(0, 1), func() {
+		o.AfterFunc(o.w.RandMillis(0, 1), func() {
 			o.w.upstreams[s.Upstream.ID].CallStart(s.Order, modelStart, func(r fleet.Refusal, err error) {
 				o.do(func() {
 					if o.pool == pool {
-						o.apply(pool.Started(o.Now(), s.Upstream.Life(), s.Order.Run, r, err))
+						o.apply(pool.HandleStartResponse(o.Now(), s.Upstream.Incarnation(), s.Order.Run, r, err))
 					}
 				})
 			})
@@ -116,18 +116,18 @@
 	}
 	for _, s := range e.Stops {
 		o.w.note(s.Run.Task.Job, "%s stops %v on %s", o.name, s.Run, s.Upstream.ID)
-		o.AfterFunc(o.w.Millis(0, 1), func() {
+		o.AfterFunc(o.w.RandMillis(0, 1), func() {
 			o.w.upstreams[s.Upstream.ID].CallStop(s.Run, pool.Token(), modelCall, func(err error) {
 				o.do(func() {
 					if o.pool == pool {
-						o.apply(pool.Stopped(o.Now(), s.Upstream.Life(), s.Run, err))
+						o.apply(pool.HandleStopResponse(o.Now(), s.Upstream.Incarnation(), s.Run, err))
 					}
 				})
 			})
 		})
 	}
-	for _, id := range e.Looks {
-		if _, order, known := pool.LookOrder(o.Now(), id); known {
+	for _, id := range e.Polls {
+		if _, order, known := pool.PollOrder(o.Now(), id); known {
 			o.hold(pool, id, order, func(error) {})
 		}
 	}
@@ -137,13 +137,13 @@
 func (o *modelOwner) tell(e schedule.Effects) {
 	for _, r := range e.Returns {
 		if a, known := o.answers[r.Key]; known {
-			a.Returned(r, o.pool.Load(o.Now()))
+			a.TasksReturned(r, o.pool.Load(o.Now()))
 		}
 	}
 	for _, r := range e.Results {
 		if a, known := o.answers[r.Key]; known {
 			delete(o.answers, r.Key)
-			a.Ended(r, o.pool.Load(o.Now()))
+			a.OfferEnded(r, o.pool.Load(o.Now()))
 		}
 	}
 }
@@ -151,7 +151,7 @@
 // offered takes an offer that came on a link.
 func (o *modelOwner) offered(l *modelLink, offer schedule.Offer) {
 	inner := offer.Key
-	back := func(f func(owner.Answer) func(schedule.Result, schedule.Load)) func(schedule.Result, schedule.Load) {
+	back := func(f func(owner.OfferCallbacks) func(schedule.Result, schedule.Load)) func(schedule.Result, schedule.Load) {
 		return func(r schedule.Result, load schedule.Load) {
 			r.Key = inner
 			l.toCoordinator(func() {
@@ -165,12 +165,12 @@
 			})
 		}
 	}
-	answer := owner.Answer{
-		Returned: back(func(a owner.Answer) func(schedule.Result, schedule.Load) { return a.Returned }),
-		Ended:    back(func(a owner.Answer) func(schedule.Result, schedule.Load) { return a.Ended }),
+	answer := owner.OfferCallbacks{
+		TasksReturned: back(func(a owner.OfferCallbacks) func(schedule.Result, schedule.Load) { return a.TasksReturned }),
+		OfferEnded:    back(func(a owner.OfferCallbacks) func(schedule.Result, schedule.Load) { return a.OfferEnded }),
 	}
 	if o.pool == nil {
-		answer.Ended(schedule.Result{Outcome: schedule.Completed}, schedule.Load{})
+		answer.OfferEnded(schedule.Result{Outcome: schedule.Completed}, schedule.Load{})
 		return
 	}
 	offer.Key.Coordinator = l.key()
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScenarios runs the stories in testdata: what comes in, and the changes
-// that come out.
+// TestScenarios runs the scenarios in testdata and compares the changes of state that each
+// input causes.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		table := NewTable(Config{SuspectMs: 100, DeadMs: 300})
@@ -29,18 +29,18 @@
 				}
 				table.SetListed(list)
 			case "met":
-				table.Met(Listing{Instance: strings.TrimSpace(d.Input), Address: strings.TrimSpace(d.Input) + ":2", Zone: "z"})
+				table.ApplyHello(Listing{Instance: strings.TrimSpace(d.Input), Address: strings.TrimSpace(d.Input) + ":2", Zone: "z"})
 			case "address":
 				address, _ := table.Address(strings.TrimSpace(d.Input))
 				return address + "\n"
 			case "heard":
 				var who string
 				d.ScanArgs(t, "from", &who)
-				changes = table.Heard(fate.Incarnation(who), Load{Leaving: d.HasArg("leaving")}, now)
+				changes = table.RecordHeartbeat(fate.Incarnation(who), Heartbeat{Leaving: d.HasArg("leaving")}, now)
 			case "ended":
 				var who string
 				d.ScanArgs(t, "who", &who)
-				changes = table.Ended(fate.Incarnation(who))
+				changes = table.MarkEnded(fate.Incarnation(who))
 			case "tick":
 				changes = table.Tick(now)
 			case "peers":
@@ -48,7 +48,7 @@
 			}
 			var b strings.Builder
 			for _, c := range changes {
-				fmt.Fprintf(&b, "%s: %s -> %s\n", c.Peer.Incarnation, c.Before, c.Peer.State)
+				fmt.Fprintf(&b, "%s: %s -> %s\n", c.Peer.Incarnation, c.Previous, c.Peer.State)
 			}
 			return b.String()
 		})
--- a/metrics/text_test.go
+++ b/metrics/text_test.go
@@ -8,13 +8,13 @@
 
 func TestText(t *testing.T) {
 	s := NewSet()
-	s.Sent("offer")
-	s.Waste("start")
+	s.CountSent("offer")
+	s.CountWasted("start")
 	s.Add("answers_not_run", 2)
 	for i := range 100 {
 		s.Latencies.Observe("request", time.Duration(i)*time.Millisecond)
 	}
-	s.Latencies.Observe("request", time.Hour) // beyond the longest
+	s.Latencies.Observe("request", time.Hour) // longer than maxMicros
 	var b strings.Builder
 	if err := s.WriteText(&b); err != nil {
 		t.Fatal(err)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -22,7 +22,7 @@
 type installation struct {
 	t         *testing.T
 	store     *standin.Store
-	ledger    *standin.Ledger
+	ledger    *standin.RunTracker
 	upstreams []*standin.Upstream
 	nodes     map[string]*Node
 	// describe tells more where a test waits in vain; it may be nil.
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := &installation{t: t, store: store, ledger: standin.NewLedger(), nodes: map[string]*Node{}}
+	in := &installation{t: t, store: store, ledger: standin.NewRunTracker(), nodes: map[string]*Node{}}
 	t.Cleanup(in.close)
 	in.configure(1, "/checks/")
 	for _, zone := range zones {
@@ -53,7 +53,7 @@
 	}
 	for _, name := range instances {
 		in.until(name+" is ready", func() bool {
-			return in.status("GET", in.nodes[name].in.ReadinessAddress, "/readiness") == http.StatusOK
+			return in.status("GET", in.nodes[name].settings.ReadinessAddress, "/readiness") == http.StatusOK
 		})
 	}
 	in.until("every zone has an owner", func() bool {
@@ -70,7 +70,7 @@
 		u.Close()
 	}
 	in.store.Close()
-	for _, b := range in.ledger.Broken() {
+	for _, b := range in.ledger.Violations() {
 		in.t.Error(b)
 	}
 }
@@ -91,9 +91,9 @@
 
 func (in *installation) addUpstream(id, zone string) *standin.Upstream {
 	u, err := standin.NewUpstream(standin.UpstreamConfig{
-		ID: id, Service: "desk", Zone: zone, Address: "127.0.0.1:0", Capacity: fleet.Demand{MilliCPU: 16000, MemoryMB: 1000},
-		Takes:  standin.TakesOf,
-		Demand: func(string) fleet.Demand { return fleet.Demand{MilliCPU: taskSize} }, TellsBirth: true,
+		ID: id, Service: "desk", Zone: zone, Address: "127.0.0.1:0", Capacity: fleet.Resources{MilliCPU: 16000, MemoryMB: 1000},
+		TaskDuration: standin.SpecDuration,
+		Demand:       func(string) fleet.Resources { return fleet.Resources{MilliCPU: taskSize} }, ReportsStartTime: true,
 	}, in.store, in.ledger)
 	if err != nil {
 		in.t.Fatal(err)
@@ -111,7 +111,7 @@
 		CustomerAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0", MetricsAddress: "127.0.0.1:0",
 		StoreAddress: in.store.Address,
 		Timing: fleet.Timing{
-			MaxTaskLease: time.Second, Grace: 6 * time.Second, FenceSettle: 3 * time.Second,
+			MaxTaskLease: time.Second, Grace: 6 * time.Second, MinOwnershipInterval: 3 * time.Second,
 		},
 	}
 }
@@ -133,7 +133,7 @@
 func (in *installation) startKnowing(name, other string) *Node {
 	in.t.Helper()
 	settings := in.settings(name)
-	settings.SeedPeers = []string{in.nodes[other].in.PeerAddress}
+	settings.SeedPeers = []string{in.nodes[other].settings.PeerAddress}
 	return in.startWith(settings)
 }
 
@@ -148,7 +148,7 @@
 	if err != nil {
 		in.t.Fatal(err)
 	}
-	n.listener = standin.NewSilencer(n.listener)
+	n.peerListener = standin.NewBlackholeListener(n.peerListener)
 	in.nodes[name] = n
 	n.Run()
 	return n
@@ -158,7 +158,7 @@
 // new ones work.
 func (in *installation) silencePeers() {
 	for _, n := range in.nodes {
-		n.listener.(*standin.Silencer).SilenceOpen()
+		n.peerListener.(*standin.BlackholeListener).BlackholeOpen()
 	}
 }
 
@@ -178,7 +178,7 @@
 			owns := n.groups[group] != nil
 			n.mu.Unlock()
 			if owns {
-				name = n.in.Name
+				name = n.settings.Name
 				return true
 			}
 		}
@@ -246,18 +246,18 @@
 }
 
 func jobBody(tasks, ms int) []byte {
-	return standin.Job{Tasks: tasks, MilliCPU: taskSize, Takes: time.Duration(ms) * time.Millisecond}.Body()
+	return standin.Job{Tasks: tasks, MilliCPU: taskSize, TaskDuration: time.Duration(ms) * time.Millisecond}.Body()
 }
 
 // submit hands a job to an instance and returns the answer.
 func (in *installation) submit(name, id string, tasks, ms int) (int, string) {
-	return in.call("POST", in.nodes[name].in.CustomerAddress, "/checks/"+id, jobBody(tasks, ms))
+	return in.call("POST", in.nodes[name].settings.CustomerAddress, "/checks/"+id, jobBody(tasks, ms))
 }
 
 // background submits a job and returns a channel with the status.
 func (in *installation) background(name, id string, tasks, ms int) <-chan int {
 	answer := make(chan int, 1)
-	address := in.nodes[name].in.CustomerAddress
+	address := in.nodes[name].settings.CustomerAddress
 	go func() {
 		status, _ := in.call("POST", address, "/checks/"+id, jobBody(tasks, ms))
 		answer <- status
@@ -285,9 +285,9 @@
 // TestAnswers checks what is not a job, and what is not offered.
 func TestAnswers(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 1, "a-1")
-	address := in.nodes["a-1"].in.CustomerAddress
-	kept := standin.Job{Tasks: 1, MilliCPU: 100, Takes: time.Millisecond, Kept: true}.Body()
-	huge := standin.Job{Tasks: 1, MilliCPU: 99000, Takes: 10 * time.Millisecond}.Body()
+	address := in.nodes["a-1"].settings.CustomerAddress
+	kept := standin.Job{Tasks: 1, MilliCPU: 100, TaskDuration: time.Millisecond, Durable: true}.Body()
+	huge := standin.Job{Tasks: 1, MilliCPU: 99000, TaskDuration: 10 * time.Millisecond}.Body()
 	for _, c := range []struct {
 		method, path string
 		body         []byte
--- a/node/upstreamask_test.go
+++ b/node/upstreamask_test.go
@@ -12,7 +12,7 @@
 // that has read them, and the zone is served all the while.
 func TestReplacedWithoutStore(t *testing.T) {
 	in := newInstallation(t, []string{"a"}, 2, "a-1", "a-2")
-	in.store.SetTrouble(standin.Reset, 0)
+	in.store.SetFault(standin.ConnectionReset, 0)
 	for _, name := range []string{"a-1", "a-2"} {
 		other := map[string]string{"a-1": "a-2", "a-2": "a-1"}[name]
 		old := in.nodes[name]
@@ -22,7 +22,7 @@
 		in.until(other+" serves alone", func() bool { status, _ := in.submit(other, in.newID(), 1, 10); return status == http.StatusOK })
 		<-stopped
 		in.startKnowing(name, other)
-		in.until(name+" knows the upstreams", func() bool { return in.nodes[name].directory.Listed() })
+		in.until(name+" knows the upstreams", func() bool { return in.nodes[name].directory.Synced() })
 		in.until(name+" serves", func() bool { status, _ := in.submit(name, in.newID(), 2, 10); return status == http.StatusOK })
 	}
 	if in.store.Calls("kv-range") == 0 {
