--- a/ingress/coordinator.go
+++ b/ingress/coordinator.go
@@ -14,285 +14,289 @@
 	"github.com/sedgehatch/sedgehatch/schedule"
 )
 
-// Owners reaches the owners of groups, here or on other instances.
+// Owners gives access to the owners of the upstream groups, on this and on other instances.
 type Owners interface {
-	// Loads lists the owners that can be reached.
+	// Loads returns the last reported load of each reachable owner.
 	Loads() []OwnerLoad
-	// Offer hands tasks to the owner of a group. With an error nothing of
-	// them began; the answer is not called then.
-	Offer(group string, o schedule.Offer, answer owner.OfferCallbacks) error
-	// Withdraw ends an offer.
+	// Offer hands tasks to the owner of a group. After an error none of the tasks has
+	// begun, and the callbacks are not called.
+	Offer(group string, o schedule.Offer, callbacks owner.OfferCallbacks) error
+	// Withdraw cancels an offer.
 	Withdraw(group string, key schedule.JobKey, reason string)
 }
 
-// Verdict is the final answer to a job's customer.
+// Verdict is the final outcome of a job for its customer.
 type Verdict string
 
-// The verdicts.
 const (
-	Completed    Verdict = "completed"
-	Failed       Verdict = "failed"  // ran, and will not complete
-	NotRun       Verdict = "not_run" // nothing of it began, or ever will
-	Unknown      Verdict = "unknown" // something may have run, and it is not complete
-	CustomerLeft Verdict = "left"    // the customer has left
+	Completed Verdict = "completed"
+	// Failed means that the job cannot complete: a task failed or crashed its upstream too
+	// often, no upstream is large enough, or the customer cancelled the job.
+	Failed       Verdict = "failed"
+	NotRun       Verdict = "not_run" // no task has begun, and none will
+	Unknown      Verdict = "unknown" // tasks may have run, but the job is not complete
+	CustomerLeft Verdict = "left"    // the customer closed its connection
 )
 
-// Response is a verdict with its reason.
+// Response is the response to the customer of a job.
 type Response struct {
 	Verdict Verdict
 	Reason  string
-	Begun   bool
-	// RetryAfter is when the customer of a job that has not run should send it
-	// again.
+	Begun   bool // a task of the job may have begun
+	// RetryAfter is how long the customer should wait before it sends the job again; 0
+	// unless the verdict is NotRun.
 	RetryAfter time.Duration
-	Offers     int    // that were made
-	Groups     string // they went to, in order
-	// Owners is how many owners were known at the last offer, and OwnersAge
-	// the age of the oldest of their load reports.
+	Offers     int    // number of offers made to owners
+	Groups     string // comma-separated groups that received offers, in order
+	// Owners is the number of owners whose load was known when the job last looked for one.
 	Owners    int
-	OwnersAge time.Duration
+	OwnersAge time.Duration // age of the oldest of their load reports
 }
 
-// Request is a job with what the coordinator needs of its route.
+// Request is a job submitted by a customer, with its route.
 type Request struct {
 	Job   *fleet.Job
 	Route *fleet.Route
-	// Timeout is how long the customer waits for an answer.
+	// Timeout is how long the customer waits for the response.
 	Timeout time.Duration
-	// Disconnected tells at once whether the customer's connection has ended; nil is never.
-	// It is asked before each offer: an instance that was held up for a while reads
-	// requests whose customers have long sent them again elsewhere, and would run them
-	// a second time.
+	// Disconnected reports, without blocking, whether the customer's connection has ended;
+	// nil means that it never ends. It is called before each offer: after a pause, an
+	// instance reads requests whose customers have already sent them to another instance,
+	// and would run them a second time.
 	Disconnected func() bool
 }
 
 const shardCount = 16
 
-// Clock tells the time and calls back later: the real one, or a simulated one.
+// Clock is the source of time of a Coordinator; simulations replace it.
 type Clock interface {
 	Now() time.Time
 	AfterFunc(d time.Duration, f func())
 }
 
-// realClock is the clock of the process.
-type realClock struct{}
+// systemClock implements Clock with the clock and the timers of the process.
+type systemClock struct{}
 
-func (realClock) Now() time.Time { return clock.Now() }
+func (systemClock) Now() time.Time { return clock.Now() }
 
-func (realClock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
+func (systemClock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
-// Coordinator coordinates the jobs of this instance.
+// Coordinator coordinates the jobs that this instance accepts: it offers their tasks to
+// owners of upstreams until each job has a verdict.
 type Coordinator struct {
-	zone    string
-	owners  Owners
-	clock   Clock
-	policy  Policy
-	returns returnPlan
-	parts   atomic.Uint32 // offers so far, which it numbers
-	// sending counts the goroutines that have decided on an offer or on withdrawals and may
-	// not have sent them yet.
-	sending atomic.Int32
-	shards  [shardCount]shard
+	zone       string
+	owners     Owners
+	clock      Clock
+	policy     Policy
+	retries    retryPlan
+	offersMade atomic.Uint32 // number of the last offer
+	// sendsInFlight counts the goroutines that have decided to make or withdraw offers and
+	// may not have sent the messages yet.
+	sendsInFlight atomic.Int32
+	shards        [shardCount]jobShard
 }
 
-// shard holds some of the open jobs under its own lock.
-type shard struct {
+// jobShard holds a part of the open jobs under a lock of its own.
+type jobShard struct {
 	mu   sync.Mutex
-	open map[string]*pending
+	jobs map[string]*openJob // by job id
 }
 
-// NewCoordinator returns a coordinator without jobs.
+// NewCoordinator returns a Coordinator for an instance in the given zone.
 func NewCoordinator(zone string, owners Owners) *Coordinator {
-	return NewSimulatedCoordinator(zone, owners, realClock{}, DefaultPolicy)
+	return NewSimulatedCoordinator(zone, owners, systemClock{}, DefaultPolicy)
 }
 
-// NewSimulatedCoordinator is NewCoordinator on another clock and under another policy.
+// NewSimulatedCoordinator is like NewCoordinator, with the given clock and policy.
 func NewSimulatedCoordinator(zone string, owners Owners, clock Clock, policy Policy) *Coordinator {
 	c := &Coordinator{zone: zone, owners: owners, clock: clock, policy: policy}
 	for i := range c.shards {
-		c.shards[i].open = map[string]*pending{}
+		c.shards[i].jobs = map[string]*openJob{}
 	}
 	return c
 }
 
-func (c *Coordinator) shard(id string) *shard {
+func (c *Coordinator) shard(id string) *jobShard {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
 	return &c.shards[h.Sum32()%shardCount]
 }
 
-// Run coordinates a job until it has a verdict, or left is closed because its
-// customer is gone. A job that is open already goes on, and answers both.
-func (c *Coordinator) Run(r Request, left <-chan struct{}) Response {
-	p, me, first := c.open(r)
-	if first {
-		p.offerIdle()
+// Run coordinates a job until it has a verdict, the customer's timeout has passed, or
+// disconnected is closed. If a job with the same id is open, no second one is started: all
+// its customer's connections receive the response to the open one.
+func (c *Coordinator) Run(r Request, disconnected <-chan struct{}) Response {
+	j, w, created := c.attachOrCreate(r)
+	if created {
+		j.offerUnassigned()
 	}
-	return p.await(me, left, r.Timeout)
+	return j.awaitResponse(w, disconnected, r.Timeout)
 }
 
-// Start coordinates a job without waiting, and calls decided with its verdict. It
-// returns what a simulation calls when the customer's patience is over.
-func (c *Coordinator) Start(r Request, decided func(Response)) (timeUp func()) {
-	p, me := c.newPending(r)
-	p.onVerdict = decided
-	p.offerIdle()
-	return func() { p.timeUp(me) }
+// Start coordinates a job without blocking, and calls onResponse once it has a verdict. A
+// simulation calls timeOut when the customer's timeout has passed.
+func (c *Coordinator) Start(r Request, onResponse func(Response)) (timeOut func()) {
+	j, w := c.newJob(r)
+	j.onResponse = onResponse
+	j.offerUnassigned()
+	return func() { j.timeOut(w) }
 }
 
-func (c *Coordinator) newPending(r Request) (*pending, *customer) {
-	p := &pending{
-		Request: r, c: c, began: c.clock.Now(), decided: make(chan struct{}), left: map[int]bool{}, past: map[int]schedule.TaskHistory{},
-		parts: map[int]*part{}, search: newSearch(),
+func (c *Coordinator) newJob(r Request) (*openJob, *waiter) {
+	j := &openJob{
+		Request: r, coordinator: c, acceptedAt: c.clock.Now(), done: make(chan struct{}), unfinished: map[int]bool{}, history: map[int]schedule.TaskHistory{},
+		offers: map[int]*openOffer{}, search: newOwnerSearch(),
 	}
 	for i := range r.Job.Steps[0].Count {
-		p.left[i] = true
-		p.idle = append(p.idle, i)
+		j.unfinished[i] = true
+		j.unassigned = append(j.unassigned, i)
 	}
-	return p, p.attach(r)
+	return j, j.addWaiter(r)
 }
 
-// open returns the open job of a request, with the connection that waits for it now,
-// and whether the request is the first one for it.
-func (c *Coordinator) open(r Request) (p *pending, me *customer, first bool) {
+// attachOrCreate adds a waiter for the request to the open job with the same id, or creates
+// a job if there is none.
+func (c *Coordinator) attachOrCreate(r Request) (j *openJob, w *waiter, created bool) {
 	s := c.shard(r.Job.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if other := s.open[r.Job.ID]; other != nil {
-		if me := other.attach(r); me != nil {
-			return other, me, false
+	if existing := s.jobs[r.Job.ID]; existing != nil {
+		if w := existing.addWaiter(r); w != nil {
+			return existing, w, false
 		}
 	}
-	p, me = c.newPending(r)
-	s.open[r.Job.ID] = p
-	return p, me, true
+	j, w = c.newJob(r)
+	s.jobs[r.Job.ID] = j
+	return j, w, true
 }
 
-// close takes a job out of the books, unless another of its id has taken its place.
-func (c *Coordinator) close(p *pending) {
-	s := c.shard(p.Job.ID)
+// remove deletes a job from the open ones, unless a newer job has the same id.
+func (c *Coordinator) remove(j *openJob) {
+	s := c.shard(j.Job.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open[p.Job.ID] == p {
-		delete(s.open, p.Job.ID)
+	if s.jobs[j.Job.ID] == j {
+		delete(s.jobs, j.Job.ID)
 	}
 }
 
-// State returns the state of an open job.
+// State returns the state of a job, or false if the job is not open.
 func (c *Coordinator) State(id string) (fleet.State, bool) {
 	s := c.shard(id)
 	s.mu.Lock()
-	p := s.open[id]
+	j := s.jobs[id]
 	s.mu.Unlock()
-	if p == nil {
+	if j == nil {
 		return "", false
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.parts) > 0 {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if len(j.offers) > 0 {
 		return fleet.StateRunning, true
 	}
 	return fleet.StateQueued, true
 }
 
-// Cancel ends an open job.
+// Cancel ends a job, and reports whether it was open.
 func (c *Coordinator) Cancel(id string) bool {
 	s := c.shard(id)
 	s.mu.Lock()
-	p := s.open[id]
+	j := s.jobs[id]
 	s.mu.Unlock()
-	if p == nil {
+	if j == nil {
 		return false
 	}
-	p.settle(Failed, "cancelled")
+	j.settle(Failed, "cancelled")
 	return true
 }
 
-// EndDisconnected ends the jobs whose customers have left, as far as the system knows now. It
-// reports whether all that was decided till then has been sent: a lease that is renewed
-// ahead of a withdrawal vouches for a customer that has left.
+// EndDisconnected ends the jobs all of whose customer connections have ended, as far as the
+// operating system knows now. It reports whether every offer and withdrawal decided so far
+// has been sent. If it reports false, leases must not be renewed: a renewal that overtakes
+// a withdrawal would tell the owner that a disconnected customer still waits.
 func (c *Coordinator) EndDisconnected() (sent bool) {
-	for _, p := range c.all() {
-		p.dropLeft()
+	for _, j := range c.sortedJobs() {
+		j.detachDisconnected()
 	}
-	return c.sending.Load() == 0
+	return c.sendsInFlight.Load() == 0
 }
 
-// EndTimedOut ends the jobs whose customers do not wait any more. Their timers do so as
-// well, later by as much as the machine was suspended meanwhile.
+// EndTimedOut ends the jobs whose customers' timeouts have passed. Timers end them as well,
+// but after a suspension of the machine they fire late by the length of the suspension.
 func (c *Coordinator) EndTimedOut() {
 	now := c.clock.Now()
-	for _, p := range c.all() {
-		p.dropOverdue(now)
+	for _, j := range c.sortedJobs() {
+		j.detachTimedOut(now)
 	}
 }
 
-// Abandon gives up every open job: this instance ends.
+// Abandon ends every open job because this instance shuts down.
 func (c *Coordinator) Abandon() {
-	for _, p := range c.all() {
-		p.settle(Unknown, "this instance ends")
+	for _, j := range c.sortedJobs() {
+		j.settle(Unknown, "this instance ends")
 	}
 }
 
-// WaitingJobs counts the open jobs of a route that no owner has taken.
+// WaitingJobs returns the number of open jobs of a route without an open offer.
 func (c *Coordinator) WaitingJobs(route string) int {
 	n := 0
-	c.each(func(p *pending) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.Route.Name == route && len(p.parts) == 0 {
+	c.forEachJob(func(j *openJob) {
+		j.mu.Lock()
+		defer j.mu.Unlock()
+		if j.Route.Name == route && len(j.offers) == 0 {
 			n++
 		}
 	})
 	return n
 }
 
-// OpenJobs counts the jobs without a verdict.
+// OpenJobs returns the number of jobs without a verdict.
 func (c *Coordinator) OpenJobs() int {
 	n := 0
-	c.each(func(*pending) { n++ })
+	c.forEachJob(func(*openJob) { n++ })
 	return n
 }
 
-// all returns the open jobs, by id.
-func (c *Coordinator) all() []*pending {
-	var open []*pending
-	c.each(func(p *pending) { open = append(open, p) })
-	slices.SortFunc(open, func(a, b *pending) int { return strings.Compare(a.Job.ID, b.Job.ID) })
+// sortedJobs returns the open jobs sorted by id.
+func (c *Coordinator) sortedJobs() []*openJob {
+	var open []*openJob
+	c.forEachJob(func(j *openJob) { open = append(open, j) })
+	slices.SortFunc(open, func(a, b *openJob) int { return strings.Compare(a.Job.ID, b.Job.ID) })
 	return open
 }
 
-func (c *Coordinator) each(f func(*pending)) {
+func (c *Coordinator) forEachJob(f func(*openJob)) {
 	for i := range c.shards {
 		s := &c.shards[i]
 		s.mu.Lock()
-		for _, p := range s.open {
-			f(p)
+		for _, j := range s.jobs {
+			f(j)
 		}
 		s.mu.Unlock()
 	}
 }
 
-// retryAfter is when a customer should send its job again, zero where it should
-// not. Why is what its search for room came to.
-func (c *Coordinator) retryAfter(v Verdict, why outcome) time.Duration {
+// retryAfter returns how long a customer should wait before it sends its job again, or 0 if
+// it should not, given the outcome of the job's search for an owner. It also counts
+// completed jobs in the completion rate.
+func (c *Coordinator) retryAfter(v Verdict, outcome searchOutcome) time.Duration {
 	switch {
 	case v == Completed:
-		c.returns.completed(c.clock.Now())
+		c.retries.recordCompletion(c.clock.Now())
 		return 0
 	case v != NotRun:
 		return 0
-	case why == crowded && c.policy.SpreadReturns:
-		return c.returns.next(c.clock.Now())
-	case why == closed:
-		return closedReturn
+	case outcome == noCapacityInTime && c.policy.SpreadReturns:
+		return c.retries.nextRetryAfter(c.clock.Now())
+	case outcome == allGroupsClosed:
+		return closedRetryAfter
 	default:
-		return soonest
+		return minRetryAfter
 	}
 }
 
-// Objective is how long the job may take to be in time, by what its customer
-// estimates.
+// Objective returns the latency objective of the job, computed from the customer's estimate
+// and the route.
 func (r *Request) Objective() time.Duration { return objective(r.Job, r.Route) }
 
 func objective(job *fleet.Job, route *fleet.Route) time.Duration {
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -27,15 +27,15 @@
 		found bool
 	}{
 		"nobody":                     {nil, nil, 1, false, Choice{}, false},
-		"own zone first":             {[]OwnerLoad{load("a/0", 1, 0), load("b/0", 9, 0)}, nil, 1, false, Choice{Group: "a/0", Whole: true}, true},
-		"most room away":             {[]OwnerLoad{load("a/0", 0, 3), load("b/0", 2, 0), load("c/0", 5, 0)}, nil, 1, false, Choice{Group: "c/0", Whole: true}, true},
-		"not the same again":         {[]OwnerLoad{load("a/0", 5, 0), load("b/0", 2, 0)}, []string{"a/0"}, 1, false, Choice{Group: "b/0", Whole: true}, true},
-		"shortest queue":             {[]OwnerLoad{load("a/0", 0, 9), load("b/0", 0, 3)}, nil, 1, false, Choice{Group: "b/0", Queue: true}, true},
-		"own queue is near":          {[]OwnerLoad{load("a/0", 0, 4), load("b/0", 0, 3)}, nil, 1, false, Choice{Group: "a/0", Queue: true}, true},
+		"own zone first":             {[]OwnerLoad{load("a/0", 1, 0), load("b/0", 9, 0)}, nil, 1, false, Choice{Group: "a/0", AllOrNothing: true}, true},
+		"most room away":             {[]OwnerLoad{load("a/0", 0, 3), load("b/0", 2, 0), load("c/0", 5, 0)}, nil, 1, false, Choice{Group: "c/0", AllOrNothing: true}, true},
+		"not the same again":         {[]OwnerLoad{load("a/0", 5, 0), load("b/0", 2, 0)}, []string{"a/0"}, 1, false, Choice{Group: "b/0", AllOrNothing: true}, true},
+		"shortest queue":             {[]OwnerLoad{load("a/0", 0, 9), load("b/0", 0, 3)}, nil, 1, false, Choice{Group: "b/0", MayQueue: true}, true},
+		"own queue is near":          {[]OwnerLoad{load("a/0", 0, 4), load("b/0", 0, 3)}, nil, 1, false, Choice{Group: "a/0", MayQueue: true}, true},
 		"no upstreams":               {[]OwnerLoad{{Group: "a/0", Zone: "a"}}, nil, 1, false, Choice{}, false},
-		"whole elsewhere":            {[]OwnerLoad{load("a/0", 3, 0), load("b/0", 4, 0)}, nil, 4, false, Choice{Group: "b/0", Whole: true}, true},
+		"whole elsewhere":            {[]OwnerLoad{load("a/0", 3, 0), load("b/0", 4, 0)}, nil, 4, false, Choice{Group: "b/0", AllOrNothing: true}, true},
 		"split where all fits":       {[]OwnerLoad{load("a/0", 2, 0), load("b/0", 3, 0)}, nil, 5, false, Choice{Group: "a/0"}, true},
-		"waits whole":                {[]OwnerLoad{load("a/0", 2, 0), full("b/0")}, nil, 5, false, Choice{Group: "a/0", Queue: true}, true},
+		"waits whole":                {[]OwnerLoad{load("a/0", 2, 0), full("b/0")}, nil, 5, false, Choice{Group: "a/0", MayQueue: true}, true},
 		"the rest takes what it can": {[]OwnerLoad{load("a/0", 2, 0), full("b/0")}, nil, 5, true, Choice{Group: "a/0"}, true},
 	} {
 		tried := map[string]bool{}
@@ -235,8 +235,8 @@
 	} {
 		r := request(1)
 		r.Job.Steps[0].Estimate = c.estimate
-		s := &Server{stopping: func() (time.Duration, bool) { return c.left, c.stopping }}
-		if reason := s.declines(r.Job, r.Route); (reason != "") != c.refused {
+		s := &Server{shutdownStatus: func() (time.Duration, bool) { return c.left, c.stopping }}
+		if reason := s.rejectReason(r.Job, r.Route); (reason != "") != c.refused {
 			t.Errorf("%s: %q", name, reason)
 		}
 	}
@@ -260,7 +260,7 @@
 	if a.Verdict != NotRun || a.RetryAfter == 0 {
 		t.Errorf("%+v, want not run and word of when to come back", a)
 	}
-	if asked != mostFull {
+	if asked != maxOwnersWithoutCapacity {
 		t.Errorf("%d owners were asked", asked)
 	}
 }
@@ -275,8 +275,8 @@
 	}}, stillClock{}, DefaultPolicy)
 	var answers []Response
 	c.Start(request(2), func(a Response) { answers = append(answers, a) })
-	if len(answers) != 1 || answers[0].Verdict != NotRun || answers[0].RetryAfter != closedReturn {
-		t.Errorf("%+v, want one rejection to come back after %v", answers, closedReturn)
+	if len(answers) != 1 || answers[0].Verdict != NotRun || answers[0].RetryAfter != closedRetryAfter {
+		t.Errorf("%+v, want one rejection to come back after %v", answers, closedRetryAfter)
 	}
 }
 
--- a/ingress/leaving_test.go
+++ b/ingress/leaving_test.go
@@ -88,8 +88,8 @@
 	}
 	close(goOn)
 	<-answered
-	if c.sending.Load() != 0 {
-		t.Errorf("%d threads are still sending", c.sending.Load())
+	if c.sendsInFlight.Load() != 0 {
+		t.Errorf("%d threads are still sending", c.sendsInFlight.Load())
 	}
 }
 
@@ -137,8 +137,8 @@
 		looksBefore int
 		want        string
 	}{
-		"read behind the end": {0, reasonLeftUnread},
-		"left while waiting":  {1, reasonLeft},
+		"read behind the end": {0, reasonDisconnectedUnread},
+		"left while waiting":  {1, reasonDisconnected},
 	} {
 		looks := 0
 		r := request(1)
--- a/ingress/network_test.go
+++ b/ingress/network_test.go
@@ -143,12 +143,12 @@
 // the process runs again, late after others. Until then the thread is at it, as the
 // coordinator counts them.
 func (c *modelCoordinator) stall(late func() time.Duration, send func()) {
-	c.c.sending.Add(1)
+	c.c.sendsInFlight.Add(1)
 	pause := c.w.RandMillis(30, 3000)
 	c.pause(pause)
 	sent := func() {
 		send()
-		c.c.sending.Add(-1)
+		c.c.sendsInFlight.Add(-1)
 	}
 	if late == nil {
 		c.do(sent)
--- a/ingress/search.go
+++ b/ingress/search.go
@@ -6,71 +6,73 @@
 	"github.com/samber/lo"
 )
 
-// search is what a job has learned of the groups while it looked for room. It is guarded
-// by the lock of its job.
-type search struct {
-	tried map[string]bool // groups that had no room
-	never map[string]bool // groups where no task can ever fit
-	cut   map[string]bool // groups whose owner could not be reached
-	full  map[string]bool // groups that expect no room in time
-	asked []string        // groups that were offered tasks, in order, for the log
-	// owners is how many were known at the last look, ownersAge the age of the oldest of
-	// their load reports, and closed whether nothing may start at any of them.
-	owners    int
-	ownersAge time.Duration
-	closed    bool
+// ownerSearch records what a job has learned about the groups while looking for an owner for
+// its tasks. It is guarded by the job's lock.
+type ownerSearch struct {
+	tried       map[string]bool // groups that the job's tasks have been offered to; cleared by allowRetries
+	neverFits   map[string]bool // groups in which no task of the job can ever fit
+	unreachable map[string]bool // groups whose owner could not be reached; cleared by allowRetries
+	noCapacity  map[string]bool // groups that expect no free capacity in time
+	offered     []string        // the first groups that received an offer, in order, for the log
+	ownerCount  int             // owners passed to the last refresh
+	loadAge     time.Duration   // age of the oldest load report passed to the last refresh
+	allClosed   bool            // at the last refresh, no task could start in any group
 }
 
-// maxAsked bounds the groups that are remembered for the log.
-const maxAsked = 8
+// maxOfferedGroups is the maximum length of ownerSearch.offered.
+const maxOfferedGroups = 8
 
-func newSearch() search {
-	return search{tried: map[string]bool{}, never: map[string]bool{}, cut: map[string]bool{}, full: map[string]bool{}}
+func newOwnerSearch() ownerSearch {
+	return ownerSearch{tried: map[string]bool{}, neverFits: map[string]bool{}, unreachable: map[string]bool{}, noCapacity: map[string]bool{}}
 }
 
-// look takes the owners that are known now, and returns those that may be asked: not those
-// that can never run the job or not in time, nor those that could not be reached.
-func (s *search) look(loads []OwnerLoad) []OwnerLoad {
-	s.owners = len(loads)
-	s.closed = len(loads) > 0 && lo.EveryBy(loads, func(l OwnerLoad) bool { return l.Closed })
-	s.ownersAge = lo.MaxBy(loads, func(a, b OwnerLoad) bool { return a.Age > b.Age }).Age
-	return lo.Filter(loads, func(l OwnerLoad, _ int) bool { return !s.never[l.Group] && !s.cut[l.Group] && !s.full[l.Group] })
+// refresh records the current owners and returns those that may receive an offer: it omits
+// groups that can never run the job, that expect no free capacity in time, or whose owner
+// could not be reached.
+func (s *ownerSearch) refresh(loads []OwnerLoad) []OwnerLoad {
+	s.ownerCount = len(loads)
+	s.allClosed = len(loads) > 0 && lo.EveryBy(loads, func(l OwnerLoad) bool { return l.Closed })
+	s.loadAge = lo.MaxBy(loads, func(a, b OwnerLoad) bool { return a.Age > b.Age }).Age
+	return lo.Filter(loads, func(l OwnerLoad, _ int) bool {
+		return !s.neverFits[l.Group] && !s.unreachable[l.Group] && !s.noCapacity[l.Group]
+	})
 }
 
-// chose notes which group is offered tasks next.
-func (s *search) chose(group string) {
+// markOffered records that tasks are being offered to a group.
+func (s *ownerSearch) markOffered(group string) {
 	s.tried[group] = true
-	if len(s.asked) < maxAsked {
-		s.asked = append(s.asked, group)
+	if len(s.offered) < maxOfferedGroups {
+		s.offered = append(s.offered, group)
 	}
 }
 
-// outcome is why nobody is left to ask.
-type outcome int
+// searchOutcome is the reason why no owner is left to offer tasks to.
+type searchOutcome int
 
 const (
-	unreached outcome = iota // no owner could be reached
-	tooLarge                 // no task can ever fit anywhere
-	crowded                  // owners expect no room in time
-	closed                   // nothing may start on any upstream
+	noneReachable    searchOutcome = iota // no owner could be reached
+	tooLarge                              // no task can ever fit in any group
+	noCapacityInTime                      // owners expect no free capacity in time
+	allGroupsClosed                       // no task may start on any upstream
 )
 
-// outcome tells why nobody is left to ask. Something of a job that has begun fits.
-func (s *search) outcome(begun bool) outcome {
+// outcome returns the reason why no owner is left to offer tasks to. A job that has begun
+// is never too large, because a task of it has fitted somewhere.
+func (s *ownerSearch) outcome(begun bool) searchOutcome {
 	switch {
-	case len(s.full) > 0:
-		return crowded
-	case len(s.never) > 0 && len(s.cut) == 0 && !begun:
+	case len(s.noCapacity) > 0:
+		return noCapacityInTime
+	case len(s.neverFits) > 0 && len(s.unreachable) == 0 && !begun:
 		return tooLarge
-	case s.closed:
-		return closed
+	case s.allClosed:
+		return allGroupsClosed
 	default:
-		return unreached
+		return noneReachable
 	}
 }
 
-// again lets owners be asked once more that had no room, or could not be reached.
-func (s *search) again() {
-	clear(s.cut)
+// allowRetries makes the groups that were tried or unreachable eligible for offers again.
+func (s *ownerSearch) allowRetries() {
+	clear(s.unreachable)
 	clear(s.tried)
 }
--- a/ingress/search_test.go
+++ b/ingress/search_test.go
@@ -11,45 +11,45 @@
 	shut := []OwnerLoad{{Group: "a/0", Closed: true}, {Group: "b/0", Closed: true}}
 	for name, c := range map[string]struct {
 		loads []OwnerLoad
-		learn func(*search)
+		learn func(*ownerSearch)
 		begun bool
 		left  int
-		why   outcome
+		why   searchOutcome
 	}{
-		"nobody is known":                    {why: unreached},
-		"nothing is known of any":            {loads: loads, left: 3, why: unreached},
-		"one had no room, and may be asked":  {loads: loads, learn: func(s *search) { s.chose("a/0") }, left: 3, why: unreached},
-		"one cannot be reached":              {loads: loads, learn: func(s *search) { s.cut["a/0"] = true }, left: 2, why: unreached},
-		"one can never run it":               {loads: loads, learn: func(s *search) { s.never["a/0"] = true }, left: 2, why: tooLarge},
-		"another may, but cannot be reached": {loads: loads, learn: func(s *search) { s.never["a/0"], s.cut["b/0"] = true, true }, left: 1, why: unreached},
-		"it has begun, so it fits":           {loads: loads, learn: func(s *search) { s.never["a/0"] = true }, begun: true, left: 2, why: unreached},
-		"one expects no room":                {loads: loads, learn: func(s *search) { s.full["b/0"], s.never["a/0"] = true, true }, left: 1, why: crowded},
-		"nothing may start":                  {loads: shut, left: 2, why: closed},
-		"nothing may start, and no room":     {loads: shut, learn: func(s *search) { s.full["a/0"] = true }, left: 1, why: crowded},
+		"nobody is known":                    {why: noneReachable},
+		"nothing is known of any":            {loads: loads, left: 3, why: noneReachable},
+		"one had no room, and may be asked":  {loads: loads, learn: func(s *ownerSearch) { s.markOffered("a/0") }, left: 3, why: noneReachable},
+		"one cannot be reached":              {loads: loads, learn: func(s *ownerSearch) { s.unreachable["a/0"] = true }, left: 2, why: noneReachable},
+		"one can never run it":               {loads: loads, learn: func(s *ownerSearch) { s.neverFits["a/0"] = true }, left: 2, why: tooLarge},
+		"another may, but cannot be reached": {loads: loads, learn: func(s *ownerSearch) { s.neverFits["a/0"], s.unreachable["b/0"] = true, true }, left: 1, why: noneReachable},
+		"it has begun, so it fits":           {loads: loads, learn: func(s *ownerSearch) { s.neverFits["a/0"] = true }, begun: true, left: 2, why: noneReachable},
+		"one expects no room":                {loads: loads, learn: func(s *ownerSearch) { s.noCapacity["b/0"], s.neverFits["a/0"] = true, true }, left: 1, why: noCapacityInTime},
+		"nothing may start":                  {loads: shut, left: 2, why: allGroupsClosed},
+		"nothing may start, and no room":     {loads: shut, learn: func(s *ownerSearch) { s.noCapacity["a/0"] = true }, left: 1, why: noCapacityInTime},
 	} {
-		s := newSearch()
+		s := newOwnerSearch()
 		if c.learn != nil {
 			c.learn(&s)
 		}
-		if left := s.look(c.loads); len(left) != c.left || s.owners != len(c.loads) {
-			t.Errorf("%s: %d of %d are left", name, len(left), s.owners)
+		if left := s.refresh(c.loads); len(left) != c.left || s.ownerCount != len(c.loads) {
+			t.Errorf("%s: %d of %d are left", name, len(left), s.ownerCount)
 		}
 		if why := s.outcome(c.begun); why != c.why {
 			t.Errorf("%s: outcome %d, want %d", name, why, c.why)
 		}
 	}
-	s := newSearch()
-	s.look(loads)
-	if s.ownersAge != 2*time.Second {
-		t.Errorf("the oldest report is %v old", s.ownersAge)
+	s := newOwnerSearch()
+	s.refresh(loads)
+	if s.loadAge != 2*time.Second {
+		t.Errorf("the oldest report is %v old", s.loadAge)
 	}
-	for range maxAsked + 1 {
-		s.chose("a/0")
+	for range maxOfferedGroups + 1 {
+		s.markOffered("a/0")
 	}
-	if s.cut["a/0"] = true; len(s.asked) != maxAsked || !s.tried["a/0"] {
-		t.Errorf("%d groups are remembered", len(s.asked))
+	if s.unreachable["a/0"] = true; len(s.offered) != maxOfferedGroups || !s.tried["a/0"] {
+		t.Errorf("%d groups are remembered", len(s.offered))
 	}
-	if s.again(); len(s.look(loads)) != 3 || s.tried["a/0"] {
+	if s.allowRetries(); len(s.refresh(loads)) != 3 || s.tried["a/0"] {
 		t.Error("a group that could not be reached is not asked again")
 	}
 }
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -15,70 +15,71 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Recorder is told each answer.
+// Recorder records the responses of a Server for logs and metrics.
 type Recorder interface {
-	RecordResponse(a Record)
+	RecordResponse(r Record)
 }
 
-// Record is one answer to a customer.
+// Record describes the response to one submitted job.
 type Record struct {
 	Job, Route string
-	Status     int
+	Status     int // HTTP status code
 	Response
-	Took          time.Duration
-	Timeout       time.Duration // the customer's deadline when it sent the request
-	Objective     time.Duration // by the customer's own estimate
-	Late          bool
-	Tasks         int
+	Took          time.Duration // from reading the request to the response
+	Timeout       time.Duration // how long the customer waits, as stated in its request
+	Objective     time.Duration // latency objective, computed from the customer's estimate; 0 if the job was not accepted
+	Late          bool          // Took exceeds Objective
+	Tasks         int           // number of tasks of the job
 	ConfigVersion uint64
 }
 
-// ShutdownStatus tells whether a planned stop of the instance is under way, and how
-// long jobs may still take then. Draining instances go on taking jobs that can
-// end in time: customers go on using connections that are open. Each is closed
-// after its answer.
+// ShutdownStatus reports whether a planned shutdown of the instance is under way, and how
+// much time is left for jobs until it ends. Customers keep using their open connections
+// during a shutdown, so an instance that is shutting down still accepts jobs that can end in
+// time. It closes each connection after the response.
 type ShutdownStatus func() (left time.Duration, stopping bool)
 
-// ConfigSource returns the configuration in force, nil before there is one.
+// ConfigSource returns the current configuration, or nil if none has been received yet.
 type ConfigSource func() *fleet.Config
 
 const (
-	// defaultPatience is taken where a customer does not say how long it waits.
-	defaultPatience = 5 * time.Second
-	// answerMargin is how much earlier than the customer's deadline the
-	// answer is given: it takes a round trip to arrive.
-	answerMargin = 30 * time.Millisecond
-	// mostBody bounds what is read of a request, in bytes.
-	mostBody = 1 << 20
-	// readBuffer holds the header of a request, in bytes.
-	readBuffer = 16 << 10
-	// idleTimeout is how long a customer's connection may be unused.
+	// defaultTimeout is how long a customer waits that does not state a timeout.
+	defaultTimeout = 5 * time.Second
+	// responseMargin is how long before the customer's deadline the response is sent: it
+	// takes up to a round trip to arrive.
+	responseMargin = 30 * time.Millisecond
+	// maxBodyBytes is the maximum size of a request body, whatever the configuration allows.
+	maxBodyBytes = 1 << 20
+	// readBufferBytes is the size of the read buffer, which has to hold the whole header of
+	// a request.
+	readBufferBytes = 16 << 10
+	// idleTimeout is how long a customer's connection may be idle before it is closed.
 	idleTimeout = 2 * time.Minute
 )
 
-// Server answers customers.
+// Server is the HTTP server for customers.
 type Server struct {
-	coordinator *Coordinator
-	config      ConfigSource
-	record      Recorder
-	stopping    ShutdownStatus
-	http        *fasthttp.Server
+	coordinator    *Coordinator
+	config         ConfigSource
+	recorder       Recorder
+	shutdownStatus ShutdownStatus
+	http           *fasthttp.Server
 }
 
-// NewServer returns a server that is not listening yet.
-func NewServer(c *Coordinator, config ConfigSource, stopping ShutdownStatus, record Recorder) *Server {
-	s := &Server{coordinator: c, config: config, record: record, stopping: stopping}
+// NewServer returns a Server. Serve starts it.
+func NewServer(coordinator *Coordinator, config ConfigSource, shutdownStatus ShutdownStatus, recorder Recorder) *Server {
+	s := &Server{coordinator: coordinator, config: config, recorder: recorder, shutdownStatus: shutdownStatus}
 	s.http = &fasthttp.Server{
-		Handler: s.handle, MaxRequestBodySize: mostBody, ReadBufferSize: readBuffer, IdleTimeout: idleTimeout,
+		Handler: s.handle, MaxRequestBodySize: maxBodyBytes, ReadBufferSize: readBufferBytes, IdleTimeout: idleTimeout,
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 		DisablePreParseMultipartForm: true, CloseOnShutdown: true,
 	}
 	return s
 }
 
-// Serve takes customers from l until it is closed. The error is Internal, and nothing is
-// served, where the end of its connections could not be noticed: a job would then be run
-// for a customer that has sent it again elsewhere.
+// Serve serves the connections that l accepts until l is closed. It returns an Internal
+// error and serves nothing if the end of a connection could not be detected: a job would
+// then run for a customer that has already sent it to another instance.
 func (s *Server) Serve(l net.Listener) error {
 	watched, err := newWatchedListener(l)
 	if err != nil {
@@ -88,12 +89,12 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if _, stopping := s.stopping(); stopping {
+	if _, stopping := s.shutdownStatus(); stopping {
 		ctx.SetConnectionClose()
 	}
 	config := s.config()
 	if config == nil {
-		refuse(ctx, "no configuration yet", soonest)
+		writeUnavailable(ctx, "no configuration yet", minRetryAfter)
 		return
 	}
 	path := string(ctx.Path())
@@ -104,48 +105,48 @@
 	}
 	id := strings.TrimPrefix(path, route.PathPrefix)
 	if id == "" {
-		s.queue(ctx, route)
+		s.handleQueue(ctx, route)
 		return
 	}
 	if err := platform.ParseJobID(id); err != nil {
-		problem(ctx, err)
+		writeError(ctx, err)
 		return
 	}
-	s.job(ctx, config, route, strings.Clone(id))
+	s.handleJob(ctx, config, route, strings.Clone(id))
 }
 
-func (s *Server) job(ctx *fasthttp.RequestCtx, config *fleet.Config, route *fleet.Route, id string) {
+func (s *Server) handleJob(ctx *fasthttp.RequestCtx, config *fleet.Config, route *fleet.Route, id string) {
 	switch {
 	case ctx.IsPost():
-		s.submit(ctx, config, route, id)
+		s.handleSubmit(ctx, config, route, id)
 	case ctx.IsGet():
-		s.state(ctx, id)
+		s.handleState(ctx, id)
 	case ctx.IsDelete():
-		s.cancel(ctx, id)
+		s.handleCancel(ctx, id)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusMethodNotAllowed)
 	}
 }
 
-// queue answers how many jobs of a route wait.
-func (s *Server) queue(ctx *fasthttp.RequestCtx, route *fleet.Route) {
+// handleQueue responds with the number of waiting jobs of a route.
+func (s *Server) handleQueue(ctx *fasthttp.RequestCtx, route *fleet.Route) {
 	if !ctx.IsGet() {
 		ctx.SetStatusCode(fasthttp.StatusMethodNotAllowed)
 		return
 	}
-	sendJSON(ctx, fasthttp.StatusOK, platform.EncodeWaiting(s.coordinator.WaitingJobs(route.Name)))
+	writeJSON(ctx, fasthttp.StatusOK, platform.EncodeWaiting(s.coordinator.WaitingJobs(route.Name)))
 }
 
-func (s *Server) state(ctx *fasthttp.RequestCtx, id string) {
-	state, open := s.coordinator.State(id)
-	if !open {
+func (s *Server) handleState(ctx *fasthttp.RequestCtx, id string) {
+	state, isOpen := s.coordinator.State(id)
+	if !isOpen {
 		ctx.SetStatusCode(fasthttp.StatusGone)
 		return
 	}
-	sendJSON(ctx, fasthttp.StatusOK, platform.EncodeState(state))
+	writeJSON(ctx, fasthttp.StatusOK, platform.EncodeState(state))
 }
 
-func (s *Server) cancel(ctx *fasthttp.RequestCtx, id string) {
+func (s *Server) handleCancel(ctx *fasthttp.RequestCtx, id string) {
 	if !s.coordinator.Cancel(id) {
 		ctx.SetStatusCode(fasthttp.StatusGone)
 		return
@@ -153,46 +154,47 @@
 	ctx.SetStatusCode(fasthttp.StatusOK)
 }
 
-func (s *Server) submit(ctx *fasthttp.RequestCtx, config *fleet.Config, route *fleet.Route, id string) {
-	began := clock.Now()
-	job, err := parse(config, id, ctx.PostBody())
+func (s *Server) handleSubmit(ctx *fasthttp.RequestCtx, config *fleet.Config, route *fleet.Route, id string) {
+	receivedAt := clock.Now()
+	job, err := parseJob(config, id, ctx.PostBody())
 	if err != nil {
-		problem(ctx, err)
-		s.answered(Record{Job: id, Response: Response{Verdict: NotRun, Reason: failure.Text(err)}}, config, route, ctx, began)
+		writeError(ctx, err)
+		s.recordResponse(Record{Job: id, Response: Response{Verdict: NotRun, Reason: failure.Text(err)}}, config, route, ctx, receivedAt)
 		return
 	}
 	record := Record{Job: id, Tasks: job.Steps[0].Count}
-	if reason := s.declines(job, route); reason != "" {
-		refuse(ctx, reason, soonest)
+	if reason := s.rejectReason(job, route); reason != "" {
+		writeUnavailable(ctx, reason, minRetryAfter)
 		record.Response = Response{Verdict: NotRun, Reason: reason}
-		s.answered(record, config, route, ctx, began)
+		s.recordResponse(record, config, route, ctx, receivedAt)
 		return
 	}
-	patience := platform.ParseDeadline(string(ctx.Request.Header.Peek(platform.HeaderDeadline)))
-	if patience == 0 {
-		patience = defaultPatience
+	timeout := platform.ParseDeadline(string(ctx.Request.Header.Peek(platform.HeaderDeadline)))
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
-	left, stop := watch(ctx.Conn())
-	request := Request{Job: job, Route: route, Timeout: patience - answerMargin, Disconnected: hasLeft(ctx.Conn())}
-	record.Objective, record.Timeout = request.Objective(), patience
-	record.Response = s.coordinator.Run(request, left)
-	stop()
-	respond(ctx, record.Response)
-	s.answered(record, config, route, ctx, began)
+	disconnected, stopWatching := watchDisconnect(ctx.Conn())
+	request := Request{Job: job, Route: route, Timeout: timeout - responseMargin, Disconnected: disconnectCheck(ctx.Conn())}
+	record.Objective, record.Timeout = request.Objective(), timeout
+	record.Response = s.coordinator.Run(request, disconnected)
+	stopWatching()
+	writeResponse(ctx, record.Response)
+	s.recordResponse(record, config, route, ctx, receivedAt)
 }
 
-// parse decodes a job that is not larger than the configuration allows.
-func parse(config *fleet.Config, id string, body []byte) (*fleet.Job, error) {
+// parseJob decodes a job. It returns a TooLarge error if the body is larger than the
+// configuration allows.
+func parseJob(config *fleet.Config, id string, body []byte) (*fleet.Job, error) {
 	if config.MaxBodyBytes > 0 && len(body) > config.MaxBodyBytes {
 		return nil, failure.Field(failure.TooLarge, "body", "has %d bytes, over %d", len(body), config.MaxBodyBytes)
 	}
 	return platform.ParseJob(id, body)
 }
 
-// declines tells why a job is not taken at all, or "".
-func (s *Server) declines(job *fleet.Job, route *fleet.Route) string {
+// rejectReason returns the reason to reject a job without coordinating it, or "".
+func (s *Server) rejectReason(job *fleet.Job, route *fleet.Route) string {
 	switch {
-	case s.endsBefore(job, route):
+	case s.shutsDownBefore(job, route):
 		return "this instance ends"
 	case route.Advised:
 		return "not offered: advice"
@@ -203,43 +205,44 @@
 	}
 }
 
-// endsBefore reports whether a planned stop ends before a job could be in time, by what
-// its customer estimates. One that could is taken: its customer would have to go elsewhere
-// otherwise.
-func (s *Server) endsBefore(job *fleet.Job, route *fleet.Route) bool {
-	left, stopping := s.stopping()
+// shutsDownBefore reports whether a planned shutdown ends before the latency objective of a
+// job has passed. Jobs that have enough time are accepted, because their customers would
+// otherwise have to send them to another instance.
+func (s *Server) shutsDownBefore(job *fleet.Job, route *fleet.Route) bool {
+	left, stopping := s.shutdownStatus()
 	return stopping && left < objective(job, route)
 }
 
-func (s *Server) answered(r Record, config *fleet.Config, route *fleet.Route, ctx *fasthttp.RequestCtx, began time.Time) {
+func (s *Server) recordResponse(r Record, config *fleet.Config, route *fleet.Route, ctx *fasthttp.RequestCtx, receivedAt time.Time) {
 	r.Route, r.Status = route.Name, ctx.Response.StatusCode()
-	r.Took, r.ConfigVersion = clock.Since(began), config.Version
+	r.Took, r.ConfigVersion = clock.Since(receivedAt), config.Version
 	r.Late = r.Objective > 0 && r.Took > r.Objective
-	s.record.RecordResponse(r)
+	s.recorder.RecordResponse(r)
 }
 
-// respond writes the answer for a verdict.
-func respond(ctx *fasthttp.RequestCtx, a Response) {
-	switch a.Verdict {
+// writeResponse writes the HTTP response for a verdict.
+func writeResponse(ctx *fasthttp.RequestCtx, r Response) {
+	switch r.Verdict {
 	case Completed:
-		sendJSON(ctx, fasthttp.StatusOK, platform.EncodeState(fleet.StateCompleted))
+		writeJSON(ctx, fasthttp.StatusOK, platform.EncodeState(fleet.StateCompleted))
 	case Failed:
-		sendJSON(ctx, fasthttp.StatusOK, platform.EncodeState(fleet.StateFailed))
+		writeJSON(ctx, fasthttp.StatusOK, platform.EncodeState(fleet.StateFailed))
 	case NotRun:
-		refuse(ctx, a.Reason, a.RetryAfter)
+		writeUnavailable(ctx, r.Reason, r.RetryAfter)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	}
 }
 
-// refuse answers that nothing has run or will, and when to come back.
-func refuse(ctx *fasthttp.RequestCtx, reason string, after time.Duration) {
-	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(after.Seconds()))))
+// writeUnavailable responds that no task of the job has run or will run, and when the
+// customer should send it again.
+func writeUnavailable(ctx *fasthttp.RequestCtx, reason string, retryAfter time.Duration) {
+	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(retryAfter.Seconds()))))
 	ctx.Error(reason, fasthttp.StatusServiceUnavailable)
 }
 
-// problem answers a request that is wrong.
-func problem(ctx *fasthttp.RequestCtx, err error) {
+// writeError responds to an invalid request.
+func writeError(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
 	if failure.Is(err, failure.TooLarge) {
 		status = fasthttp.StatusRequestEntityTooLarge
@@ -247,7 +250,7 @@
 	ctx.Error(failure.FieldOf(err)+": "+failure.Text(err), status)
 }
 
-func sendJSON(ctx *fasthttp.RequestCtx, status int, body []byte) {
+func writeJSON(ctx *fasthttp.RequestCtx, status int, body []byte) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
 	ctx.SetBody(body)
--- a/ingress/tworuns_test.go
+++ b/ingress/tworuns_test.go
@@ -56,8 +56,8 @@
 	read   bool // the coordinator has read the request
 	closed bool
 	heard  time.Time // when the coordinator's machine hears that it is closed
-	job    *pending
-	waits  *customer
+	job    *openJob
+	waits  *waiter
 }
 
 func newFleetWorld(t modelFailer, seed uint64) *fleetWorld {
@@ -186,7 +186,7 @@
 		c.do(func() {
 			c.AfterFunc(w.RandMillis(0, modelWatch), func() {
 				if conn.job != nil {
-					conn.job.drop(conn.waits, CustomerLeft, reasonLeft)
+					conn.job.detach(conn.waits, CustomerLeft, reasonDisconnected)
 				}
 			})
 		})
@@ -200,13 +200,13 @@
 	route := &fleet.Route{Name: "r", Service: "s", Stretch: 1.6, Slack: 300 * time.Millisecond, MaxAttempts: 4}
 	conn.read = true
 	w.note(j.id, "read by %s", c.name)
-	p, me, first := c.c.open(Request{Job: job, Route: route, Timeout: modelPatience, Disconnected: func() bool { return conn.closed && !w.Now().Before(conn.heard) }})
+	p, me, first := c.c.attachOrCreate(Request{Job: job, Route: route, Timeout: modelPatience, Disconnected: func() bool { return conn.closed && !w.Now().Before(conn.heard) }})
 	conn.job, conn.waits = p, me
-	c.AfterFunc(modelPatience, func() { p.timeUp(me) })
+	c.AfterFunc(modelPatience, func() { p.timeOut(me) })
 	if !first {
 		return // it is answered there; this customer's deadline passes
 	}
-	p.onVerdict = func(a Response) {
+	p.onResponse = func(a Response) {
 		w.verdicts[a.Verdict]++
 		w.note(j.id, "%s says %s: %s", c.name, a.Verdict, a.Reason)
 		w.AfterFunc(modelClientHop, func() {
@@ -219,7 +219,7 @@
 			}
 		})
 	}
-	p.offerIdle()
+	p.offerUnassigned()
 }
 
 // fault lets one thing go wrong.
--- a/ingress/watch_test.go
+++ b/ingress/watch_test.go
@@ -177,16 +177,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if left := hasLeft(c); left() {
+	if left := disconnectCheck(c); left() {
 		t.Error("an open connection counts as ended")
 	}
-	if left := hasLeft(plainConn{c}); !left() {
+	if left := disconnectCheck(plainConn{c}); !left() {
 		t.Error("a connection that is not watched counts as open")
 	}
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if left := hasLeft(c); !left() {
+	if left := disconnectCheck(c); !left() {
 		t.Error("a connection that is closed here counts as open")
 	}
 	if err := customer.Close(); err != nil {
