--- a/node/operators.go
+++ b/node/operators.go
@@ -20,30 +20,30 @@
 
 // followOperators keeps up with both until the instance stops.
 func (n *Node) followOperators() {
-	n.follow(follower{
-		prefix: platform.OperatorPrefix, wait: n.configWait, rest: noRest,
+	n.follow(storeFollower{
+		prefix: platform.OperatorPrefix, watchWait: n.configWatchWait, readPause: noPause,
 		replace: func(items []platform.Item, revision uint64) {
-			n.zonesChanged(n.directory.ReplaceZones(revision, zoneStates(items)), "store")
-			n.takeConfigItem(items)
+			n.applyZoneChanges(n.directory.ReplaceZones(revision, zoneStatesFromStore(items)), "store")
+			n.applyConfigItem(items)
 		},
 		update: func(items []platform.Item) {
-			n.zonesChanged(n.directory.UpdateZones(zoneStates(items)), "store")
-			n.takeConfigItem(items)
+			n.applyZoneChanges(n.directory.UpdateZones(zoneStatesFromStore(items)), "store")
+			n.applyConfigItem(items)
 		},
 	})
 }
 
-// zoneStates returns what some keys say of the evacuation of availability zones.
-func zoneStates(items []platform.Item) []directory.ZoneState {
+// zoneStatesFromStore returns what some keys say of the evacuation of availability zones.
+func zoneStatesFromStore(items []platform.Item) []directory.ZoneState {
 	return lo.FilterMap(items, func(i platform.Item, _ int) (directory.ZoneState, bool) {
 		zone, is := platform.EvacuatedZone(i.Key)
 		return directory.ZoneState{Zone: zone, Evacuated: !i.Deleted, Revision: i.Revision}, is
 	})
 }
 
-// zonesChanged acts on evacuations that began or were taken back: owned groups start
+// applyZoneChanges acts on evacuations that began or were taken back: owned groups start
 // nothing more in those zones, or may again, and peers hear of it at once.
-func (n *Node) zonesChanged(changed []directory.ZoneState, from string) {
+func (n *Node) applyZoneChanges(changed []directory.ZoneState, from string) {
 	for _, s := range changed {
 		e := event.ZoneReturned
 		if s.Evacuated {
@@ -58,22 +58,22 @@
 	n.tick()
 }
 
-// hearZones takes what a peer knows of evacuated zones.
-func (n *Node) hearZones(from string, p *inner.Presence) {
+// applyPeerZones takes what a peer knows of evacuated zones.
+func (n *Node) applyPeerZones(from string, p *inner.Presence) {
 	if p.GetZonesRevision() == 0 {
 		return
 	}
-	n.zonesChanged(n.directory.ReplaceZones(p.GetZonesRevision(), zonesFrom(p)), from)
+	n.applyZoneChanges(n.directory.ReplaceZones(p.GetZonesRevision(), zoneStatesFromPeer(p)), from)
 }
 
-func zonesFrom(p *inner.Presence) []directory.ZoneState {
+func zoneStatesFromPeer(p *inner.Presence) []directory.ZoneState {
 	return lo.Map(p.GetZones(), func(z *inner.ZoneState, _ int) directory.ZoneState {
 		return directory.ZoneState{Zone: z.GetZone(), Evacuated: z.GetEvacuated(), Revision: z.GetRevision()}
 	})
 }
 
-// tellZones words what this instance knows of evacuated zones.
-func (n *Node) tellZones(p *inner.Presence) {
+// addZoneStates words what this instance knows of evacuated zones.
+func (n *Node) addZoneStates(p *inner.Presence) {
 	var states []directory.ZoneState
 	states, p.ZonesRevision = n.directory.Zones()
 	for _, s := range states {
@@ -81,9 +81,9 @@
 	}
 }
 
-// zoneGauges writes which zones are evacuated, and the revision of the store at which
+// writeZoneGauges writes which zones are evacuated, and the revision of the store at which
 // all evacuations were listed last.
-func (n *Node) zoneGauges(w io.Writer) {
+func (n *Node) writeZoneGauges(w io.Writer) {
 	states, revision := n.directory.Zones()
 	fmt.Fprintf(w, "sedgehatch_zones_revision %d\n", revision)
 	for _, s := range states {
@@ -95,52 +95,52 @@
 	}
 }
 
-// takeConfigItem puts the configuration in force that is among some keys.
-func (n *Node) takeConfigItem(items []platform.Item) {
+// applyConfigItem puts the configuration in force that is among some keys.
+func (n *Node) applyConfigItem(items []platform.Item) {
 	for _, item := range items {
 		if item.Key == platform.ConfigKey && !item.Deleted {
-			n.takeConfig(item.Value, "store")
+			n.applyConfig(item.Value, "store")
 		}
 	}
 }
 
-// configWait bounds a watch on the configuration. An answer that is lost is noticed
+// configWatchWait bounds a watch on the configuration. An answer that is lost is noticed
 // that late by those who watch closely; the others hear of a new version with the next
 // heartbeat of these. One that hears few of them watches closely itself.
-func (n *Node) configWait() time.Duration {
+func (n *Node) configWatchWait() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case n.neighbours.IsHub && n.neighbours.Rank < closeWatchers || n.hubsHeard() < closeWatchers:
-		return closeConfigWait
+	case n.neighbours.IsHub && n.neighbours.Rank < shortConfigWatchers || n.countLiveHubs() < shortConfigWatchers:
+		return shortConfigWatchWait
 	case n.neighbours.IsHub:
-		return configWait
+		return hubConfigWatchWait
 	default:
-		return spokeWait
+		return spokeWatchWait
 	}
 }
 
-// peerWait bounds a watch on the list of instances.
-func (n *Node) peerWait() time.Duration {
+// peerWatchWait bounds a watch on the list of instances.
+func (n *Node) peerWatchWait() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.neighbours.IsHub || n.hubsHeard() < closeWatchers {
-		return peerWait
+	if n.neighbours.IsHub || n.countLiveHubs() < shortConfigWatchers {
+		return hubPeerWatchWait
 	}
-	return spokeWait
+	return spokeWatchWait
 }
 
-// hubsHeard counts the other hubs of the own availability zone that live. The lock is
+// countLiveHubs counts the other hubs of the own availability zone that live. The lock is
 // held.
-func (n *Node) hubsHeard() int {
+func (n *Node) countLiveHubs() int {
 	return len(n.peers.Filter(func(p membership.Peer) bool {
 		hub := n.neighbours.Has(p.Instance) && !n.neighbours.Spokes[p.Instance]
 		return hub && p.Zone == n.settings.Zone && p.State == membership.Alive
 	}))
 }
 
-// takeConfig puts a configuration in force, unless it is not newer.
-func (n *Node) takeConfig(raw []byte, from string) {
+// applyConfig puts a configuration in force, unless it is not newer.
+func (n *Node) applyConfig(raw []byte, from string) {
 	config, err := platform.ParseConfig(raw)
 	if err != nil {
 		event.ConfigRefused.Log(n.log, slog.String("from", from), slog.String("error", err.Error()))
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -28,7 +28,7 @@
 		for i := range zones {
 			n.groupCounts[fmt.Sprintf("%c", 'a'+i)] = 4
 		}
-		n.setPeers(known)
+		n.setPeerList(known)
 		fleet = append(fleet, n)
 	}
 	return fleet
@@ -44,10 +44,10 @@
 		readers, rare := 0, 0
 		for _, n := range startingFleet(zones, instances) {
 			n.startedAt = clock.Now()
-			if n.upstreamNeed() != needNothing {
+			if n.upstreamFollowMode() != followNothing {
 				readers++
 			}
-			if n.peerWait() == spokeWait {
+			if n.peerWatchWait() == spokeWatchWait {
 				rare++
 			}
 		}
@@ -64,8 +64,8 @@
 // has waited for the list of instances.
 func TestReadersWithoutList(t *testing.T) {
 	n := bareNode("a-1", "a")
-	n.awaitList()
-	if n.upstreamNeed() != needClosely {
+	n.awaitPeerList()
+	if n.upstreamFollowMode() != followContinuously {
 		t.Error("it does not read the upstreams")
 	}
 }
@@ -75,12 +75,16 @@
 func TestSpokesWatchRarely(t *testing.T) {
 	in, hubs, spokes := largeInstallation(t)
 	spoke := in.nodes[spokes[0]]
-	in.until("the spoke hears hubs", func() bool { return spoke.peerWait() == spokeWait && spoke.configWait() == spokeWait })
-	if hub := in.nodes[hubs[0]]; hub.peerWait() != peerWait {
+	in.until("the spoke hears hubs", func() bool {
+		return spoke.peerWatchWait() == spokeWatchWait && spoke.configWatchWait() == spokeWatchWait
+	})
+	if hub := in.nodes[hubs[0]]; hub.peerWatchWait() != hubPeerWatchWait {
 		t.Error("a hub watches the list of instances rarely")
 	}
 	for _, name := range hubs[2:] {
 		in.kill(name)
 	}
-	in.until("it watches closely", func() bool { return spoke.configWait() == closeConfigWait || spoke.upstreamNeed() != needNothing })
+	in.until("it watches closely", func() bool {
+		return spoke.configWatchWait() == shortConfigWatchWait || spoke.upstreamFollowMode() != followNothing
+	})
 }
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -50,7 +50,7 @@
 	n := in.nodes["a-1"]
 	limit := n.settings.Timing.Grace - graceMargin
 	handing := func(took time.Duration) bool {
-		n.handOver(took, limit)
+		n.handOverForShutdown(took, limit)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		g := n.groups["a/0"]
@@ -78,12 +78,12 @@
 		"nothing listens there":        {age: settleTime / 2, absent: true, want: true},
 		"no connection is accepted":    {age: settleTime, dial: dialFailed, want: true},
 		"a connection is accepted":     {age: settleTime, dial: dialAccepted, want: false},
-		"a connection is under way":    {age: settleTime, dial: dialOpen, want: false},
+		"a connection is under way":    {age: settleTime, dial: dialPending, want: false},
 		"it has said nothing for long": {age: busySettleTime, dial: dialAccepted, want: true},
 		"the list has not been read":   {age: settleTime, unread: true, dial: dialFailed, want: false},
 	} {
 		n := &Node{
-			peers: membership.NewTable(silence), neighbours: &membership.Neighbours{Near: map[string]bool{"a-2": true}},
+			peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{Near: map[string]bool{"a-2": true}},
 			refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{"there": c.dial},
 			startedAt: clock.Now().Add(-c.age), peerListRead: !c.unread,
 		}
@@ -91,7 +91,7 @@
 		if c.absent {
 			n.refusedAt["a-2"] = clock.Now()
 		}
-		if got := n.settled(); got != c.want {
+		if got := n.membershipSettled(); got != c.want {
 			t.Errorf("%s: settled %v, want %v", name, got, c.want)
 		}
 	}
@@ -100,7 +100,7 @@
 // bareNode returns an instance that has just begun and knows nobody. It does not run.
 func bareNode(name, zone string) *Node {
 	n := &Node{
-		peers: membership.NewTable(silence), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{},
+		peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{},
 		refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{}, groupCounts: map[string]int{}, startedAt: clock.Now(), log: slog.New(slog.DiscardHandler),
 		peerListReady: make(chan struct{}), ctx: context.Background(), directory: directory.New(),
 	}
@@ -113,8 +113,8 @@
 // before a group is taken, from the moment on that the list counts.
 func TestSettledOnceListed(t *testing.T) {
 	n := bareNode("a-2", "a")
-	n.setPeers(map[string]membership.Listing{"a-1": {Instance: "a-1", Zone: "a", Address: "there"}})
-	if n.settled() {
+	n.setPeerList(map[string]membership.Listing{"a-1": {Instance: "a-1", Zone: "a", Address: "there"}})
+	if n.membershipSettled() {
 		t.Error("it takes groups without having heard the peer that it has read of")
 	}
 }
