--- a/owner/await.go
+++ b/owner/await.go
@@ -11,97 +11,100 @@
 	"golang.org/x/time/rate"
 )
 
-// A call is overdue when its answer takes longer than the answers before it, and
-// is given up much later: to give it up costs its connection, and an answer that
-// comes late is still true.
+// A call has two time limits. It is overdue if its response takes longer than recent
+// responses have taken, and is then treated as lost. It times out much later, because a
+// timeout closes the connection, and a late response is still valid and is processed.
 
 const (
-	// limitTimeouts is how many times longer than until it is overdue a call may
-	// take before it is given up, between minLimit and maxLimit: an order is not
-	// carried out after the lease that it grants.
-	limitTimeouts = 4
-	minLimit      = 150 * time.Millisecond
-	maxLimit      = time.Second
-	// distrustBurst is of how many upstreams the connections may be closed at
-	// once, all of a group's at least, and distrustRate how many a second from
-	// then on. Connections that go silent do so together; where calls are overdue
-	// for long, it is the link or the processor, and new connections make it worse.
-	distrustBurst = 128
-	distrustRate  = rate.Limit(4)
+	// timeoutFactor is the ratio of a call's timeout to the time after which it is overdue.
+	// The timeout is at least minCallTimeout, and at most maxCallTimeout because an upstream
+	// does not carry out an order after the lease that the order grants has expired.
+	timeoutFactor  = 4
+	minCallTimeout = 150 * time.Millisecond
+	maxCallTimeout = time.Second
+	// closeBurst is the number of upstreams whose idle connections may be closed in a burst;
+	// it covers at least all upstreams of a group, because connections tend to go silent
+	// together. closeRate is how many may be closed per second after that. If calls stay
+	// overdue, the network link or the CPU is saturated, and new connections only add load.
+	closeBurst = 128
+	closeRate  = rate.Limit(4)
 )
 
-// errOverdue stands for an answer that has not come yet.
+// errOverdue is reported to the pool for a call that is overdue.
 var errOverdue = failure.Lost.New("no answer in time")
 
-// timeouts returns when a call is overdue and when it is given up.
-func (g *Group) timeouts() (overdue, limit time.Duration) {
+// callTimeouts returns the time after which a start or stop is overdue, without the delay of
+// the network link, and its timeout, with that delay.
+func (g *Group) callTimeouts() (overdueAfter, timeout time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Now()
-	overdue = g.rtt.timeout(now)
-	return overdue, limitOf(overdue) + g.pool.LinkDelay(now)
+	overdueAfter = g.rtt.timeout(now)
+	return overdueAfter, callTimeout(overdueAfter) + g.pool.LinkDelay(now)
 }
 
-func limitOf(overdue time.Duration) time.Duration {
-	return min(max(limitTimeouts*overdue, minLimit), maxLimit)
+// callTimeout returns the timeout of a call, without the delay of the network link.
+func callTimeout(overdueAfter time.Duration) time.Duration {
+	return min(max(timeoutFactor*overdueAfter, minCallTimeout), maxCallTimeout)
 }
 
-// reportTimeouts are the timeouts of a report. One that is due at once is asked
-// for again soon: a lease may run out.
-func (g *Group) reportTimeouts(order fleet.HoldOrder) (overdue, limit time.Duration) {
+// holdTimeouts returns the time after which a hold is overdue, and its timeout, which counts
+// from the end of the order's wait. Both include the delay of the network link. A poll is
+// overdue sooner than a long poll, so that it is repeated before a lease expires.
+func (g *Group) holdTimeouts(order fleet.HoldOrder) (overdueAfter, timeout time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	least := lookOverdue
+	minOverdue := minPollOverdue
 	if order.WaitMs > 0 {
-		least = holdOverdue
+		minOverdue = minLongPollOverdue
 	}
 	now := clock.Now()
-	answers := g.rtt.timeout(now)
-	queued := g.pool.LinkDelay(now)
-	overdue = max(reportTimeouts*answers, least) + queued
+	rttTimeout := g.rtt.timeout(now)
+	linkDelay := g.pool.LinkDelay(now)
+	overdueAfter = max(holdOverdueFactor*rttTimeout, minOverdue) + linkDelay
 	wait := time.Duration(order.WaitMs) * time.Millisecond
-	return wait + overdue, max(overdue, limitOf(answers)+queued)
+	return wait + overdueAfter, max(overdueAfter, callTimeout(rttTimeout)+linkDelay)
 }
 
-// unanswered takes a call to an upstream that is overdue: the connections that were
-// open beside it may have gone silent with it.
-func (g *Group) unanswered(kind string, u fleet.Upstream) {
-	g.seen.CallOverdue(kind)
-	if g.distrust.Allow() {
-		g.calls.CloseIdleConnections(u)
+// handleOverdue reports an overdue call and, within the rate limit, closes the idle
+// connections to its upstream: they may have gone silent as well.
+func (g *Group) handleOverdue(kind string, u fleet.Upstream) {
+	g.observer.CallOverdue(kind)
+	if g.closeLimiter.Allow() {
+		g.client.CloseIdleConnections(u)
 	}
 }
 
-// await makes a call and returns its answer, or false once it is overdue. Late is
-// called with the answer that comes after that.
-func await[T any](overdue time.Duration, call func() T, late func(T)) (answer T, inTime bool) {
+// await makes a call and returns its response, or false once the call is overdue. A
+// response that arrives later is passed to onLate.
+func await[T any](overdueAfter time.Duration, call func() T, onLate func(T)) (response T, inTime bool) {
 	var mu sync.Mutex
-	answered, left := make(chan T, 1), false
+	responses, abandoned := make(chan T, 1), false
 	go func() {
-		a := call()
+		r := call()
 		mu.Lock()
-		if !left {
-			answered <- a
+		if !abandoned {
+			responses <- r
 			mu.Unlock()
 			return
 		}
 		mu.Unlock()
-		late(a)
+		onLate(r)
 	}()
-	timer := time.NewTimer(overdue)
+	timer := time.NewTimer(overdueAfter)
 	defer timer.Stop()
 	select {
-	case answer = <-answered:
-		return answer, true
+	case response = <-responses:
+		return response, true
 	case <-timer.C:
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	select {
-	case answer = <-answered:
-		return answer, true
+	case response = <-responses:
+		return response, true
 	default:
-		left = true
-		return answer, false
+		abandoned = true
+		return response, false
 	}
 }
--- a/owner/await_test.go
+++ b/owner/await_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// TestAwait: an answer is told once, in time or late.
+// TestAwait checks that a response is delivered exactly once, either as the result of await
+// or to onLate.
 func TestAwait(t *testing.T) {
 	for name, c := range map[string]struct {
-		takes, overdue time.Duration
-		inTime         bool
+		duration, overdueAfter time.Duration
+		inTime                 bool
 	}{
 		"in time":   {10 * time.Millisecond, 20 * time.Millisecond, true},
 		"late":      {300 * time.Millisecond, 20 * time.Millisecond, false},
@@ -20,62 +21,62 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var late atomic.Int64 // the sum of late answers
+				var lateSum atomic.Int64 // sum of the late responses
 				began := time.Now()
-				answer, inTime := await(c.overdue, func() int { time.Sleep(c.takes); return 7 }, func(answer int) { late.Add(int64(answer)) })
-				if inTime != c.inTime || inTime && answer != 7 {
-					t.Errorf("%d, in time %v", answer, inTime)
+				response, inTime := await(c.overdueAfter, func() int { time.Sleep(c.duration); return 7 }, func(late int) { lateSum.Add(int64(late)) })
+				if inTime != c.inTime || inTime && response != 7 {
+					t.Errorf("response %d, in time %v", response, inTime)
 				}
-				if waited := time.Since(began); waited > c.overdue {
-					t.Errorf("it waited for %v", waited)
+				if waited := time.Since(began); waited > c.overdueAfter {
+					t.Errorf("await returned after %v", waited)
 				}
 				time.Sleep(2 * time.Minute)
-				if (late.Load() == 7) == c.inTime {
-					t.Errorf("the late answers add up to %d", late.Load())
+				if (lateSum.Load() == 7) == c.inTime {
+					t.Errorf("the sum of the late responses is %d", lateSum.Load())
 				}
 			})
 		})
 	}
 }
 
-// TestOverdueFollowsAnswers: what answers took lately decides when the next is
-// overdue, late ones included; it falls again once they come soon.
+// TestOverdueFollowsAnswers checks that the time after which a call is overdue follows recent
+// response times, including those of late responses, and drops again when responses are fast.
 func TestOverdueFollowsAnswers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var r roundTrip
-	if r.timeout(now) != firstTimeout {
-		t.Errorf("%v before any answer", r.timeout(now))
+	var rtt rttEstimator
+	if rtt.timeout(now) != initialTimeout {
+		t.Errorf("timeout %v before any response", rtt.timeout(now))
 	}
-	soon := func(n int) {
+	respondFast := func(n int) {
 		for range n {
 			now = now.Add(10 * time.Millisecond)
-			r.learn(now, time.Millisecond, true)
+			rtt.observe(now, time.Millisecond, true)
 		}
 	}
-	soon(50)
-	if r.timeout(now) != minTimeout {
-		t.Errorf("%v on a sound network", r.timeout(now))
+	respondFast(50)
+	if rtt.timeout(now) != minTimeout {
+		t.Errorf("timeout %v on a healthy network", rtt.timeout(now))
 	}
-	r.learn(now, 0, false)
-	if r.timeout(now) != minTimeout {
-		t.Errorf("%v after one that was lost", r.timeout(now))
+	rtt.observe(now, 0, false)
+	if rtt.timeout(now) != minTimeout {
+		t.Errorf("timeout %v after a lost call", rtt.timeout(now))
 	}
-	r.learn(now, 200*time.Millisecond, true)
-	if r.timeout(now) < 200*time.Millisecond {
-		t.Errorf("%v after an answer that took 200 ms", r.timeout(now))
+	rtt.observe(now, 200*time.Millisecond, true)
+	if rtt.timeout(now) < 200*time.Millisecond {
+		t.Errorf("timeout %v after a response that took 200 ms", rtt.timeout(now))
 	}
-	soon(10)
-	if r.timeout(now) < 200*time.Millisecond {
-		t.Errorf("%v soon after an answer that took 200 ms", r.timeout(now))
+	respondFast(10)
+	if rtt.timeout(now) < 200*time.Millisecond {
+		t.Errorf("timeout %v shortly after a response that took 200 ms", rtt.timeout(now))
 	}
-	soon(2000)
-	if r.timeout(now) != minTimeout {
-		t.Errorf("%v long after it", r.timeout(now))
+	respondFast(2000)
+	if rtt.timeout(now) != minTimeout {
+		t.Errorf("timeout %v long after the response that took 200 ms", rtt.timeout(now))
 	}
 	for range 20 {
-		r.learn(now, time.Hour, true)
+		rtt.observe(now, time.Hour, true)
 	}
-	if r.timeout(now) != maxTimeout {
-		t.Errorf("%v at the most", r.timeout(now))
+	if rtt.timeout(now) != maxTimeout {
+		t.Errorf("timeout %v after responses that took an hour", rtt.timeout(now))
 	}
 }
--- a/owner/group.go
+++ b/owner/group.go
@@ -1,5 +1,5 @@
-// Package owner runs a group of upstreams: it makes the calls that a
-// schedule.Pool decides on, and feeds their answers back to it.
+// Package owner runs tasks on a group of upstreams: it makes the calls that a schedule.Pool
+// decides on, and passes the responses back to the pool.
 package owner
 
 import (
@@ -14,80 +14,83 @@
 	"golang.org/x/time/rate"
 )
 
-// UpstreamClient makes calls to upstreams. Errors are Gone where the upstream's life
-// is over, Conflict where it has seen a higher fencing token, Refused where it
-// declines, and Lost where no answer came within the timeout; the connection is
-// closed then.
+// UpstreamClient makes calls to upstreams. The errors are Gone if the upstream process has
+// ended or restarted, Conflict if the upstream has seen a higher fencing token, Refused if it
+// declines the call, and Lost if it did not respond within the timeout, in which case the
+// connection is closed.
 type UpstreamClient interface {
 	Start(to fleet.Upstream, o fleet.StartOrder, timeout time.Duration) (fleet.Refusal, error)
 	Stop(to fleet.Upstream, run fleet.Run, token uint64, timeout time.Duration) error
 	Hold(to fleet.Upstream, o fleet.HoldOrder, timeout time.Duration) (fleet.Report, error)
-	// CloseIdleConnections closes the connections to an upstream that no call is on: they may
-	// have gone silent.
+	// CloseIdleConnections closes the connections to an upstream on which no call is in
+	// flight, because they may have gone silent.
 	CloseIdleConnections(to fleet.Upstream)
 }
 
-// Observer is told what a group decides and how its calls went.
+// Observer is notified of the decisions and calls of groups, for logs and metrics.
 type Observer interface {
 	DecisionMade(group string, token uint64, d schedule.Decision)
-	// CallEnded is told the end of a call, and CallOverdue that a call counts as
-	// unanswered before it has ended.
+	// CallEnded is called when a call of a kind ("start", "stop" or "hold") has ended.
 	CallEnded(kind string, err error, took time.Duration)
+	// CallOverdue is called when a call becomes overdue; CallEnded follows later.
 	CallOverdue(kind string)
 }
 
 const (
-	// holdOverdue is when a report that waits for an end is overdue at least,
-	// beyond what it may wait.
-	holdOverdue = 150 * time.Millisecond
-	// lookOverdue is the same for a report that is due at once. Either has
-	// reportTimeouts times as long as a start, where that is longer.
-	lookOverdue    = 75 * time.Millisecond
-	reportTimeouts = 2
-	// holdPause is the pause after a report that did not come.
-	holdPause = 20 * time.Millisecond
-	// tick is how often time passes for the pool.
-	tick = 25 * time.Millisecond
+	// minLongPollOverdue is the minimum time after which a hold with a wait is overdue,
+	// counted from the end of that wait.
+	minLongPollOverdue = 150 * time.Millisecond
+	// minPollOverdue is the minimum time after which a hold without a wait is overdue.
+	minPollOverdue = 75 * time.Millisecond
+	// holdOverdueFactor is how many times longer than a start a hold may take before it is
+	// overdue, if that is longer than the minimum.
+	holdOverdueFactor = 2
+	// holdRetryDelay is the delay before a failed hold is repeated.
+	holdRetryDelay = 20 * time.Millisecond
+	// tickInterval is the interval between calls of Pool.Tick.
+	tickInterval = 25 * time.Millisecond
 )
 
-// OfferCallbacks takes what becomes of an offer. Returned tasks may come several times
-// before the end.
+// OfferCallbacks receives the results of an offer, with the load of the group at that time.
 type OfferCallbacks struct {
+	// TasksReturned is called, possibly several times during an offer, for tasks that do not
+	// run in the group and never will.
 	TasksReturned func(schedule.Result, schedule.Load)
-	OfferEnded    func(schedule.Result, schedule.Load)
+	// OfferEnded is called once, when the offer has ended, unless it is withdrawn before.
+	OfferEnded func(schedule.Result, schedule.Load)
 }
 
-// Group is a pool at work.
+// Group carries out the decisions of a schedule.Pool for one group of upstreams.
 type Group struct {
 	Name  string
-	Token uint64
-
-	calls UpstreamClient
-	seen  Observer
-
-	mu       sync.Mutex // guards pool and answers
-	pool     *schedule.Pool
-	rtt      roundTrip     // of starts
-	distrust *rate.Limiter // of upstreams whose connections are closed
-	answers  map[schedule.JobKey]OfferCallbacks
-	follows  map[string]bool // upstreams whose reports are being read
-	closed   bool
-	done     chan struct{}
+	Token uint64 // fencing token
+
+	client   UpstreamClient
+	observer Observer
+
+	mu           sync.Mutex // guards pool, rtt, callbacks, holding and closed
+	pool         *schedule.Pool
+	rtt          rttEstimator  // response times of starts
+	closeLimiter *rate.Limiter // limits calls of CloseIdleConnections
+	callbacks    map[schedule.JobKey]OfferCallbacks
+	holding      map[string]bool // ids of upstreams with a running holdLoop
+	closed       bool
+	done         chan struct{} // closed by Close
 }
 
-// NewGroup returns a running group. Close ends it.
-func NewGroup(name string, cfg schedule.Config, token uint64, calls UpstreamClient, seen Observer) *Group {
+// NewGroup returns a running group. Close stops it.
+func NewGroup(name string, cfg schedule.Config, token uint64, client UpstreamClient, observer Observer) *Group {
 	g := &Group{
-		Name: name, Token: token, calls: calls, seen: seen,
-		pool: schedule.NewPool(cfg, token), answers: map[schedule.JobKey]OfferCallbacks{}, follows: map[string]bool{}, done: make(chan struct{}),
-		distrust: rate.NewLimiter(distrustRate, distrustBurst),
+		Name: name, Token: token, client: client, observer: observer,
+		pool: schedule.NewPool(cfg, token), callbacks: map[schedule.JobKey]OfferCallbacks{}, holding: map[string]bool{}, done: make(chan struct{}),
+		closeLimiter: rate.NewLimiter(closeRate, closeBurst),
 	}
-	go g.ticks()
+	go g.tickLoop()
 	return g
 }
 
-func (g *Group) ticks() {
-	ticker := time.NewTicker(tick)
+func (g *Group) tickLoop() {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -99,7 +102,7 @@
 	}
 }
 
-// apply gives the pool one input and carries its effects out.
+// apply passes one input to the pool and carries out the resulting effects.
 func (g *Group) apply(input func(p *schedule.Pool, now time.Time) schedule.Effects) {
 	g.mu.Lock()
 	if g.closed {
@@ -109,37 +112,38 @@
 	now := clock.Now()
 	g.pool.SetAnswerTimeout(g.rtt.timeout(now))
 	effects := input(g.pool, now)
-	tell := g.collect(&effects)
+	notify := g.takeNotifications(&effects)
 	g.mu.Unlock()
-	for _, f := range tell {
+	for _, f := range notify {
 		f()
 	}
-	g.carryOut(&effects)
+	g.execute(&effects)
 }
 
-// collect pairs results with those who wait for them. The lock is held; what
-// it returns is called without it.
-func (g *Group) collect(effects *schedule.Effects) []func() {
+// takeNotifications returns the calls of offer callbacks for the results in effects, and
+// removes the callbacks of offers that have ended. The lock must be held; the returned
+// functions must be called without it.
+func (g *Group) takeNotifications(effects *schedule.Effects) []func() {
 	if len(effects.Returns) == 0 && len(effects.Results) == 0 {
 		return nil
 	}
 	load := g.pool.Load(clock.Now())
-	var tell []func()
+	var notify []func()
 	for _, r := range effects.Returns {
-		if a, known := g.answers[r.Key]; known {
-			tell = append(tell, func() { a.TasksReturned(r, load) })
+		if c, ok := g.callbacks[r.Key]; ok {
+			notify = append(notify, func() { c.TasksReturned(r, load) })
 		}
 	}
 	for _, r := range effects.Results {
-		if a, known := g.answers[r.Key]; known {
-			delete(g.answers, r.Key)
-			tell = append(tell, func() { a.OfferEnded(r, load) })
+		if c, ok := g.callbacks[r.Key]; ok {
+			delete(g.callbacks, r.Key)
+			notify = append(notify, func() { c.OfferEnded(r, load) })
 		}
 	}
-	return tell
+	return notify
 }
 
-func (g *Group) carryOut(effects *schedule.Effects) {
+func (g *Group) execute(effects *schedule.Effects) {
 	for _, s := range effects.Starts {
 		go g.start(s)
 	}
@@ -147,124 +151,126 @@
 		go g.stop(s)
 	}
 	for _, id := range effects.Polls {
-		go g.look(id)
+		go g.poll(id)
 	}
 	for _, d := range effects.Decisions {
-		g.seen.DecisionMade(g.Name, g.Token, d)
+		g.observer.DecisionMade(g.Name, g.Token, d)
 	}
 }
 
-// started is the answer to a start.
-type started struct {
+// startResponse is the response to a start.
+type startResponse struct {
 	refusal fleet.Refusal
 	err     error
 }
 
-// start makes the call of a start. One that is overdue counts as unanswered; its
-// answer is still taken when it comes.
+// start makes the call to start a run. An overdue call is reported to the pool as lost, but
+// a response that arrives later is still passed to the pool.
 func (g *Group) start(s schedule.Start) {
-	overdue, limit := g.timeouts()
-	began := clock.Now()
-	if began.After(s.SendBy) { // this process stood still
-		g.started(s, started{refusal: fleet.RefusedLate}, 0)
+	overdueAfter, timeout := g.callTimeouts()
+	sent := clock.Now()
+	if sent.After(s.SendBy) { // this process was paused
+		g.handleStartResponse(s, startResponse{refusal: fleet.RefusedLate}, 0)
 		return
 	}
-	call := func() started {
-		refusal, err := g.calls.Start(s.Upstream, s.Order, limit)
-		g.seen.CallEnded("start", err, clock.Since(began))
-		return started{refusal, err}
+	call := func() startResponse {
+		refusal, err := g.client.Start(s.Upstream, s.Order, timeout)
+		g.observer.CallEnded("start", err, clock.Since(sent))
+		return startResponse{refusal, err}
 	}
-	take := func(a started) { g.started(s, a, clock.Since(began)-s.LinkDelay) }
-	answer, inTime := await(overdue+s.LinkDelay, call, func(late started) {
-		if !failure.Is(late.err, failure.Lost) { // which has been told
-			take(late)
+	handle := func(r startResponse) { g.handleStartResponse(s, r, clock.Since(sent)-s.LinkDelay) }
+	response, inTime := await(overdueAfter+s.LinkDelay, call, func(late startResponse) {
+		if !failure.Is(late.err, failure.Lost) { // the pool already has a Lost error, errOverdue
+			handle(late)
 		}
 	})
 	if inTime {
-		take(answer)
+		handle(response)
 		return
 	}
-	g.unanswered("start", s.Upstream)
-	g.started(s, started{err: errOverdue}, 0)
+	g.handleOverdue("start", s.Upstream)
+	g.handleStartResponse(s, startResponse{err: errOverdue}, 0)
 }
 
-// started gives the pool the answer to a start, which took so long beyond the time
-// on the link.
-func (g *Group) started(s schedule.Start, a started, took time.Duration) {
+// handleStartResponse passes the response to a start to the pool. Took is the response time
+// without the delay of the network link.
+func (g *Group) handleStartResponse(s schedule.Start, r startResponse, took time.Duration) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
-		g.rtt.learn(now, took, a.err == nil)
-		return p.HandleStartResponse(now, s.Upstream.Incarnation(), s.Order.Run, a.refusal, a.err)
+		g.rtt.observe(now, took, r.err == nil)
+		return p.HandleStartResponse(now, s.Upstream.Incarnation(), s.Order.Run, r.refusal, r.err)
 	})
 }
 
 func (g *Group) stop(s schedule.Stop) {
-	_, limit := g.timeouts()
-	began := clock.Now()
-	err := g.calls.Stop(s.Upstream, s.Run, g.Token, limit)
-	g.seen.CallEnded("stop", err, clock.Since(began))
+	_, timeout := g.callTimeouts()
+	sent := clock.Now()
+	err := g.client.Stop(s.Upstream, s.Run, g.Token, timeout)
+	g.observer.CallEnded("stop", err, clock.Since(sent))
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		return p.HandleStopResponse(now, s.Upstream.Incarnation(), s.Run, err)
 	})
 }
 
-func (g *Group) look(id string) {
+func (g *Group) poll(id string) {
 	g.mu.Lock()
-	u, order, known := g.pool.PollOrder(clock.Now(), id)
-	known = known && !g.closed
+	u, order, ok := g.pool.PollOrder(clock.Now(), id)
+	ok = ok && !g.closed
 	g.mu.Unlock()
-	if known {
-		_ = g.hold(u, order) // the pool has taken the error, and asks again
+	if ok {
+		_ = g.hold(u, order) // the pool has received the error and polls again
 	}
 }
 
-// held is the answer to a hold.
-type held struct {
+// holdResponse is the response to a hold.
+type holdResponse struct {
 	report fleet.Report
 	err    error
 }
 
-// hold makes one call for a report, as start does.
+// hold sends an order to an upstream that requests a report and, unless it is a poll, renews
+// the leases there. An overdue call is treated as in start.
 func (g *Group) hold(u fleet.Upstream, order fleet.HoldOrder) error {
-	overdue, limit := g.reportTimeouts(order)
+	overdueAfter, timeout := g.holdTimeouts(order)
 	sent := clock.Now()
-	call := func() held {
-		report, err := g.calls.Hold(u, order, limit)
-		g.seen.CallEnded("hold", err, clock.Since(sent))
-		return held{report, err}
+	call := func() holdResponse {
+		report, err := g.client.Hold(u, order, timeout)
+		g.observer.CallEnded("hold", err, clock.Since(sent))
+		return holdResponse{report, err}
 	}
-	answer, inTime := await(overdue, call, func(late held) {
-		if !failure.Is(late.err, failure.Lost) { // which has been told
-			g.held(u, sent, late)
+	response, inTime := await(overdueAfter, call, func(late holdResponse) {
+		if !failure.Is(late.err, failure.Lost) { // the pool already has a Lost error, errOverdue
+			g.handleHoldResponse(u, sent, late)
 		}
 	})
 	if inTime {
-		g.held(u, sent, answer)
-		return answer.err
+		g.handleHoldResponse(u, sent, response)
+		return response.err
 	}
-	g.unanswered("hold", u)
-	g.held(u, sent, held{err: errOverdue})
+	g.handleOverdue("hold", u)
+	g.handleHoldResponse(u, sent, holdResponse{err: errOverdue})
 	return errOverdue
 }
 
-// held gives the pool the answer to a hold that was sent at a time.
-func (g *Group) held(u fleet.Upstream, sent time.Time, a held) {
+// handleHoldResponse passes the response to a hold to the pool. Sent is when the hold was
+// sent.
+func (g *Group) handleHoldResponse(u fleet.Upstream, sent time.Time, r holdResponse) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
-		return p.HandleHoldResponse(now, u.Incarnation(), sent, a.report, a.err)
+		return p.HandleHoldResponse(now, u.Incarnation(), sent, r.report, r.err)
 	})
 }
 
-// follow keeps the lease of one upstream and reads its reports, until it does
-// not belong to the group any more.
-func (g *Group) follow(id string) {
+// holdLoop holds one upstream again and again, to renew its leases and read its reports,
+// until the upstream does not belong to the group any more.
+func (g *Group) holdLoop(id string) {
 	for {
 		g.mu.Lock()
-		u, order, known := g.pool.HoldOrder(clock.Now(), id)
-		known = known && !g.closed
-		if !known {
-			delete(g.follows, id)
+		u, order, ok := g.pool.HoldOrder(clock.Now(), id)
+		ok = ok && !g.closed
+		if !ok {
+			delete(g.holding, id)
 		}
 		g.mu.Unlock()
-		if !known {
+		if !ok {
 			return
 		}
 		if g.hold(u, order) == nil {
@@ -273,48 +279,49 @@
 		select {
 		case <-g.done:
 			return
-		case <-time.After(holdPause):
+		case <-time.After(holdRetryDelay):
 		}
 	}
 }
 
-// SetUpstreams takes the group's upstreams as the store lists them.
+// SetUpstreams sets the group's upstreams to those listed in the store.
 func (g *Group) SetUpstreams(list []fleet.Upstream) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		added, effects := p.SetUpstreams(now, list)
 		for _, id := range added {
-			if !g.follows[id] {
-				g.follows[id] = true
-				go g.follow(id)
+			if !g.holding[id] {
+				g.holding[id] = true
+				go g.holdLoop(id)
 			}
 		}
 		return effects
 	})
 }
 
-// Drain makes the group start nothing more.
+// Drain stops the group from starting further tasks.
 func (g *Group) Drain() {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects { return p.Drain(now) })
 }
 
-// Release gives up the upstreams of a draining group on which nothing runs, and
-// returns their ids.
+// Release removes the upstreams on which nothing runs from a draining group, and returns
+// their ids.
 func (g *Group) Release() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pool.Release()
 }
 
-// Idle reports whether nothing runs or waits.
+// Idle reports whether no task of the group runs or waits.
 func (g *Group) Idle() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pool.Idle()
 }
 
-// FencedAt returns when the group lost its first upstream to a higher token,
-// zero where it has lost none, and whether any upstream ever accepted its own.
-func (g *Group) FencedAt() (at time.Time, joined bool) {
+// FencedAt returns when the group lost its first upstream to an owner with a higher fencing
+// token, or the zero time if it has lost none, and whether any upstream has ever accepted
+// the group's own token.
+func (g *Group) FencedAt() (at time.Time, accepted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pool.FencedAt(), g.pool.EverAccepted()
@@ -327,13 +334,13 @@
 	return g.pool.Load(clock.Now())
 }
 
-// CallDelays are what the calls of a group wait for.
+// CallDelays holds the current limits and delays of a group's calls.
 type CallDelays struct {
-	OverdueAfter time.Duration // after which an answer counts as overdue
-	LinkWait     time.Duration // until the link has carried what was handed to it
+	OverdueAfter time.Duration // time after which a start is overdue
+	LinkWait     time.Duration // until the network link has transmitted what is queued on it
 }
 
-// CallDelays returns what calls wait for now.
+// CallDelays returns the current limits and delays of the group's calls.
 func (g *Group) CallDelays() CallDelays {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -341,8 +348,8 @@
 	return CallDelays{OverdueAfter: g.rtt.timeout(now), LinkWait: g.pool.LinkDelay(now)}
 }
 
-// Close ends the group: it makes no call any more. The jobs that are left end
-// as unknown.
+// Close stops the group: it makes no further calls, and its open offers end with outcome
+// Unknown.
 func (g *Group) Close() {
 	g.mu.Lock()
 	if g.closed {
@@ -351,10 +358,10 @@
 	}
 	g.closed = true
 	close(g.done)
-	answers := g.answers
-	g.answers = map[schedule.JobKey]OfferCallbacks{}
+	callbacks := g.callbacks
+	g.callbacks = map[schedule.JobKey]OfferCallbacks{}
 	g.mu.Unlock()
-	for key, a := range answers {
-		a.OfferEnded(schedule.Result{Key: key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
+	for key, c := range callbacks {
+		c.OfferEnded(schedule.Result{Key: key, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
 	}
 }
--- a/owner/link_test.go
+++ b/owner/link_test.go
@@ -16,67 +16,68 @@
 	"github.com/samber/lo"
 )
 
-// The load of these tests is that of a small instance that owns the 20 upstreams of
-// its zone: starts carry the 1,200 bytes of their job and some 260 of their own,
-// and a link of 2 Mbit/s carries 170 of them a second if it carries nothing else.
+// The load of these tests is that of a small instance that owns the 20 upstreams of its
+// zone. A start consists of the 1,200 bytes of its job and about 260 bytes of overhead. A
+// link of 2 Mbit/s can transmit 170 starts per second and nothing else.
 
 const (
-	// narrowLink is a link of 2 Mbit/s, in bytes a second.
-	narrowLink = 250_000
-	// specBytes is the mean size of what a customer hands in with a job.
+	// slowLinkRate is 2 Mbit/s in bytes per second.
+	slowLinkRate = 250_000
+	// specBytes is the mean size of a job's spec.
 	specBytes = 1200
-	// headBytes is what an order has beside that: names, token, lease, headers.
-	headBytes = 260
-	// openBytes is what opening and closing a connection sends: four packets.
-	openBytes = 240
-	// roundTripTime is that of an idle network.
+	// orderOverheadBytes is the size of an order without the spec: names, token, lease and
+	// headers.
+	orderOverheadBytes = 260
+	// connectBytes is the traffic of opening and closing a connection: four packets.
+	connectBytes = 240
+	// roundTripTime is the round-trip time of an idle link.
 	roundTripTime = 2 * time.Millisecond
-	taskTime      = 100 * time.Millisecond
-	// meanWidth is how many tasks a job has.
-	meanWidth = 4
+	taskDuration  = 100 * time.Millisecond
+	// meanTasks is the mean number of tasks of a job.
+	meanTasks = 4
 )
 
-// linked are upstreams behind one link that carries one byte after the other.
-// They run in the time of a synctest bubble.
-type linked struct {
-	rate float64 // bytes a second
+// linkedUpstreams implements UpstreamClient with emulated upstreams behind one network link
+// that transmits one message after the other. It needs the virtual time of a synctest bubble.
+type linkedUpstreams struct {
+	rate float64 // of the link, in bytes per second
 
-	mu     sync.Mutex
-	free   time.Time // when the link has carried what was handed to it
-	cores  map[string]*standin.UpstreamModel
-	idle   map[string]int // connections that no call is on
-	opened int            // connections
+	mu          sync.Mutex
+	freeAt      time.Time                         // when the link has transmitted what is queued on it
+	models      map[string]*standin.UpstreamModel // by upstream id
+	idleConns   map[string]int                    // open connections without a call in flight, by upstream id
+	openedConns int                               // connections opened so far
 }
 
-func newLinked(rate float64, upstreams []fleet.Upstream) *linked {
-	l := &linked{rate: rate, cores: map[string]*standin.UpstreamModel{}, idle: map[string]int{}}
+func newLinkedUpstreams(rate float64, upstreams []fleet.Upstream) *linkedUpstreams {
+	l := &linkedUpstreams{rate: rate, models: map[string]*standin.UpstreamModel{}, idleConns: map[string]int{}}
 	for _, u := range upstreams {
-		l.cores[u.ID] = standin.NewUpstreamModel(time.Now(), u.Capacity, func(fleet.Run) (time.Duration, fleet.Resources) {
-			return taskTime, fleet.Resources{MilliCPU: 32_000}
+		l.models[u.ID] = standin.NewUpstreamModel(time.Now(), u.Capacity, func(fleet.Run) (time.Duration, fleet.Resources) {
+			return taskDuration, fleet.Resources{MilliCPU: 32_000}
 		})
 	}
 	return l
 }
 
-// call carries an order over the link and has it carried out, on a connection of
-// its own. It is Lost after the timeout; what is on the link arrives all the same.
-func (l *linked) call(to fleet.Upstream, bytes int, timeout time.Duration, carryOut func(*standin.UpstreamModel)) error {
-	answered := make(chan struct{})
+// call sends an order over the link and executes it at the upstream, on an idle connection
+// or a new one. After the timeout it returns a Lost error, but the order still arrives.
+func (l *linkedUpstreams) call(to fleet.Upstream, bytes int, timeout time.Duration, execute func(*standin.UpstreamModel)) error {
+	responded := make(chan struct{})
 	go func() {
-		if !l.take(to) {
-			l.carry(openBytes)
+		if !l.takeIdleConn(to) {
+			l.transmit(connectBytes)
 			time.Sleep(roundTripTime / 2)
 		}
-		l.carry(bytes)
-		carryOut(l.cores[to.ID])
+		l.transmit(bytes)
+		execute(l.models[to.ID])
 		time.Sleep(roundTripTime / 2)
-		close(answered)
+		close(responded)
 	}()
 	select {
-	case <-answered:
+	case <-responded:
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.idle[to.ID]++
+		l.idleConns[to.ID]++
 		return nil
 	case <-time.After(timeout):
 		l.CloseIdleConnections(to)
@@ -84,50 +85,51 @@
 	}
 }
 
-// take takes a connection to an upstream, and reports whether it was open.
-func (l *linked) take(to fleet.Upstream) bool {
+// takeIdleConn takes an idle connection to an upstream. It returns false, and counts a new
+// connection, if there is none.
+func (l *linkedUpstreams) takeIdleConn(to fleet.Upstream) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.idle[to.ID] > 0 {
-		l.idle[to.ID]--
+	if l.idleConns[to.ID] > 0 {
+		l.idleConns[to.ID]--
 		return true
 	}
-	l.opened++
+	l.openedConns++
 	return false
 }
 
-// connections counts those that were opened.
-func (l *linked) connections() int {
+// connectionCount returns the number of connections opened so far.
+func (l *linkedUpstreams) connectionCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.opened
+	return l.openedConns
 }
 
-// carry waits until bytes that are handed to the link now have arrived.
-func (l *linked) carry(bytes int) {
+// transmit queues bytes on the link and waits until they have arrived.
+func (l *linkedUpstreams) transmit(bytes int) {
 	l.mu.Lock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+	if now := time.Now(); l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
-	arrives := l.free.Add(roundTripTime / 2)
+	l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
+	arrives := l.freeAt.Add(roundTripTime / 2)
 	l.mu.Unlock()
 	time.Sleep(time.Until(arrives))
 }
 
 // CloseIdleConnections implements UpstreamClient.
-func (l *linked) CloseIdleConnections(to fleet.Upstream) {
+func (l *linkedUpstreams) CloseIdleConnections(to fleet.Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.idle[to.ID] = 0
+	l.idleConns[to.ID] = 0
 }
 
-func (l *linked) Start(to fleet.Upstream, o fleet.StartOrder, timeout time.Duration) (fleet.Refusal, error) {
+func (l *linkedUpstreams) Start(to fleet.Upstream, o fleet.StartOrder, timeout time.Duration) (fleet.Refusal, error) {
 	refusal := fleet.NotRefused
-	err := l.call(to, headBytes+len(o.Spec), timeout, func(c *standin.UpstreamModel) {
+	err := l.call(to, orderOverheadBytes+len(o.Spec), timeout, func(m *standin.UpstreamModel) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		refusal = c.Start(time.Now(), o)
+		refusal = m.Start(time.Now(), o)
 	})
 	if err != nil {
 		return fleet.NotRefused, err
@@ -135,24 +137,24 @@
 	return refusal, nil
 }
 
-func (l *linked) Stop(to fleet.Upstream, run fleet.Run, token uint64, timeout time.Duration) error {
-	return l.call(to, headBytes, timeout, func(c *standin.UpstreamModel) {
+func (l *linkedUpstreams) Stop(to fleet.Upstream, run fleet.Run, token uint64, timeout time.Duration) error {
+	return l.call(to, orderOverheadBytes, timeout, func(m *standin.UpstreamModel) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		c.Stop(time.Now(), run, token)
+		m.Stop(time.Now(), run, token)
 	})
 }
 
-func (l *linked) Hold(to fleet.Upstream, o fleet.HoldOrder, timeout time.Duration) (fleet.Report, error) {
+func (l *linkedUpstreams) Hold(to fleet.Upstream, o fleet.HoldOrder, timeout time.Duration) (fleet.Report, error) {
 	var report fleet.Report
-	err := l.call(to, headBytes, timeout+time.Duration(o.WaitMs)*time.Millisecond, func(c *standin.UpstreamModel) {
+	err := l.call(to, orderOverheadBytes, timeout+time.Duration(o.WaitMs)*time.Millisecond, func(m *standin.UpstreamModel) {
 		until := time.Now().Add(time.Duration(o.WaitMs) * time.Millisecond)
-		for l.holds(c, o) && time.Now().Before(until) {
+		for l.applyHold(m, o) && time.Now().Before(until) {
 			time.Sleep(time.Millisecond)
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		report = c.Report(time.Now(), o.AckedSequence)
+		report = m.Report(time.Now(), o.AckedSequence)
 	})
 	if err != nil {
 		return fleet.Report{}, err
@@ -160,72 +162,72 @@
 	return report, nil
 }
 
-// holds carries a hold out, and reports whether there is no end to tell of.
-func (l *linked) holds(c *standin.UpstreamModel, o fleet.HoldOrder) bool {
+// applyHold executes a hold order, and reports whether the upstream has no ended runs to
+// report yet.
+func (l *linkedUpstreams) applyHold(m *standin.UpstreamModel, o fleet.HoldOrder) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.Hold(time.Now(), o)
-	return !c.HasEndsAfter(time.Now(), o.AckedSequence)
+	m.Hold(time.Now(), o)
+	return !m.HasEndsAfter(time.Now(), o.AckedSequence)
 }
 
-// silentObserver is told nothing of interest.
-type silentObserver struct{}
+type noopObserver struct{}
 
-func (silentObserver) DecisionMade(string, uint64, schedule.Decision) {}
-func (silentObserver) CallEnded(string, error, time.Duration)         {}
-func (silentObserver) CallOverdue(string)                             {}
+func (noopObserver) DecisionMade(string, uint64, schedule.Decision) {}
+func (noopObserver) CallEnded(string, error, time.Duration)         {}
+func (noopObserver) CallOverdue(string)                             {}
 
-// narrowOwner is an owner behind a narrow link, and what became of its jobs.
-type narrowOwner struct {
+// testOwner is a Group behind a slow link that counts the outcomes of its jobs.
+type testOwner struct {
 	*Group
-	link   *linked
-	widths *rand.Rand // of jobs, and of the pauses between them
+	link *linkedUpstreams
+	rand *rand.Rand // draws the numbers of tasks and the pauses between jobs
 
-	mu      sync.Mutex
-	offered int
-	results map[schedule.Outcome]int
-	wasted  int // jobs that began and were not served
+	mu             sync.Mutex
+	offered        int                      // jobs offered by the last load
+	results        map[schedule.Outcome]int // jobs of the last load by outcome
+	begunNotServed int                      // jobs of the last load that began but did not complete
 }
 
-func newNarrowOwner(rate float64) *narrowOwner {
+func newTestOwner(rate float64) *testOwner {
 	var upstreams []fleet.Upstream
 	for i := range 20 {
 		upstreams = append(upstreams, fleet.Upstream{
 			ID: fmt.Sprintf("u%02d", i), Service: "desk", Capacity: fleet.Resources{MilliCPU: 64_000, MemoryMB: 1000},
 		})
 	}
-	n := &narrowOwner{widths: rand.New(rand.NewPCG(1, 2)), link: newLinked(rate, upstreams)}
+	o := &testOwner{rand: rand.New(rand.NewPCG(1, 2)), link: newLinkedUpstreams(rate, upstreams)}
 	cfg := schedule.DefaultConfig
-	cfg.LinkRate = narrowLink
-	cfg.LinkRate = narrowLink
-	n.Group = NewGroup("a/0", cfg, 1, n.link, silentObserver{})
-	n.SetUpstreams(upstreams)
-	time.Sleep(time.Second) // the first reports are in
-	return n
+	cfg.LinkRate = slowLinkRate
+	cfg.LinkRate = slowLinkRate
+	o.Group = NewGroup("a/0", cfg, 1, o.link, noopObserver{})
+	o.SetUpstreams(upstreams)
+	time.Sleep(time.Second) // until the first reports have arrived
+	return o
 }
 
-// load offers jobs at an even rate for a while, and returns once the last of them
-// has ended.
-func (n *narrowOwner) load(perSecond int, long time.Duration) {
-	n.mu.Lock()
-	n.results, n.wasted, n.offered = map[schedule.Outcome]int{}, 0, 0
-	n.mu.Unlock()
+// load offers jobs at a constant mean rate for a duration, and returns once all of them have
+// ended.
+func (o *testOwner) load(perSecond int, duration time.Duration) {
+	o.mu.Lock()
+	o.results, o.begunNotServed, o.offered = map[schedule.Outcome]int{}, 0, 0
+	o.mu.Unlock()
 	var open sync.WaitGroup
-	for i := range int(long.Seconds() * float64(perSecond)) {
-		n.offered++
+	for i := range int(duration.Seconds() * float64(perSecond)) {
+		o.offered++
 		open.Add(1)
-		err := n.Offer(schedule.Offer{
-			Key: schedule.JobKey{Coordinator: "c", ID: fmt.Sprintf("%d-%d-%d", perSecond, long, i)}, Service: "desk", Route: "r",
-			Spec: string(make([]byte, specBytes)), Demand: fleet.Resources{MilliCPU: 32_000}, Estimate: taskTime, MaxAttempts: 4,
-			Tasks: lo.Range(1 + n.widths.IntN(2*meanWidth-1)), Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: 2 * time.Second, MayQueue: true,
+		err := o.Offer(schedule.Offer{
+			Key: schedule.JobKey{Coordinator: "c", ID: fmt.Sprintf("%d-%d-%d", perSecond, duration, i)}, Service: "desk", Route: "r",
+			Spec: string(make([]byte, specBytes)), Demand: fleet.Resources{MilliCPU: 32_000}, Estimate: taskDuration, MaxAttempts: 4,
+			Tasks: lo.Range(1 + o.rand.IntN(2*meanTasks-1)), Stretch: 1.6, Slack: 60 * time.Millisecond, Timeout: 2 * time.Second, MayQueue: true,
 		}, OfferCallbacks{
 			TasksReturned: func(schedule.Result, schedule.Load) {},
 			OfferEnded: func(r schedule.Result, _ schedule.Load) {
-				n.mu.Lock()
-				defer n.mu.Unlock()
-				n.results[r.Outcome]++
+				o.mu.Lock()
+				defer o.mu.Unlock()
+				o.results[r.Outcome]++
 				if r.Begun && r.Outcome != schedule.Completed {
-					n.wasted++
+					o.begunNotServed++
 				}
 				open.Done()
 			},
@@ -233,39 +235,40 @@
 		if err != nil {
 			open.Done()
 		}
-		time.Sleep(time.Duration(n.widths.ExpFloat64() * float64(time.Second) / float64(perSecond)))
+		time.Sleep(time.Duration(o.rand.ExpFloat64() * float64(time.Second) / float64(perSecond)))
 	}
 	open.Wait()
 }
 
-// TestNarrowLinkRecovers: a link is asked for 1.6 times what it carries, then for
-// .4 of it. Jobs that it cannot carry are refused before anything of them begins,
-// and once the load has fallen all are served, on the connections that are open.
+// TestNarrowLinkRecovers loads a link with 1.6 times its capacity and then with 0.4 times its
+// capacity. During the overload, jobs whose orders the link cannot transmit in time must be
+// rejected before any of their tasks begins. After the load has dropped, nearly all jobs must
+// be served, on connections that are already open.
 func TestNarrowLinkRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNarrowOwner(narrowLink)
-		defer time.Sleep(3 * time.Second) // the last calls end
-		defer n.Close()
-		n.load(70, 5*time.Second)
-		t.Logf("overload: %d jobs, %v, %d begun in vain, %d connections", n.offered, n.results, n.wasted, n.link.connections())
-		if served := n.results[schedule.Completed]; served < n.offered/3 {
-			t.Errorf("%d of %d jobs were served while the link was asked for too much; it carries half", served, n.offered)
+		o := newTestOwner(slowLinkRate)
+		defer time.Sleep(3 * time.Second) // until the last calls have ended
+		defer o.Close()
+		o.load(70, 5*time.Second)
+		t.Logf("overload: %d jobs, %v, %d begun but not completed, %d connections opened", o.offered, o.results, o.begunNotServed, o.link.connectionCount())
+		if served := o.results[schedule.Completed]; served < o.offered/3 {
+			t.Errorf("%d of %d jobs were served while the link was overloaded; it can carry half of them", served, o.offered)
 		}
-		if n.link.connections() > 200 {
-			t.Errorf("%d connections were opened to 20 upstreams while the link was asked for too much", n.link.connections())
+		if o.link.connectionCount() > 200 {
+			t.Errorf("%d connections to 20 upstreams were opened while the link was overloaded", o.link.connectionCount())
 		}
-		if n.wasted > n.offered/50 {
-			t.Errorf("%d of %d jobs began and were not served", n.wasted, n.offered)
+		if o.begunNotServed > o.offered/50 {
+			t.Errorf("%d of %d jobs began but were not completed", o.begunNotServed, o.offered)
 		}
 		time.Sleep(2 * time.Second)
-		opened := n.link.connections()
-		n.load(17, 10*time.Second)
-		t.Logf("after it: %d jobs, %v, %d begun in vain, %d connections more", n.offered, n.results, n.wasted, n.link.connections()-opened)
-		if served := n.results[schedule.Completed]; served < n.offered*9/10 {
-			t.Errorf("%d of %d jobs were served after the load had fallen", served, n.offered)
+		opened := o.link.connectionCount()
+		o.load(17, 10*time.Second)
+		t.Logf("after the overload: %d jobs, %v, %d begun but not completed, %d more connections opened", o.offered, o.results, o.begunNotServed, o.link.connectionCount()-opened)
+		if served := o.results[schedule.Completed]; served < o.offered*9/10 {
+			t.Errorf("%d of %d jobs were served after the load had dropped", served, o.offered)
 		}
-		if more := n.link.connections() - opened; more > 30 {
-			t.Errorf("%d connections were opened in 10 s of a load that the link carries", more)
+		if additional := o.link.connectionCount() - opened; additional > 30 {
+			t.Errorf("%d connections were opened in 10 s at a load that the link can carry", additional)
 		}
 	})
 }
--- a/owner/offer.go
+++ b/owner/offer.go
@@ -7,49 +7,49 @@
 	"github.com/sedgehatch/sedgehatch/schedule"
 )
 
-// Offer takes a job, and tells answer what becomes of it. The error is Stopping
-// once the group is closed; nothing began then.
-func (g *Group) Offer(o schedule.Offer, answer OfferCallbacks) error {
+// Offer hands tasks of a job to the group, which reports their results to callbacks. It
+// returns a Stopping error if the group is closed; no task has begun then.
+func (g *Group) Offer(o schedule.Offer, callbacks OfferCallbacks) error {
 	g.mu.Lock()
 	if g.closed {
 		g.mu.Unlock()
-		return failure.Stopping.New("group %s is not owned here any more", g.Name)
+		return failure.Stopping.New("group %s is no longer owned by this instance", g.Name)
 	}
-	g.answers[o.Key] = answer
+	g.callbacks[o.Key] = callbacks
 	g.mu.Unlock()
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects { return p.Offer(now, o) })
 	return nil
 }
 
-// Withdraw ends a job that its coordinator does not want any more.
+// Withdraw cancels an offer that its coordinator does not need any more.
 func (g *Group) Withdraw(key schedule.JobKey, reason string) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
-		delete(g.answers, key)
+		delete(g.callbacks, key)
 		return p.Withdraw(now, key, reason)
 	})
 }
 
-// WithdrawAll ends all jobs of a coordinator that is gone.
+// WithdrawAll cancels all offers of a coordinator that is lost.
 func (g *Group) WithdrawAll(coordinator, reason string) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
-		for key := range g.answers {
+		for key := range g.callbacks {
 			if key.Coordinator == coordinator {
-				delete(g.answers, key)
+				delete(g.callbacks, key)
 			}
 		}
 		return p.WithdrawAll(now, coordinator, reason)
 	})
 }
 
-// Renew renews the lease under which the group works for a coordinator, which was alive
-// at a time.
-func (g *Group) Renew(coordinator string, alive time.Time) {
+// Renew renews the lease under which the group runs tasks for a coordinator. AliveAt is a
+// time at which the coordinator was known to be alive.
+func (g *Group) Renew(coordinator string, aliveAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.RenewCoordinator(coordinator, alive)
+	g.pool.RenewCoordinator(coordinator, aliveAt)
 }
 
-// HasLeasedJobs reports whether the group has jobs of a coordinator under a lease.
+// HasLeasedJobs reports whether the group has jobs of a coordinator that depend on a lease.
 func (g *Group) HasLeasedJobs(coordinator string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
