--- a/cli/explain.go
+++ b/cli/explain.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			story := log.Story(c.Args().First())
+			story := log.Explain(c.Args().First())
 			if err := story.Write(c.Root().Writer); err != nil {
 				return failure.Internal.Wrap(err, "cannot write the story")
 			}
@@ -38,8 +38,8 @@
 	}
 }
 
-func readLogs(paths []string) (*explain.Log, error) {
-	log := &explain.Log{}
+func readLogs(paths []string) (*explain.Logs, error) {
+	log := &explain.Logs{}
 	if len(paths) == 0 {
 		if err := log.Read(os.Stdin); err != nil {
 			return nil, failure.Field(failure.InvalidInput, "logs", "cannot read standard input: %v", err)
@@ -54,7 +54,7 @@
 	return log, nil
 }
 
-func readLog(log *explain.Log, path string) error {
+func readLog(log *explain.Logs, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	if !lo.ContainsBy(settings.Schema(), func(d settings.Def) bool { return d.Key == args[0] }) {
+	if !lo.ContainsBy(settings.Schema(), func(d settings.Definition) bool { return d.Key == args[0] }) {
 		return failure.Field(failure.InvalidInput, args[0], "is no setting; see sedgehatch settings keys")
 	}
 	_, tree, _, err := store(c).Load()
@@ -97,7 +97,7 @@
 		return err
 	}
 	out := c.Root().Writer
-	fmt.Fprintf(out, "revision %d\n", head.Revision)
+	fmt.Fprintf(out, "revision %d\n", head.Number)
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer func() { _ = t.Flush() }()
 	for _, d := range settings.Schema() {
@@ -134,14 +134,14 @@
 // change makes the next revision, prints what it changed, and waits until it
 // is in force everywhere.
 func change(ctx context.Context, c *cli.Command, edit func(*settings.Tree) (*settings.Tree, []error)) error {
-	head, diff, err := store(c).Change(c.Uint64("base"), author(), edit)
+	head, diff, err := store(c).Update(c.Uint64("base"), author(), edit)
 	if err != nil {
 		return err
 	}
 	out := c.Root().Writer
-	fmt.Fprintf(out, "revision %d accepted\n", head.Revision)
+	fmt.Fprintf(out, "revision %d accepted\n", head.Number)
 	printDiff(out, diff)
-	return inForce(ctx, c, head.Revision)
+	return inForce(ctx, c, head.Number)
 }
 
 func author() string {
@@ -286,7 +286,7 @@
 	defer func() { _ = t.Flush() }()
 	fmt.Fprintln(t, "REVISION\tAT\tBY")
 	for _, h := range list {
-		fmt.Fprintf(t, "%d\t%s\t%s\n", h.Revision, time.UnixMilli(h.AtMs).UTC().Format(time.RFC3339), h.Author)
+		fmt.Fprintf(t, "%d\t%s\t%s\n", h.Number, time.UnixMilli(h.AtMs).UTC().Format(time.RFC3339), h.Author)
 	}
 	return nil
 }
@@ -315,11 +315,11 @@
 			continue
 		}
 		version = entry.Version
-		head, tree, err := settings.DecodeHead(entry.Value)
+		head, tree, err := settings.DecodeRevision(entry.Value)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.Root().Writer, "revision %d by %s\n", head.Revision, head.Author)
+		fmt.Fprintf(c.Root().Writer, "revision %d by %s\n", head.Number, head.Author)
 		printDiff(c.Root().Writer, before.Diff(tree))
 		before = tree
 	}
--- a/dispatch/appender.go
+++ b/dispatch/appender.go
@@ -58,9 +58,9 @@
 		if a.waiting.IsZero() {
 			a.waiting = time.Now()
 		}
-		err = peers.Notify(witness, f, a.replied)
+		err = peers.CallAsync(witness, f, a.replied)
 	} else {
-		err = peers.Post(witness, f)
+		err = peers.TrySend(witness, f)
 	}
 	if err == nil {
 		return false
--- a/dispatch/brokers.go
+++ b/dispatch/brokers.go
@@ -179,7 +179,7 @@
 		b.d.slots.granted(home, m)
 		return
 	}
-	if err := b.d.peers.Post(home, &inner.Frame{Body: &inner.Frame_SlotGrant{SlotGrant: m}}); err != nil {
+	if err := b.d.peers.TrySend(home, &inner.Frame{Body: &inner.Frame_SlotGrant{SlotGrant: m}}); err != nil {
 		b.d.cfg.Metrics.CountWasted("slot_grant")
 	}
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -23,8 +23,8 @@
 
 // Peers carries frames to other instances; inner.Mesh does.
 type Peers interface {
-	Post(peer fate.Incarnation, f *inner.Frame) error
-	Notify(peer fate.Incarnation, f *inner.Frame, done func(*inner.Frame, error)) error
+	TrySend(peer fate.Incarnation, f *inner.Frame) error
+	CallAsync(peer fate.Incarnation, f *inner.Frame, done func(*inner.Frame, error)) error
 	Call(ctx context.Context, peer fate.Incarnation, f *inner.Frame) (*inner.Frame, error)
 }
 
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -105,7 +105,7 @@
 		s.d.brokers.take(s.d.cfg.Self, f)
 		return
 	}
-	if err := s.d.peers.Post(p.broker, f); err != nil {
+	if err := s.d.peers.TrySend(p.broker, f); err != nil {
 		s.mu.Lock()
 		s.unsure[p.ID] = true
 		s.mu.Unlock()
--- a/entry/node.go
+++ b/entry/node.go
@@ -129,8 +129,8 @@
 	}
 	n.mesh = inner.NewMesh(inner.Config{
 		Fleet: cfg.Fleet, Self: n.self, Region: cfg.Region, Zone: cfg.Zone, Rack: cfg.Rack,
-		Address: n.inner.Addr().String(), Directory: n, Handler: n, Met: n.met,
-		Dial: hooks.DialInner, Count: n.metrics.CountSent,
+		Address: n.inner.Addr().String(), Resolver: n, Handler: n, OnHello: n.met,
+		Dial: hooks.DialInner, CountSent: n.metrics.CountSent,
 	})
 	n.dispatch = dispatch.New(n.dispatchConfig(hooks), n.mesh)
 	n.app = n.newApp()
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// Frame takes a frame of another instance.
-func (n *Node) Frame(from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) {
+// HandleFrame takes a frame of another instance.
+func (n *Node) HandleFrame(from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) {
 	if hb := f.GetHeartbeat(); hb != nil {
 		n.heard(from, hb)
 		return
@@ -75,7 +75,7 @@
 	n.updateView()
 	for _, c := range changes {
 		if c.Peer.State == membership.Dead {
-			n.mesh.Drop(c.Peer.Instance)
+			n.mesh.CloseDialed(c.Peer.Instance)
 			go n.dispatch.HandlePeerLost(c.Peer.Incarnation)
 		}
 	}
@@ -294,4 +294,4 @@
 func (n *Node) Held() int { return n.dispatch.HeldSlots() }
 
 // InnerBytes returns the bytes that this instance has sent to others.
-func (n *Node) InnerBytes() int64 { return n.mesh.Sent() }
+func (n *Node) InnerBytes() int64 { return n.mesh.SentBytes() }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -129,7 +129,7 @@
 func (n *Node) startFromPeers() {
 	for n.stop.Err() == nil && !n.started() {
 		for _, address := range n.cfg.Seeds {
-			known, err := n.learn(inner.AtAddress(address))
+			known, err := n.learn(inner.PeerAtAddress(address))
 			if err != nil || n.started() {
 				continue
 			}
@@ -158,20 +158,20 @@
 // applySettings puts a revision in force, unless it is older than the one that
 // is, as it would be from a platform that came back with old data.
 func (n *Node) applySettings(value string) bool {
-	head, tree, err := settings.DecodeHead(value)
+	head, tree, err := settings.DecodeRevision(value)
 	if err != nil {
-		event.SettingsRefused.Log(n.log, slog.Uint64("revision", head.Revision), slog.String("error", err.Error()))
+		event.SettingsRefused.Log(n.log, slog.Uint64("revision", head.Number), slog.String("error", err.Error()))
 		return false
 	}
-	next := &applied{known: true, revision: head.Revision, value: value, tree: tree}
+	next := &applied{known: true, revision: head.Number, value: value, tree: tree}
 	for {
 		now := n.settings.Load()
-		if now.known && head.Revision <= now.revision {
+		if now.known && head.Number <= now.revision {
 			return false
 		}
 		if n.settings.CompareAndSwap(now, next) {
 			n.dispatch.SetTuning(n.tuning(tree))
-			event.SettingsApplied.Log(n.log, slog.Uint64("revision", head.Revision))
+			event.SettingsApplied.Log(n.log, slog.Uint64("revision", head.Number))
 			n.beat() // peers that are behind fetch it
 			return true
 		}
@@ -189,8 +189,8 @@
 			take(tree.Int(path, key))
 		}
 	}
-	given(settings.KeyKeepSeconds, func(v int64) { t.Retention.MaxAgeMs = v * 1000 })
-	given(settings.KeyKeepMB, func(v int64) { t.Retention.MaxBytes = v << 20 })
+	given(settings.KeyKeepAnswersSeconds, func(v int64) { t.Retention.MaxAgeMs = v * 1000 })
+	given(settings.KeyKeepAnswersMB, func(v int64) { t.Retention.MaxBytes = v << 20 })
 	given(settings.KeyMaxQueued, func(v int64) { t.MaxQueued = int(v) })
 	given(settings.KeyReleaseDelay, func(v int64) { t.ReleaseDelay = time.Duration(v) * time.Millisecond })
 	return t
@@ -199,7 +199,7 @@
 // shares returns what each service that the settings name may have of the fleet.
 func (n *Node) shares(tree *settings.Tree) map[string]placement.Share {
 	shares := map[string]placement.Share{}
-	for _, service := range tree.Named(settings.LevelService) {
+	for _, service := range tree.NodeNames(settings.LevelService) {
 		path := n.path(service, "")
 		shares[service] = placement.Share{
 			Weight: float64(tree.Int(path, settings.KeyWeight)), Slots: int(tree.Int(path, settings.KeyQuotaSlots)),
--- a/experiment/cluster.go
+++ b/experiment/cluster.go
@@ -217,7 +217,7 @@
 	if c.Spec.Settings == "" {
 		return nil
 	}
-	_, _, err := c.store().Change(0, "experiment", func(*settings.Tree) (*settings.Tree, []error) { return settings.Parse(c.Spec.Settings) })
+	_, _, err := c.store().Update(0, "experiment", func(*settings.Tree) (*settings.Tree, []error) { return settings.Parse(c.Spec.Settings) })
 	return err
 }
 
--- a/experiment/fleet_test.go
+++ b/experiment/fleet_test.go
@@ -89,7 +89,7 @@
 			store := c.store()
 			worst := time.Duration(0)
 			for n := 0; b.Loop(); n++ {
-				head, _, err := store.Change(0, "bench", func(t *settings.Tree) (*settings.Tree, []error) {
+				head, _, err := store.Update(0, "bench", func(t *settings.Tree) (*settings.Tree, []error) {
 					value := fmt.Sprint(n%1000 + 1)
 					return t.With(settings.Node{Level: settings.LevelFleet}, settings.KeyDeadlineMs, &value)
 				})
@@ -98,7 +98,7 @@
 				}
 				began := time.Now()
 				for _, node := range c.Nodes() {
-					for node.Revision() < head.Revision {
+					for node.Revision() < head.Number {
 						time.Sleep(200 * time.Microsecond)
 					}
 				}
--- a/experiment/settings_test.go
+++ b/experiment/settings_test.go
@@ -50,7 +50,7 @@
 		store, _ := storeOf(t, c)
 		wg.Go(func() {
 			node := fmt.Sprintf("service s%d", i)
-			if _, _, err := store.Change(0, node, set(node, settings.KeyWeight, "7")); err == nil {
+			if _, _, err := store.Update(0, node, set(node, settings.KeyWeight, "7")); err == nil {
 				mu.Lock()
 				accepted[node] = true
 				mu.Unlock()
@@ -62,8 +62,8 @@
 	wg.Wait()
 	store, _ := storeOf(t, c)
 	head, tree, _, err := store.Load()
-	if err != nil || int(head.Revision) != len(accepted) || len(accepted) == 0 {
-		t.Fatalf("revision %d after %d accepted changes, %v", head.Revision, len(accepted), err)
+	if err != nil || int(head.Number) != len(accepted) || len(accepted) == 0 {
+		t.Fatalf("revision %d after %d accepted changes, %v", head.Number, len(accepted), err)
 	}
 	for node := range accepted {
 		name := node[len("service "):]
@@ -71,7 +71,7 @@
 			t.Errorf("%s: %+v", node, v)
 		}
 	}
-	awaitRevision(t, c, head.Revision)
+	awaitRevision(t, c, head.Number)
 }
 
 // A write whose answer is lost took effect once, and its writer learns that.
@@ -79,14 +79,14 @@
 	c := small(t, nil)
 	store, _ := storeOf(t, c)
 	c.Platform.Faults.DropAnswers.Store(true)
-	head, diff, err := store.Change(0, "op", set("fleet", settings.KeyDeadlineMs, "5000"))
+	head, diff, err := store.Update(0, "op", set("fleet", settings.KeyDeadlineMs, "5000"))
 	c.Platform.Faults.DropAnswers.Store(false)
-	if err != nil || head.Revision != 1 || len(diff) != 1 {
-		t.Fatalf("revision %d, %v, %v", head.Revision, diff, err)
+	if err != nil || head.Number != 1 || len(diff) != 1 {
+		t.Fatalf("revision %d, %v, %v", head.Number, diff, err)
 	}
 	awaitRevision(t, c, 1)
 	c.Platform.Faults.Down.Store(true)
-	if _, _, err := store.Change(0, "op", set("fleet", settings.KeyDeadlineMs, "6000")); !failure.Is(err, failure.Lost) {
+	if _, _, err := store.Update(0, "op", set("fleet", settings.KeyDeadlineMs, "6000")); !failure.Is(err, failure.Lost) {
 		t.Errorf("a change while the platform is down: %v", err)
 	}
 }
@@ -96,7 +96,7 @@
 	c := small(t, nil)
 	store, p := storeOf(t, c)
 	for _, deadline := range []string{"5000", "6000"} {
-		if _, _, err := store.Change(0, "op", set("fleet", settings.KeyDeadlineMs, deadline)); err != nil {
+		if _, _, err := store.Update(0, "op", set("fleet", settings.KeyDeadlineMs, deadline)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.Swap(api.KVWrite{Key: settings.HeadKey, Value: old.Value, Expect: now.Version}); err != nil {
+	if _, err := p.CompareAndSwap(api.KVWrite{Key: settings.HeadKey, Value: old.Value, Expect: now.Version}); err != nil {
 		t.Fatal(err)
 	}
 	name := c.Names()[0]
@@ -130,7 +130,7 @@
 func TestStartFromPeers(t *testing.T) {
 	c := small(t, quick)
 	store, _ := storeOf(t, c)
-	if _, _, err := store.Change(0, "op", set("fleet", settings.KeyDeadlineMs, "5000")); err != nil {
+	if _, _, err := store.Update(0, "op", set("fleet", settings.KeyDeadlineMs, "5000")); err != nil {
 		t.Fatal(err)
 	}
 	awaitRevision(t, c, 1)
@@ -178,7 +178,7 @@
 func TestQuotaComesIntoForce(t *testing.T) {
 	c := small(t, nil)
 	store, _ := storeOf(t, c)
-	if _, _, err := store.Change(0, "op", set("service desk", settings.KeyQuotaSlots, "6")); err != nil {
+	if _, _, err := store.Update(0, "op", set("service desk", settings.KeyQuotaSlots, "6")); err != nil {
 		t.Fatal(err)
 	}
 	awaitRevision(t, c, 1)
@@ -211,7 +211,7 @@
 	answer, err := s.Submit(context.Background())
 	wantComplete(t, answer, err, 2)
 	store, _ := storeOf(t, c)
-	if _, _, err := store.Change(0, "op", set("fleet", settings.KeyKeepSeconds, "1")); err != nil {
+	if _, _, err := store.Update(0, "op", set("fleet", settings.KeyKeepAnswersSeconds, "1")); err != nil {
 		t.Fatal(err)
 	}
 	awaitRevision(t, c, 1)
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -46,8 +46,8 @@
 	"log_dropped": true, "zone_evacuated": true, "zone_returned": true,
 }
 
-// Log holds the lines that were read.
-type Log struct {
+// Logs holds the lines that were read.
+type Logs struct {
 	lines     []Line
 	Unread    int // lines that are no log lines
 	instances map[string]bool
@@ -55,7 +55,7 @@
 
 // Read adds the lines of r. What stands before the JSON of a line is passed
 // over. The error is that of r.
-func (g *Log) Read(r io.Reader) error {
+func (g *Logs) Read(r io.Reader) error {
 	if g.instances == nil {
 		g.instances = map[string]bool{}
 	}
@@ -96,8 +96,8 @@
 	return l, err == nil && l.Event != ""
 }
 
-// Story is what the logs tell of one job.
-type Story struct {
+// Explanation is what the logs tell of one job.
+type Explanation struct {
 	Job     string
 	Lines   []Line // in order of time
 	Beliefs []Line // of about the same time
@@ -107,9 +107,9 @@
 	evacuated []string
 }
 
-// Story tells of a job.
-func (g *Log) Story(job string) Story {
-	s := Story{Job: job}
+// Explain tells of a job.
+func (g *Logs) Explain(job string) Explanation {
+	s := Explanation{Job: job}
 	for _, l := range g.lines {
 		if l.String("job") == job {
 			s.Lines = append(s.Lines, l)
@@ -126,7 +126,7 @@
 }
 
 // lastTime returns when the last line of the job was decided.
-func (s *Story) lastTime() time.Time {
+func (s *Explanation) lastTime() time.Time {
 	if len(s.Lines) == 0 {
 		return time.Time{}
 	}
@@ -135,7 +135,7 @@
 
 // evacuatedAt returns the availability zones that were evacuated at a time, by the word
 // of whichever instance tells last.
-func (g *Log) evacuatedAt(at time.Time) []string {
+func (g *Logs) evacuatedAt(at time.Time) []string {
 	last := map[string]Line{}
 	for _, l := range g.lines {
 		if l.Event != "zone_evacuated" && l.Event != "zone_returned" || l.Time.After(at) {
@@ -155,7 +155,7 @@
 	return zones
 }
 
-func (s *Story) addBeliefs(g *Log) {
+func (s *Explanation) addBeliefs(g *Logs) {
 	if len(s.Lines) == 0 {
 		return
 	}
@@ -168,7 +168,7 @@
 }
 
 // find returns the last line of an event.
-func (s *Story) find(event string) (Line, bool) {
+func (s *Explanation) find(event string) (Line, bool) {
 	for _, l := range slices.Backward(s.Lines) {
 		if l.Event == event {
 			return l, true
@@ -178,7 +178,7 @@
 }
 
 // cause words the end of a job in one sentence.
-func (s *Story) cause() string {
+func (s *Explanation) cause() string {
 	if l, found := s.find("job_not_served"); found {
 		text := fmt.Sprintf("%s was answered %s (%s) by %s after %s ms: %s", s.Job, l.String("status"), l.String("verdict"), l.Instance, l.String("took_ms"), l.String("reason"))
 		text += s.because(l)
@@ -201,7 +201,7 @@
 
 // sendings names the instances that answered the job where there are several: its
 // customer has sent it more than once, to the one with the longest deadline first.
-func (s *Story) sendings() string {
+func (s *Explanation) sendings() string {
 	answers := lo.Filter(s.Lines, func(l Line, _ int) bool {
 		return l.Event == "job_not_served" || l.Event == "job_late" || l.Event == "job_answered"
 	})
@@ -221,7 +221,7 @@
 }
 
 // because adds what the lines before the end say of its reason.
-func (s *Story) because(end Line) string {
+func (s *Explanation) because(end Line) string {
 	if l, found := s.find("offer_lost"); found {
 		return fmt.Sprintf("; the connection to the owner of %s broke", l.String("group"))
 	}
@@ -255,7 +255,7 @@
 
 // longestWait returns the longest time, in milliseconds, that a task waited for
 // its first start.
-func (s *Story) longestWait() float64 {
+func (s *Explanation) longestWait() float64 {
 	longest := 0.0
 	for _, l := range s.Lines {
 		if age, is := l.Fields["age_ms"].(float64); is && l.Event == "task_started" && l.String("run") == "1" {
@@ -269,7 +269,7 @@
 }
 
 // missing names what the logs lack.
-func (s *Story) missing() []string {
+func (s *Explanation) missing() []string {
 	var missing []string
 	if len(s.Lines) == 0 {
 		return []string{"any line of the job: it went well and was not in the sample, its id is wrong, or the logs of its instances are not given"}
@@ -295,7 +295,7 @@
 }
 
 // Write writes the story for a person.
-func (s *Story) Write(w io.Writer) error {
+func (s *Explanation) Write(w io.Writer) error {
 	var b strings.Builder
 	all := slices.Concat(s.Lines, s.Beliefs)
 	slices.SortStableFunc(all, func(a, b Line) int { return a.Time.Compare(b.Time) })
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -27,7 +27,7 @@
 `
 
 func TestStory(t *testing.T) {
-	var log Log
+	var log Logs
 	if err := log.Read(strings.NewReader(recorded)); err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 		"dd": {"The answer to dd is not in these logs.", "the line of the answer: the instance that took the job ended, or its log is not given"},
 		"ee": {"No line tells of ee.", "any line of the job: it went well and was not in the sample, its id is wrong, or the logs of its instances are not given"},
 	} {
-		s := log.Story(job)
+		s := log.Explain(job)
 		if s.Cause != c.cause {
 			t.Errorf("%s: %q, want %q", job, s.Cause, c.cause)
 		}
@@ -49,7 +49,7 @@
 			t.Errorf("%s lacks %q, want %q", job, s.Missing, c.missing)
 		}
 	}
-	s := log.Story("aa")
+	s := log.Explain("aa")
 	if len(s.Beliefs) != 1 || s.Beliefs[0].Event != "upstream_silent" {
 		t.Errorf("beliefs %v", s.Beliefs)
 	}
--- a/inner/call.go
+++ b/inner/call.go
@@ -14,36 +14,36 @@
 	if err != nil {
 		return err
 	}
-	m.cfg.Count(KindOf(f))
+	m.cfg.CountSent(KindOf(f))
 	return k.send(f)
 }
 
-// Post is Send, but never waits for a connection to be opened: without one the
+// TrySend is Send, but never waits for a connection to be opened: without one the
 // error is Unreachable, and one is opened for later.
-func (m *Mesh) Post(peer fate.Incarnation, f *Frame) error {
+func (m *Mesh) TrySend(peer fate.Incarnation, f *Frame) error {
 	k, err := m.opened(peer)
 	if err != nil {
 		return err
 	}
-	m.cfg.Count(KindOf(f))
+	m.cfg.CountSent(KindOf(f))
 	return k.send(f)
 }
 
-// Notify sends f as a call, as Post does, and hands its reply to done, or the
+// CallAsync sends f as a call, as TrySend does, and hands its reply to done, or the
 // errors of Wait but for Timeout. Done must not block: replies behind it wait.
-func (m *Mesh) Notify(peer fate.Incarnation, f *Frame, done func(*Frame, error)) error {
-	_, err := m.Ask(peer, f, done)
+func (m *Mesh) CallAsync(peer fate.Incarnation, f *Frame, done func(*Frame, error)) error {
+	_, err := m.CallAsyncConn(peer, f, done)
 	return err
 }
 
-// Ask is Notify, and returns the connection that the call went on: what belongs
+// CallAsyncConn is Notify, and returns the connection that the call went on: what belongs
 // to the call has to follow it there.
-func (m *Mesh) Ask(peer fate.Incarnation, f *Frame, done func(*Frame, error)) (Link, error) {
+func (m *Mesh) CallAsyncConn(peer fate.Incarnation, f *Frame, done func(*Frame, error)) (Connection, error) {
 	k, err := m.opened(peer)
 	if err != nil {
 		return nil, err
 	}
-	m.cfg.Count(KindOf(f))
+	m.cfg.CountSent(KindOf(f))
 	k.calledNow()
 	return k, k.call(f, func(reply *Frame) { done(replyOf(peer, reply)) })
 }
@@ -81,32 +81,32 @@
 	return reply, nil
 }
 
-// Pending is a call whose reply has not come yet.
-type Pending struct {
+// PendingCall is a call whose reply has not come yet.
+type PendingCall struct {
 	peer  fate.Incarnation
 	link  *link
 	id    uint64
 	reply chan *Frame
 }
 
-// Begin sends f as a call. Calls to one peer that begin one after another
+// StartCall sends f as a call. Calls to one peer that begin one after another
 // arrive in that order. The errors are those of Send.
-func (m *Mesh) Begin(peer fate.Incarnation, f *Frame) (*Pending, error) {
+func (m *Mesh) StartCall(peer fate.Incarnation, f *Frame) (*PendingCall, error) {
 	k, err := m.to(peer)
 	if err != nil {
 		return nil, err
 	}
-	m.cfg.Count(KindOf(f))
+	m.cfg.CountSent(KindOf(f))
 	reply := make(chan *Frame, 1)
 	if err := k.call(f, func(r *Frame) { reply <- r }); err != nil {
 		return nil, err
 	}
-	return &Pending{peer, k, f.GetId(), reply}, nil
+	return &PendingCall{peer, k, f.GetId(), reply}, nil
 }
 
 // Wait returns the reply. The errors are Lost, when the connection broke
 // before it came, Timeout, and whatever typed error the peer replied.
-func (p *Pending) Wait(ctx context.Context) (*Frame, error) {
+func (p *PendingCall) Wait(ctx context.Context) (*Frame, error) {
 	select {
 	case reply := <-p.reply:
 		return replyOf(p.peer, reply)
@@ -118,7 +118,7 @@
 
 // Call sends f and waits for its reply, with the errors of Begin and Wait.
 func (m *Mesh) Call(ctx context.Context, peer fate.Incarnation, f *Frame) (*Frame, error) {
-	p, err := m.Begin(peer, f)
+	p, err := m.StartCall(peer, f)
 	if err != nil {
 		return nil, err
 	}
--- a/inner/close_test.go
+++ b/inner/close_test.go
@@ -20,8 +20,8 @@
 	dir := &peers{addresses: map[string]string{"closed": l.Addr().String()}}
 	met := make(chan string, 1)
 	closed := NewMesh(Config{
-		Fleet: "f", Self: "closed.1", Directory: dir, Handler: &echo{},
-		Met: func(h *Hello) { met <- h.GetIncarnation() },
+		Fleet: "f", Self: "closed.1", Resolver: dir, Handler: &echo{},
+		OnHello: func(h *Hello) { met <- h.GetIncarnation() },
 	})
 	closed.Close()
 	served := make(chan struct{})
@@ -30,7 +30,7 @@
 		close(served)
 	}()
 
-	caller := NewMesh(Config{Fleet: "f", Self: "caller.1", Directory: dir, Handler: &echo{}})
+	caller := NewMesh(Config{Fleet: "f", Self: "caller.1", Resolver: dir, Handler: &echo{}})
 	t.Cleanup(caller.Close)
 	if who, err := caller.Connect("closed"); err == nil {
 		t.Errorf("%s answers though its mesh is closed", who)
--- a/inner/frame.go
+++ b/inner/frame.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxFrame bounds one frame, in bytes: a job of the largest size and its head.
-const MaxFrame = 40 << 20
+// MaxFrameBytes bounds one frame, in bytes: a job of the largest size and its head.
+const MaxFrameBytes = 40 << 20
 
 const frameHead = 4
 
@@ -23,8 +23,8 @@
 		return nil, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size > MaxFrame {
-		return nil, failure.Protocol.New("a frame of %d bytes is over %d", size, MaxFrame)
+	if size > MaxFrameBytes {
+		return nil, failure.Protocol.New("a frame of %d bytes is over %d", size, MaxFrameBytes)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -46,8 +46,8 @@
 		return nil, failure.Protocol.Wrap(err, "a frame does not encode")
 	}
 	size := len(buf) - start - frameHead
-	if size > MaxFrame {
-		return nil, failure.TooLarge.New("a frame of %d bytes is over %d", size, MaxFrame)
+	if size > MaxFrameBytes {
+		return nil, failure.TooLarge.New("a frame of %d bytes is over %d", size, MaxFrameBytes)
 	}
 	binary.BigEndian.PutUint32(buf[start:], uint32(size))
 	return buf, nil
--- a/inner/introduce.go
+++ b/inner/introduce.go
@@ -19,8 +19,8 @@
 // atAddress marks the name of a peer of which only the address is known.
 const atAddress = "@"
 
-// AtAddress names whoever listens at an address.
-func AtAddress(address string) fate.Incarnation { return fate.Incarnation(atAddress + address) }
+// PeerAtAddress names whoever listens at an address.
+func PeerAtAddress(address string) fate.Incarnation { return fate.Incarnation(atAddress + address) }
 
 func muxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
@@ -87,7 +87,7 @@
 		}
 		writeFrame(s, &Frame{Body: &Frame_Hello{m.hello()}})
 	}
-	m.cfg.Met(hello)
+	m.cfg.OnHello(hello)
 	return newLink(session, streams, hello, &m.traffic), nil
 }
 
@@ -100,7 +100,7 @@
 func (m *Mesh) hello() *Hello {
 	return &Hello{
 		Fleet: m.cfg.Fleet, Version: Version, Incarnation: string(m.cfg.Self),
-		Region: m.cfg.Region, Zone: m.cfg.Zone, Rack: m.cfg.Rack, Address: m.cfg.Address, ClockMs: m.cfg.Clock(),
+		Region: m.cfg.Region, Zone: m.cfg.Zone, Rack: m.cfg.Rack, Address: m.cfg.Address, ClockMs: m.cfg.ClockMs(),
 	}
 }
 
@@ -119,7 +119,7 @@
 	address, byAddress := strings.CutPrefix(instance, atAddress)
 	known := byAddress
 	if !byAddress {
-		address, known = m.cfg.Directory.Address(instance)
+		address, known = m.cfg.Resolver.Address(instance)
 	}
 	if !known {
 		return nil, failure.Unreachable.New("no address is known for instance %s", instance)
@@ -175,7 +175,7 @@
 		}
 		hello = f.GetHello()
 	}
-	m.cfg.Met(hello)
+	m.cfg.OnHello(hello)
 	k := newLink(session, streams, hello, &m.traffic)
 	if k.peer.Instance() != instance && !strings.HasPrefix(instance, atAddress) {
 		return nil, failure.Unreachable.New("%s answers where %s was expected", k.peer, instance)
--- a/inner/link.go
+++ b/inner/link.go
@@ -194,8 +194,8 @@
 func (k *link) calledNow()              { k.called.Store(int64(steady())) }
 func (k *link) calledAt() time.Duration { return time.Duration(k.called.Load()) }
 
-// Number implements Link.
-func (k *link) Number() uint64 { return k.number }
+// ID implements Link.
+func (k *link) ID() uint64 { return k.number }
 
 // Send implements Link.
 func (k *link) Send(f *Frame) error { return k.send(f) }
--- a/inner/memory_test.go
+++ b/inner/memory_test.go
@@ -14,7 +14,7 @@
 // deaf takes no frames.
 type deaf struct{}
 
-func (deaf) Frame(fate.Incarnation, *Frame, func(*Frame)) {}
+func (deaf) HandleFrame(fate.Incarnation, *Frame, func(*Frame)) {}
 
 // book is a Directory.
 type book map[string]string
@@ -34,12 +34,12 @@
 				b.Fatal(err)
 			}
 			m := NewMesh(Config{
-				Fleet: "f", Self: fate.Incarnation(name + ".1"), Zone: "z", Address: l.Addr().String(), Directory: addresses, Handler: deaf{},
+				Fleet: "f", Self: fate.Incarnation(name + ".1"), Zone: "z", Address: l.Addr().String(), Resolver: addresses, Handler: deaf{},
 				Dial: func(ctx context.Context, address string) (net.Conn, error) {
 					var d net.Dialer
 					return d.DialContext(ctx, "tcp", address)
 				},
-				QueueOnly: true, Shared: true, Silence: func(string) time.Duration { return time.Hour },
+				QueueOnly: true, ShareConnections: true, SilenceTimeout: func(string) time.Duration { return time.Hour },
 			})
 			addresses[name] = l.Addr().String()
 			go m.Serve(l)
@@ -57,12 +57,12 @@
 			if _, err := hub.Connect(peer.Instance()); err != nil {
 				b.Fatal(err)
 			}
-			e, err := Encode(&Frame{Body: &Frame_Presence{Presence: &Presence{Claims: []*Claim{{Group: "zone-a/0"}}}}})
+			e, err := EncodeFrame(&Frame{Body: &Frame_Presence{Presence: &Presence{Claims: []*Claim{{Group: "zone-a/0"}}}}})
 			if err != nil {
 				b.Fatal(err)
 			}
 			for range 20 {
-				if err := hub.Beat(peer, e); err != nil {
+				if err := hub.SendHeartbeat(peer, e); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/inner/mesh.go
+++ b/inner/mesh.go
@@ -18,33 +18,33 @@
 
 // Handler takes the frames of other instances.
 type Handler interface {
-	// Frame takes one frame. It must not block: frames behind it wait. It may
+	// HandleFrame takes one frame. It must not block: frames behind it wait. It may
 	// call reply once, at any time, when f has an id; f.Id zero wants none.
-	Frame(from fate.Incarnation, f *Frame, reply func(*Frame))
+	HandleFrame(from fate.Incarnation, f *Frame, reply func(*Frame))
 }
 
-// LinkHandler is a Handler that cares which connection a frame came on, and
+// ConnectionHandler is a Handler that cares which connection a frame came on, and
 // that must know when a connection is closed: what the peer asked on it has
 // nobody to answer to any more.
-type LinkHandler interface {
+type ConnectionHandler interface {
 	Handler
-	// LinkFrame is Frame with the connection.
-	LinkFrame(link Link, from fate.Incarnation, f *Frame, reply func(*Frame))
-	// LinkClosed tells that no frame comes on a connection any more.
-	LinkClosed(link Link, from fate.Incarnation)
+	// HandleConnectionFrame is Frame with the connection.
+	HandleConnectionFrame(link Connection, from fate.Incarnation, f *Frame, reply func(*Frame))
+	// HandleConnectionClosed tells that no frame comes on a connection any more.
+	HandleConnectionClosed(link Connection, from fate.Incarnation)
 }
 
-// Link is one connection to a peer.
-type Link interface {
-	// Number names the connection; within one process no other has it.
-	Number() uint64
+// Connection is one connection to a peer.
+type Connection interface {
+	// ID names the connection; within one process no other has it.
+	ID() uint64
 	// Send sends a frame on this connection. The error is Unreachable once it
 	// is closed.
 	Send(f *Frame) error
 }
 
-// Directory tells where instances listen.
-type Directory interface {
+// AddressResolver tells where instances listen.
+type AddressResolver interface {
 	// Address returns the host and port of an instance's inner listener.
 	Address(instance string) (string, bool)
 }
@@ -60,20 +60,21 @@
 	Zone        string
 	Rack        string
 	Address     string // of this instance's inner listener
-	Directory   Directory
+	Resolver    AddressResolver
 	Handler     Handler
 	Dial        Dialer            // nil is TCP
 	DialTimeout time.Duration     // zero is DefaultDialTimeout
-	Count       func(kind string) // counts each frame that is sent; may be nil
-	Met         func(*Hello)      // takes what each peer says of itself; may be nil
-	Clock       func() uint64     // the steady clock that peers are told, milliseconds; may be nil
-	// Shared makes the mesh send on any open connection to a peer, whoever opened
-	// it. Beat has to be called on both sides then, a few times in Silence.
-	Shared bool
-	// Silence is how long a connection to an instance may be silent before it
+	CountSent   func(kind string) // counts each frame that is sent; may be nil
+	OnHello     func(*Hello)      // takes what each peer says of itself; may be nil
+	ClockMs     func() uint64     // the steady clock that peers are told, milliseconds; may be nil
+	// ShareConnections makes the mesh send on any open connection to a peer, whoever opened
+	// it. SendHeartbeat has to be called on both sides then, a few times in
+	// SilenceTimeout.
+	ShareConnections bool
+	// SilenceTimeout is how long a connection to an instance may be silent before it
 	// counts as broken; for Shared.
-	Silence func(instance string) time.Duration
-	// QueueOnly makes Post, Notify and replies never wait for a peer that does
+	SilenceTimeout func(instance string) time.Duration
+	// QueueOnly makes TrySend, CallAsync and replies never wait for a peer that does
 	// not read. Frames take a wake-up more.
 	QueueOnly bool
 }
@@ -115,14 +116,14 @@
 	if cfg.DialTimeout == 0 {
 		cfg.DialTimeout = DefaultDialTimeout
 	}
-	if cfg.Met == nil {
-		cfg.Met = func(*Hello) {}
+	if cfg.OnHello == nil {
+		cfg.OnHello = func(*Hello) {}
 	}
-	if cfg.Clock == nil {
-		cfg.Clock = func() uint64 { return 0 }
+	if cfg.ClockMs == nil {
+		cfg.ClockMs = func() uint64 { return 0 }
 	}
-	if cfg.Count == nil {
-		cfg.Count = func(string) {}
+	if cfg.CountSent == nil {
+		cfg.CountSent = func(string) {}
 	}
 	m := &Mesh{cfg: cfg, links: map[string]*dialed{}, byPeer: map[string][]*link{}}
 	m.traffic.queueOnly = cfg.QueueOnly
@@ -162,27 +163,27 @@
 		}
 		reply.Id = id
 		reply.Reply = true
-		m.cfg.Count(KindOf(reply))
+		m.cfg.CountSent(KindOf(reply))
 		_ = k.send(reply)
 	}
-	if h, cares := m.cfg.Handler.(LinkHandler); cares {
-		h.LinkFrame(k, k.peer, f, answer)
+	if h, cares := m.cfg.Handler.(ConnectionHandler); cares {
+		h.HandleConnectionFrame(k, k.peer, f, answer)
 		return
 	}
-	m.cfg.Handler.Frame(k.peer, f, answer)
+	m.cfg.Handler.HandleFrame(k.peer, f, answer)
 }
 
 // ended tells a handler that cares that a connection is closed.
 func (m *Mesh) ended(k *link) {
-	if h, cares := m.cfg.Handler.(LinkHandler); cares {
-		h.LinkClosed(k, k.peer)
+	if h, cares := m.cfg.Handler.(ConnectionHandler); cares {
+		h.HandleConnectionClosed(k, k.peer)
 	}
 }
 
-// Sever closes every connection with an incarnation of an instance, also those
+// CloseConnections closes every connection with an incarnation of an instance, also those
 // that it opened. Those of the instance's next incarnation stay. It does not wait
 // for a dial that is under way: a peer that is lost answers none.
-func (m *Mesh) Sever(peer fate.Incarnation) {
+func (m *Mesh) CloseConnections(peer fate.Incarnation) {
 	instance := peer.Instance()
 	links := m.linksTo(instance)
 	former := slices.DeleteFunc(slices.Clone(links), func(k *link) bool { return k.peer != peer })
@@ -287,11 +288,11 @@
 	return d.link
 }
 
-// Sent returns the bytes of frames that this instance has sent.
-func (m *Mesh) Sent() int64 { return m.traffic.sent.Load() }
+// SentBytes returns the bytes of frames that this instance has sent.
+func (m *Mesh) SentBytes() int64 { return m.traffic.sent.Load() }
 
-// Drop closes the connection to an instance, so that calls to it end at once.
-func (m *Mesh) Drop(instance string) {
+// CloseDialed closes the connection to an instance, so that calls to it end at once.
+func (m *Mesh) CloseDialed(instance string) {
 	m.mu.Lock()
 	d := m.links[instance]
 	delete(m.links, instance)
--- a/inner/mesh_test.go
+++ b/inner/mesh_test.go
@@ -30,7 +30,7 @@
 // echo answers every call with its own frame; what takes a call and keeps it.
 type echo struct{ kept chan *Frame }
 
-func (e *echo) Frame(_ fate.Incarnation, f *Frame, reply func(*Frame)) {
+func (e *echo) HandleFrame(_ fate.Incarnation, f *Frame, reply func(*Frame)) {
 	if f.GetCancel() != nil {
 		e.kept <- f
 		return
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	e := &echo{kept: make(chan *Frame, 1)}
-	m := NewMesh(Config{Fleet: fleet, Self: self, Directory: dir, Handler: e, Silence: func(string) time.Duration { return time.Minute }})
+	m := NewMesh(Config{Fleet: fleet, Self: self, Resolver: dir, Handler: e, SilenceTimeout: func(string) time.Duration { return time.Minute }})
 	dir.mu.Lock()
 	dir.addresses[self.Instance()] = l.Addr().String()
 	dir.mu.Unlock()
@@ -90,12 +90,12 @@
 		}
 	}
 
-	p, err := a.Begin("b.1", &Frame{Body: &Frame_Cancel{&Cancel{}}})
+	p, err := a.StartCall("b.1", &Frame{Body: &Frame_Cancel{&Cancel{}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-kept.kept
-	a.Drop("b")
+	a.CloseDialed("b")
 	if _, err := p.Wait(context.Background()); !failure.Is(err, failure.Lost) {
 		t.Errorf("a call whose connection broke: %v", err)
 	}
@@ -131,7 +131,7 @@
 	for range cap(stuck.kept) {
 		stuck.kept <- nil // its reader waits with the first frame
 	}
-	m := NewMesh(Config{Fleet: "f", Self: "a.1", Directory: dir, Handler: &echo{kept: make(chan *Frame, 1)}, QueueOnly: true})
+	m := NewMesh(Config{Fleet: "f", Self: "a.1", Resolver: dir, Handler: &echo{kept: make(chan *Frame, 1)}, QueueOnly: true})
 	t.Cleanup(m.Close)
 	if _, err := m.Connect("b"); err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 	go func() {
 		defer close(sent)
 		for range 4000 {
-			_ = m.Post("b.1", &Frame{Body: &Frame_Cancel{Cancel: &Cancel{Keys: []*Key{{Session: strings.Repeat("x", 2000)}}}}})
+			_ = m.TrySend("b.1", &Frame{Body: &Frame_Cancel{Cancel: &Cancel{Keys: []*Key{{Session: strings.Repeat("x", 2000)}}}}})
 		}
 	}()
 	select {
--- a/inner/shared.go
+++ b/inner/shared.go
@@ -65,7 +65,7 @@
 
 // sharedWith is shared, nil where connections are not shared.
 func (m *Mesh) sharedWith(instance string) *link {
-	if !m.cfg.Shared {
+	if !m.cfg.ShareConnections {
 		return nil
 	}
 	return m.shared(instance)
@@ -81,29 +81,29 @@
 
 // fresh reports whether a connection was heard lately.
 func (m *Mesh) fresh(k *link, now time.Duration) bool {
-	return now-k.heardAt() < m.cfg.Silence(k.peer.Instance())/2
+	return now-k.heardAt() < m.cfg.SilenceTimeout(k.peer.Instance())/2
 }
 
-// Encoded is a frame as it stands on the wire, to be sent to many peers.
-type Encoded struct {
+// EncodedFrame is a frame as it stands on the wire, to be sent to many peers.
+type EncodedFrame struct {
 	raw  []byte
 	kind string
 	lane int
 }
 
-// Encode encodes a frame that wants no reply.
-func Encode(f *Frame) (Encoded, error) {
+// EncodeFrame encodes a frame that wants no reply.
+func EncodeFrame(f *Frame) (EncodedFrame, error) {
 	raw, err := AppendFrame(nil, f)
-	return Encoded{raw, KindOf(f), laneOf(f)}, err
+	return EncodedFrame{raw, KindOf(f), laneOf(f)}, err
 }
 
-// Beat sends a heartbeat on every open connection to one incarnation. The errors
-// are those of Post.
-func (m *Mesh) Beat(peer fate.Incarnation, e Encoded) error {
+// SendHeartbeat sends a heartbeat on every open connection to one incarnation. The errors
+// are those of TrySend.
+func (m *Mesh) SendHeartbeat(peer fate.Incarnation, e EncodedFrame) error {
 	sent := false
 	for _, k := range m.linksTo(peer.Instance()) {
 		if k.peer == peer && k.lanes[e.lane].sendRaw(e.raw) == nil {
-			m.cfg.Count(e.kind)
+			m.cfg.CountSent(e.kind)
 			sent = true
 		}
 	}
@@ -127,7 +127,7 @@
 		return
 	}
 	for _, k := range links {
-		silent := now-k.heardAt() >= m.cfg.Silence(k.peer.Instance())
+		silent := now-k.heardAt() >= m.cfg.SilenceTimeout(k.peer.Instance())
 		spare := k.opened && now-k.calledAt() >= idleSpare
 		if k != best && (silent || spare) {
 			k.close()
@@ -135,9 +135,9 @@
 	}
 }
 
-// Renew opens another connection to an instance whose open ones may have gone
+// SendOnNewConnection opens another connection to an instance whose open ones may have gone
 // silent, and sends f there. The errors are those of Connect.
-func (m *Mesh) Renew(instance string, f *Frame) error {
+func (m *Mesh) SendOnNewConnection(instance string, f *Frame) error {
 	d, err := m.slot(instance)
 	if err != nil {
 		return err
@@ -149,6 +149,6 @@
 		return err
 	}
 	d.link, d.err = k, nil
-	m.cfg.Count(KindOf(f))
+	m.cfg.CountSent(KindOf(f))
 	return k.send(f)
 }
--- a/inner/shared_test.go
+++ b/inner/shared_test.go
@@ -14,7 +14,7 @@
 	dir := &peers{addresses: map[string]string{}}
 	a, _ = startMesh(t, dir, "a.1", "f")
 	b, _ = startMesh(t, dir, "b.1", "f")
-	a.cfg.Shared, b.cfg.Shared = true, true
+	a.cfg.ShareConnections, b.cfg.ShareConnections = true, true
 	return a, b
 }
 
@@ -53,7 +53,7 @@
 	a, b := startShared(t)
 	connectShared(t, b, "a")
 	settleLinks(t, a, b, 1)
-	if err := a.Renew("b", heartbeat()); err != nil {
+	if err := a.SendOnNewConnection("b", heartbeat()); err != nil {
 		t.Fatal(err)
 	}
 	settleLinks(t, a, b, 2)
@@ -61,7 +61,7 @@
 		t.Error("the ends do not agree on the connection that a has opened")
 	}
 	first := a.shared("b")
-	if err := a.Renew("b", heartbeat()); err != nil {
+	if err := a.SendOnNewConnection("b", heartbeat()); err != nil {
 		t.Fatal(err)
 	}
 	settleLinks(t, a, b, 3)
@@ -77,7 +77,7 @@
 	connectShared(t, a, "b")
 	settleLinks(t, a, b, 1)
 	connectShared(t, b, "a")
-	if err := b.Renew("a", heartbeat()); err != nil {
+	if err := b.SendOnNewConnection("a", heartbeat()); err != nil {
 		t.Fatal(err)
 	}
 	settleLinks(t, a, b, 2)
@@ -86,11 +86,11 @@
 	if a.shared("b") == preferred {
 		t.Error("a silent connection is used beside one that is heard")
 	}
-	e, err := Encode(heartbeat())
+	e, err := EncodeFrame(heartbeat())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Beat("b.1", e); err != nil {
+	if err := a.SendHeartbeat("b.1", e); err != nil {
 		t.Fatal(err)
 	}
 	settleLinks(t, a, b, 1)
@@ -102,8 +102,8 @@
 	a, b := startShared(t)
 	connectShared(t, a, "b")
 	settleLinks(t, a, b, 1)
-	next, _ := startMesh(t, a.cfg.Directory.(*peers), "b.2", "f")
-	next.cfg.Shared = true
+	next, _ := startMesh(t, a.cfg.Resolver.(*peers), "b.2", "f")
+	next.cfg.ShareConnections = true
 	connectShared(t, next, "a")
 	deadline := time.Now().Add(10 * time.Second)
 	for len(a.linksTo("b")) != 2 {
@@ -112,7 +112,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	a.Sever("b.1")
+	a.CloseConnections("b.1")
 	if links := a.linksTo("b"); len(links) != 1 || links[0].peer != "b.2" {
 		t.Errorf("%d connections are left", len(links))
 	}
@@ -130,11 +130,11 @@
 		return nil, errors.New("it hung")
 	}
 	renewed := make(chan error, 1)
-	go func() { renewed <- a.Renew("b", heartbeat()) }()
+	go func() { renewed <- a.SendOnNewConnection("b", heartbeat()) }()
 	<-dialing
 	severed := make(chan struct{})
 	go func() {
-		a.Sever("b.1")
+		a.CloseConnections("b.1")
 		close(severed)
 	}()
 	select {
--- a/kv/client.go
+++ b/kv/client.go
@@ -75,9 +75,9 @@
 	return entry, err
 }
 
-// Swap writes w if the version is as expected. The error is Conflict where it
+// CompareAndSwap writes w if the version is as expected. The error is Conflict where it
 // is not, with the entry as it stands; Lost where the effect is not known.
-func (c *Client) Swap(w api.KVWrite) (api.KVEntry, error) {
+func (c *Client) CompareAndSwap(w api.KVWrite) (api.KVEntry, error) {
 	var entry api.KVEntry
 	status, err := c.do(fasthttp.MethodPut, api.PathKV, w, c.timeout, &entry)
 	if err == nil && status == http.StatusConflict {
@@ -86,15 +86,15 @@
 	return entry, err
 }
 
-// Grant makes a lease of the given length.
-func (c *Client) Grant(ttl time.Duration) (api.KVLease, error) {
+// GrantLease makes a lease of the given length.
+func (c *Client) GrantLease(ttl time.Duration) (api.KVLease, error) {
 	var l api.KVLease
 	_, err := c.do(fasthttp.MethodPost, api.PathPlatformLeases, api.KVLease{TTLMs: ttl.Milliseconds()}, c.timeout, &l)
 	return l, err
 }
 
-// Renew extends a lease by its length. The error is NotFound when it lapsed.
-func (c *Client) Renew(l api.KVLease) error {
+// RenewLease extends a lease by its length. The error is NotFound when it lapsed.
+func (c *Client) RenewLease(l api.KVLease) error {
 	status, err := c.do(fasthttp.MethodPut, api.PathPlatformLeases, l, c.timeout, &l)
 	if err == nil && status == http.StatusNotFound {
 		return failure.NotFound.New("lease %s has lapsed", l.ID)
--- a/node/configask.go
+++ b/node/configask.go
@@ -41,7 +41,7 @@
 }
 
 // handleConfigVersion takes the version of the configuration that a peer has in force.
-func (n *Node) handleConfigVersion(link inner.Link, version uint64) {
+func (n *Node) handleConfigVersion(link inner.Connection, version uint64) {
 	config := n.config.Load()
 	if version == 0 || config != nil && version <= config.Version {
 		return
--- a/node/lease.go
+++ b/node/lease.go
@@ -55,16 +55,16 @@
 
 // renewalDue reports whether offers on a connection are open whose lease is to be renewed
 // now.
-func (r *router) renewalDue(link inner.Link) bool {
+func (r *router) renewalDue(link inner.Connection) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return clock.Since(r.leasesRenewedAt[link.Number()]) >= leaseRenewInterval && r.hasOpenOffers(link)
+	return clock.Since(r.leasesRenewedAt[link.ID()]) >= leaseRenewInterval && r.hasOpenOffers(link)
 }
 
 // hasOpenOffers reports whether an offer on a connection is open. The lock is held.
-func (r *router) hasOpenOffers(link inner.Link) bool {
+func (r *router) hasOpenOffers(link inner.Connection) bool {
 	for _, sent := range r.openOffers {
-		if sent.link != nil && sent.link.Number() == link.Number() {
+		if sent.link != nil && sent.link.ID() == link.ID() {
 			return true
 		}
 	}
@@ -73,13 +73,13 @@
 
 // handlePeerClock takes the time that a peer told on a connection. If this instance has offers
 // there, it renews the lease of those, once it has looked after the customers of all.
-func (r *router) handlePeerClock(link inner.Link, from fate.Incarnation, clockMs uint64) {
+func (r *router) handlePeerClock(link inner.Connection, from fate.Incarnation, clockMs uint64) {
 	r.recordPeerClock(from, clockMs)
 	if !r.renewalDue(link) || !r.node.ingress.EndDisconnected() {
 		return
 	}
 	r.mu.Lock()
-	r.leasesRenewedAt[link.Number()] = clock.Now()
+	r.leasesRenewedAt[link.ID()] = clock.Now()
 	r.mu.Unlock()
 	r.node.metrics.CountSent("renewal")
 	err := link.Send(&inner.Frame{Body: &inner.Frame_Renewal{Renewal: &inner.Renewal{ClockMs: clockMs}}})
@@ -89,7 +89,7 @@
 }
 
 // handleRenewal renews the lease of the coordinator behind a connection.
-func (r *router) handleRenewal(link inner.Link, from fate.Incarnation, m *inner.Renewal) {
+func (r *router) handleRenewal(link inner.Connection, from fate.Incarnation, m *inner.Renewal) {
 	alive := r.node.timeOfClock(m.GetClockMs())
 	for _, g := range r.node.ownedGroups() {
 		g.Renew(coordinatorName(link, from), alive)
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -109,14 +109,14 @@
 type heartbeatFrames struct {
 	heartbeat *inner.Presence
 	relayed   []*inner.RemoteOwner
-	encoded   map[heartbeatVariant]inner.Encoded
+	encoded   map[heartbeatVariant]inner.EncodedFrame
 }
 
 func (n *Node) newHeartbeatFrames() *heartbeatFrames {
-	return &heartbeatFrames{heartbeat: n.heartbeat(), relayed: n.ownersToRelay(), encoded: map[heartbeatVariant]inner.Encoded{}}
+	return &heartbeatFrames{heartbeat: n.heartbeat(), relayed: n.ownersToRelay(), encoded: map[heartbeatVariant]inner.EncodedFrame{}}
 }
 
-func (b *heartbeatFrames) encode(a heartbeatVariant) (inner.Encoded, error) {
+func (b *heartbeatFrames) encode(a heartbeatVariant) (inner.EncodedFrame, error) {
 	if e, done := b.encoded[a]; done {
 		return e, nil
 	}
@@ -125,7 +125,7 @@
 	if a.relayed {
 		b.heartbeat.Relayed = b.relayed
 	}
-	e, err := inner.Encode(heartbeatFrame(b.heartbeat))
+	e, err := inner.EncodeFrame(heartbeatFrame(b.heartbeat))
 	b.encoded[a] = e
 	return e, err
 }
@@ -213,7 +213,7 @@
 		event.PeerUnsent.Log(n.log, slog.String("what", "presence"), slog.String("error", err.Error()))
 		return
 	}
-	_ = n.mesh.Beat(p.Incarnation, e) // silence is noticed at the other end
+	_ = n.mesh.SendHeartbeat(p.Incarnation, e) // silence is noticed at the other end
 }
 
 // hubPeers returns the peers of the own availability zone that are hubs.
--- a/node/node.go
+++ b/node/node.go
@@ -152,8 +152,8 @@
 	n.server = ingress.NewServer(n.ingress, n.config.Load, n.shutdownStatus, n)
 	n.mesh = inner.NewMesh(inner.Config{
 		Fleet: fleetName, Self: n.self, Region: in.Region, Zone: in.Zone, Address: n.settings.PeerAddress,
-		Directory: n, Handler: n, Met: n.handleHello, Dial: n.dial, DialTimeout: dialTimeout, Count: n.metrics.CountSent, QueueOnly: true,
-		Shared: true, Silence: n.silenceLimit, Clock: n.clockMs,
+		Resolver: n, Handler: n, OnHello: n.handleHello, Dial: n.dial, DialTimeout: dialTimeout, CountSent: n.metrics.CountSent, QueueOnly: true,
+		ShareConnections: true, SilenceTimeout: n.silenceLimit, ClockMs: n.clockMs,
 	})
 	return n, nil
 }
@@ -279,7 +279,7 @@
 		read, wrote := l.bytes()
 		fmt.Fprintf(w, "sedgehatch_bytes{with=%q,way=\"in\"} %d\nsedgehatch_bytes{with=%q,way=\"out\"} %d\n", l.with, read, l.with, wrote)
 	}
-	fmt.Fprintf(w, "sedgehatch_bytes{with=\"peers\",way=\"out\"} %d\nsedgehatch_link_bytes_per_s %.0f\n", n.mesh.Sent(), n.settings.LinkRate)
+	fmt.Fprintf(w, "sedgehatch_bytes{with=\"peers\",way=\"out\"} %d\nsedgehatch_link_bytes_per_s %.0f\n", n.mesh.SentBytes(), n.settings.LinkRate)
 	for _, g := range n.ownedGroups() {
 		waits := g.CallDelays()
 		fmt.Fprintf(w, "sedgehatch_group_overdue_ms{group=%q} %d\nsedgehatch_group_link_wait_ms{group=%q} %d\n",
@@ -339,7 +339,7 @@
 	return drained
 }
 
-// Address implements inner.Directory.
+// Address implements inner.AddressResolver.
 func (n *Node) Address(instance string) (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/peers.go
+++ b/node/peers.go
@@ -101,7 +101,7 @@
 func (n *Node) contactSeeds() {
 	for _, seed := range n.settings.SeedPeers {
 		if seed != n.settings.PeerAddress {
-			n.contactPeer(string(inner.AtAddress(seed)))
+			n.contactPeer(string(inner.PeerAtAddress(seed)))
 		}
 	}
 }
@@ -132,7 +132,7 @@
 // reconnect opens another connection to a peer that is not heard any more: it may be
 // the connection that has gone silent, and not the peer.
 func (n *Node) reconnect(instance string) {
-	n.recordRefusal(instance, n.mesh.Renew(instance, n.heartbeatFor(instance)))
+	n.recordRefusal(instance, n.mesh.SendOnNewConnection(instance, n.heartbeatFor(instance)))
 }
 
 // refusalValidity is how long an instance that refused a connection counts as not
@@ -157,11 +157,11 @@
 	delete(n.refusedAt, instance)
 }
 
-// Frame implements inner.Handler; LinkFrame takes all frames.
-func (n *Node) Frame(fate.Incarnation, *inner.Frame, func(*inner.Frame)) {}
+// HandleFrame implements inner.Handler; HandleConnectionFrame takes all frames.
+func (n *Node) HandleFrame(fate.Incarnation, *inner.Frame, func(*inner.Frame)) {}
 
-// LinkFrame implements inner.LinkHandler.
-func (n *Node) LinkFrame(link inner.Link, from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) {
+// HandleConnectionFrame implements inner.ConnectionHandler.
+func (n *Node) HandleConnectionFrame(link inner.Connection, from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) {
 	switch body := f.GetBody().(type) {
 	case *inner.Frame_Presence:
 		n.handleHeartbeat(link, from, body.Presence)
@@ -182,7 +182,7 @@
 	}
 }
 
-func (n *Node) sendConfig(to inner.Link) {
+func (n *Node) sendConfig(to inner.Connection) {
 	config := n.config.Load()
 	if config == nil {
 		return
@@ -194,9 +194,9 @@
 	}
 }
 
-// LinkClosed implements inner.LinkHandler. What came on the connection is
+// HandleConnectionClosed implements inner.ConnectionHandler. What came on the connection is
 // dropped; whether the peer is gone is found out at once.
-func (n *Node) LinkClosed(link inner.Link, from fate.Incarnation) {
+func (n *Node) HandleConnectionClosed(link inner.Connection, from fate.Incarnation) {
 	n.router.handleLinkClosed(link, from)
 	if n.ctx.Err() != nil || !n.isNeighbour(from.Instance()) {
 		return
@@ -221,7 +221,7 @@
 }
 
 // handleHeartbeat takes the heartbeat of a peer.
-func (n *Node) handleHeartbeat(link inner.Link, from fate.Incarnation, p *inner.Presence) {
+func (n *Node) handleHeartbeat(link inner.Connection, from fate.Incarnation, p *inner.Presence) {
 	n.mu.Lock()
 	load := membership.Heartbeat{Leaving: p.GetLeaving(), Revision: p.GetConfigVersion(), Unwanted: p.GetUnwanted()}
 	changes := n.peers.RecordHeartbeat(from, load, n.uptimeMs())
@@ -258,7 +258,7 @@
 }
 
 // replyWithHeartbeat tells a peer of this instance on a connection of its own.
-func (n *Node) replyWithHeartbeat(link inner.Link, peer string) {
+func (n *Node) replyWithHeartbeat(link inner.Connection, peer string) {
 	if err := link.Send(n.heartbeatFor(peer)); err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "presence"), slog.String("error", err.Error()))
 	}
@@ -282,9 +282,9 @@
 		case membership.Dead:
 			event.PeerLost.Log(n.log, attrs...)
 			n.router.forgetPeer(c.Peer.Incarnation)
-			n.mesh.Sever(c.Peer.Incarnation)
+			n.mesh.CloseConnections(c.Peer.Incarnation)
 		case membership.Listed: // neither side needs the other any more
-			n.mesh.Sever(c.Peer.Incarnation)
+			n.mesh.CloseConnections(c.Peer.Incarnation)
 		case membership.Suspect:
 			go n.reconnect(c.Peer.Instance)
 		case membership.Leaving:
--- a/node/router.go
+++ b/node/router.go
@@ -40,8 +40,8 @@
 // sentOffer is an offer to a peer.
 type sentOffer struct {
 	owner.OfferCallbacks
-	peer string     // the instance that it went to
-	link inner.Link // that it went on; nil while it is being sent
+	peer string           // the instance that it went to
+	link inner.Connection // that it went on; nil while it is being sent
 	// withdrawn is set once the offer is not wanted any more, for a reason.
 	withdrawn bool
 	reason    string
@@ -176,7 +176,7 @@
 	aliveMs := aliveOnPeerClock(r.peerClocks[peer], o.AliveAt)
 	r.mu.Unlock()
 	frame := &inner.Frame{Body: &inner.Frame_Offer{Offer: offerToProto(group, o, aliveMs)}}
-	link, err := r.node.mesh.Ask(peer, frame, func(f *inner.Frame, err error) { r.handleOfferEnd(k, f, err) })
+	link, err := r.node.mesh.CallAsyncConn(peer, frame, func(f *inner.Frame, err error) { r.handleOfferEnd(k, f, err) })
 	if err != nil {
 		r.removeOffer(k)
 		return err
@@ -265,7 +265,7 @@
 
 // sendWithdrawal follows an offer on its connection. Once that is closed, its
 // owner has ended the offer by itself.
-func (r *router) sendWithdrawal(link inner.Link, k offerKey, reason string) {
+func (r *router) sendWithdrawal(link inner.Connection, k offerKey, reason string) {
 	frame := &inner.Frame{Body: &inner.Frame_OfferWithdrawn{OfferWithdrawn: &inner.OfferWithdrawn{
 		Group: k.group, Job: k.job.ID, Part: uint32(k.job.Part), Reason: reason,
 	}}}
@@ -275,12 +275,12 @@
 }
 
 // coordinatorName names the coordinator of the offers that come on a connection.
-func coordinatorName(link inner.Link, from fate.Incarnation) string {
-	return string(from) + "#" + strconv.FormatUint(link.Number(), 10)
+func coordinatorName(link inner.Connection, from fate.Incarnation) string {
+	return string(from) + "#" + strconv.FormatUint(link.ID(), 10)
 }
 
 // handleOffer takes the offer of a peer.
-func (r *router) handleOffer(link inner.Link, from fate.Incarnation, m *inner.Offer, reply func(*inner.Frame)) {
+func (r *router) handleOffer(link inner.Connection, from fate.Incarnation, m *inner.Offer, reply func(*inner.Frame)) {
 	g, _ := r.findGroup(m.GetGroup())
 	if g == nil {
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(failure.Stopping.New("group %s is not owned here", m.GetGroup()))}})
@@ -300,7 +300,7 @@
 	}
 }
 
-func (r *router) handleWithdrawal(link inner.Link, from fate.Incarnation, m *inner.OfferWithdrawn) {
+func (r *router) handleWithdrawal(link inner.Connection, from fate.Incarnation, m *inner.OfferWithdrawn) {
 	if g, _ := r.findGroup(m.GetGroup()); g != nil {
 		g.Withdraw(schedule.JobKey{Coordinator: coordinatorName(link, from), ID: m.GetJob(), Part: int(m.GetPart())}, m.GetReason())
 	}
@@ -308,13 +308,13 @@
 
 // handleLinkClosed ends the offers that came on a connection: their coordinator takes
 // them for lost, and its customers may send them again.
-func (r *router) handleLinkClosed(link inner.Link, from fate.Incarnation) {
+func (r *router) handleLinkClosed(link inner.Connection, from fate.Incarnation) {
 	coordinator := coordinatorName(link, from)
 	for _, g := range r.node.ownedGroups() {
 		g.WithdrawAll(coordinator, "the connection to the coordinator closed")
 	}
 	r.mu.Lock()
-	delete(r.leasesRenewedAt, link.Number())
+	delete(r.leasesRenewedAt, link.ID())
 	r.mu.Unlock()
 }
 
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -94,7 +94,7 @@
 		n.mu.Lock()
 		n.peers.Tick(n.uptimeMs() + time.Hour.Milliseconds())
 		n.mu.Unlock()
-		n.mesh.Sever(in.nodes[peer].self)
+		n.mesh.CloseConnections(in.nodes[peer].self)
 	}
 	lost(a, "b-1")
 	lost(b, "a-1")
--- a/node/upstreamask.go
+++ b/node/upstreamask.go
@@ -32,7 +32,7 @@
 	}
 	n.metrics.CountSent("upstreams_request")
 	request := &inner.Frame{Body: &inner.Frame_UpstreamsRequest{UpstreamsRequest: &inner.UpstreamsRequest{Zone: n.settings.Zone}}}
-	_, err := n.mesh.Ask(peer, request, func(f *inner.Frame, err error) { n.handleUpstreamsReply(peer, f, err) })
+	_, err := n.mesh.CallAsyncConn(peer, request, func(f *inner.Frame, err error) { n.handleUpstreamsReply(peer, f, err) })
 	if err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "upstreams request"), slog.String("error", err.Error()))
 	}
--- a/settings/schema.go
+++ b/settings/schema.go
@@ -12,8 +12,8 @@
 	"github.com/samber/lo"
 )
 
-// Def defines one setting.
-type Def struct {
+// Definition defines one setting.
+type Definition struct {
 	Key     string
 	Default string
 	Unit    string
@@ -24,23 +24,23 @@
 
 // The keys of the settings.
 const (
-	KeyWitness      = "witness"
-	KeyDeadlineMs   = "deadline_ms"
-	KeyKeepSeconds  = "keep_answers_s"
-	KeyKeepMB       = "keep_answers_mb"
-	KeyMaxQueued    = "max_queued_tasks"
-	KeyMaxInFlight  = "max_in_flight_jobs"
-	KeyWeight       = "weight"
-	KeyQuotaSlots   = "quota_slots"
-	KeyTraceRatio   = "trace_ratio"
-	KeyReleaseDelay = "release_delay_ms"
+	KeyWitness            = "witness"
+	KeyDeadlineMs         = "deadline_ms"
+	KeyKeepAnswersSeconds = "keep_answers_s"
+	KeyKeepAnswersMB      = "keep_answers_mb"
+	KeyMaxQueued          = "max_queued_tasks"
+	KeyMaxInFlight        = "max_in_flight_jobs"
+	KeyWeight             = "weight"
+	KeyQuotaSlots         = "quota_slots"
+	KeyTraceRatio         = "trace_ratio"
+	KeyReleaseDelay       = "release_delay_ms"
 )
 
-var schema = []Def{
+var schema = []Definition{
 	{KeyWitness, "zone", "", "none, zone or region", "How far away the witness of a session's jobs is.", oneOf("none", "zone", "region")},
 	{KeyDeadlineMs, "30000", "ms", "1 to 600000", "The deadline of a job that names none.", within(1, 600000)},
-	{KeyKeepSeconds, "600", "s", "1 to 86400", "How long an answer is kept for resubmissions. Not by service or caller.", within(1, 86400)},
-	{KeyKeepMB, "8", "MB", "1 to 64", "How much the kept answers of one log may take. Not by service or caller.", within(1, 64)},
+	{KeyKeepAnswersSeconds, "600", "s", "1 to 86400", "How long an answer is kept for resubmissions. Not by service or caller.", within(1, 86400)},
+	{KeyKeepAnswersMB, "8", "MB", "1 to 64", "How much the kept answers of one log may take. Not by service or caller.", within(1, 64)},
 	{KeyMaxQueued, "20000", "tasks", "1 to 1000000", "How many tasks may wait at one broker. Not by service or caller.", within(1, 1000000)},
 	{KeyMaxInFlight, "0", "jobs", "0 to 1000000; 0 is no limit", "How many jobs of one service, or caller, an entry takes at a time.", within(0, 1000000)},
 	{KeyWeight, "1", "", "1 to 1000", "A service's part of the slots against the others, where work waits.", within(1, 1000)},
@@ -65,16 +65,16 @@
 	return err == nil && f >= 0 && f <= 1
 }
 
-var byKey = lo.KeyBy(schema, func(d Def) string { return d.Key })
+var byKey = lo.KeyBy(schema, func(d Definition) string { return d.Key })
 
 // Schema returns the definition of every setting.
-func Schema() []Def { return schema }
+func Schema() []Definition { return schema }
 
 // CheckValue returns an InvalidInput error unless value is allowed for key.
 func CheckValue(key, value string) error {
 	def, known := byKey[key]
 	if !known {
-		return failure.Field(failure.InvalidInput, key, "is no setting; the settings are %v", lo.Map(schema, func(d Def, _ int) string { return d.Key }))
+		return failure.Field(failure.InvalidInput, key, "is no setting; the settings are %v", lo.Map(schema, func(d Definition, _ int) string { return d.Key }))
 	}
 	if !def.check(value) {
 		return failure.Field(failure.InvalidInput, key, "is %q; allowed: %s", value, def.Allowed)
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -208,8 +208,8 @@
 
 func formatRevision(revision uint64) string { return strconv.FormatUint(revision, 10) }
 
-// Named returns the names that a level has nodes for, sorted.
-func (t *Tree) Named(level Level) []string {
+// NodeNames returns the names that a level has nodes for, sorted.
+func (t *Tree) NodeNames(level Level) []string {
 	var names []string
 	for n := range t.nodes {
 		if n.Level == level {
