--- a/dispatch/brokers.go
+++ b/dispatch/brokers.go
@@ -119,8 +119,8 @@
 		return nil
 	}
 	return lo.MapValues(b.d.tuning.Load().Shares, func(s placement.Share, _ string) placement.Share {
-		if s.Slots > 0 {
-			s.Slots = max((s.Slots*p.slots+fleet/2)/fleet, 1)
+		if s.MaxSlots > 0 {
+			s.MaxSlots = max((s.MaxSlots*p.slots+fleet/2)/fleet, 1)
 		}
 		return s
 	})
@@ -149,10 +149,10 @@
 // held.
 func (p *brokerPool) message(g *placement.Grant) *inner.SlotGrant {
 	m := &inner.SlotGrant{
-		Pool: p.id, Ticket: g.Ticket, Service: g.Service, Sequence: g.Sequence, Refused: string(g.Refused), RetryAfterMs: uint32(g.RetryAfterMs),
-		Hurry: p.broker.Queued() > 0, Free: uint32(p.broker.Free()), Queued: uint32(p.broker.Queued()),
+		Pool: p.id, Ticket: g.Ticket, Service: g.Service, Sequence: g.Sequence, Refused: string(g.Refusal), RetryAfterMs: uint32(g.RetryAfterMs),
+		Hurry: p.broker.QueuedTasks() > 0, Free: uint32(p.broker.FreeSlots()), Queued: uint32(p.broker.QueuedTasks()),
 	}
-	for _, place := range g.Places {
+	for _, place := range g.Slots {
 		m.Places = append(m.Places, &inner.Place{Upstream: place.Upstream, Count: uint32(place.Count)})
 	}
 	return m
@@ -161,7 +161,7 @@
 // pressure returns the homes to be told that work waits, each time that it
 // begins to. The lock is held.
 func (p *brokerPool) pressure() []fate.Incarnation {
-	waits := p.broker.Queued() > 0
+	waits := p.broker.QueuedTasks() > 0
 	began := waits && !p.hurry
 	p.hurry = waits
 	if !began {
@@ -206,13 +206,13 @@
 	return placement.Request{
 		Home: string(home), Ticket: m.GetTicket(), Count: int(m.GetCount()),
 		Needs: toNeeds(m.GetNeeds()), RunMs: float64(m.GetRunMs()), Service: m.GetService(), DeadlineMs: m.GetDeadlineMs(),
-		Zone: m.GetZone(), Avoid: m.GetAvoidZones(),
+		Zone: m.GetZone(), AvoidZones: m.GetAvoidZones(),
 	}
 }
 
 func (b *brokers) sync(home fate.Incarnation, m *inner.SlotSync) {
-	held := lo.Map(m.GetHeld(), func(h *inner.Place, _ int) placement.Place {
-		return placement.Place{Upstream: h.GetUpstream(), Service: h.GetService(), Count: int(h.GetCount())}
+	held := lo.Map(m.GetHeld(), func(h *inner.Place, _ int) placement.UpstreamSlots {
+		return placement.UpstreamSlots{Upstream: h.GetUpstream(), Service: h.GetService(), Count: int(h.GetCount())}
 	})
 	waiting := lo.Map(m.GetWaiting(), func(r *inner.SlotRequest, _ int) placement.Request { return toRequest(home, r) })
 	b.run(b.pool(m.GetPool()), func(k *placement.Broker) []placement.Grant {
@@ -221,9 +221,9 @@
 }
 
 func (b *brokers) release(home fate.Incarnation, m *inner.SlotRelease) {
-	usages := make([]placement.Usage, 0, len(m.GetUsages()))
+	usages := make([]placement.ReleasedSlots, 0, len(m.GetUsages()))
 	for _, u := range m.GetUsages() {
-		usages = append(usages, placement.Usage{
+		usages = append(usages, placement.ReleasedSlots{
 			Upstream: u.GetUpstream(), Needs: toNeeds(u.GetNeeds()), Service: u.GetService(), Count: int(u.GetCount()),
 			RunMs: float64(u.GetRunUs()) / 1000, Failed: int(u.GetFailed()), HoldMs: int64(u.GetHoldMs()), Leaving: u.GetLeaving(),
 		})
@@ -242,7 +242,7 @@
 // gather grants what came back, a moment later and all at once. The lock is
 // held.
 func (b *brokers) gather(p *brokerPool) {
-	if p.gathering || p.broker.Queued() == 0 {
+	if p.gathering || p.broker.QueuedTasks() == 0 {
 		return
 	}
 	p.gathering = true
@@ -263,7 +263,7 @@
 
 func (b *brokers) homeGone(home fate.Incarnation) {
 	for _, p := range b.all() {
-		b.run(p, func(k *placement.Broker) []placement.Grant { return k.HomeGone(string(home), nowMs()) })
+		b.run(p, func(k *placement.Broker) []placement.Grant { return k.HandleHomeLost(string(home), nowMs()) })
 	}
 }
 
@@ -286,17 +286,17 @@
 func (b *brokers) load() (free, queued int) {
 	for _, p := range b.all() {
 		p.mu.Lock()
-		free += p.broker.Free()
-		queued += p.broker.Queued()
+		free += p.broker.FreeSlots()
+		queued += p.broker.QueuedTasks()
 		p.mu.Unlock()
 	}
 	return free, queued
 }
 
-func toNeeds(m *inner.Needs) placement.Needs {
-	return placement.Needs{CPU: m.GetCpu(), MemoryMB: m.GetMemoryMb(), Accelerators: m.GetAccelerators()}
+func toNeeds(m *inner.Needs) placement.Resources {
+	return placement.Resources{CPU: m.GetCpu(), MemoryMB: m.GetMemoryMb(), Accelerators: m.GetAccelerators()}
 }
 
-func fromNeeds(n placement.Needs) *inner.Needs {
+func fromNeeds(n placement.Resources) *inner.Needs {
 	return &inner.Needs{Cpu: n.CPU, MemoryMb: n.MemoryMB, Accelerators: n.Accelerators}
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -57,7 +57,7 @@
 	GrantDelay   time.Duration
 	Broker       placement.BrokerConfig
 	Placement    PlacementMode
-	DialUpstream upstream.Dial
+	DialUpstream upstream.DialFunc
 	Metrics      *metrics.Set
 	Tracer       *tracing.Tracer
 	Log          *slog.Logger
@@ -118,7 +118,7 @@
 		c.Retention = DefaultRetention
 	}
 	if c.Broker == (placement.BrokerConfig{}) {
-		c.Broker = placement.DefaultBroker
+		c.Broker = placement.DefaultBrokerConfig
 	}
 	if c.Metrics == nil {
 		c.Metrics = metrics.NewSet()
--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -99,7 +99,7 @@
 type orders struct {
 	starts  []order
 	stops   []fate.Start
-	unused  []placement.Usage
+	unused  []placement.ReleasedSlots
 	told    []delivery
 	ask     []fate.Key
 	tickets []string
@@ -132,7 +132,7 @@
 	o := orders{stops: e.Stops, ask: e.Ask}
 	for _, u := range e.Unused {
 		if r := l.runs[u.Lease.Key]; r != nil {
-			o.unused = append(o.unused, placement.Usage{Upstream: u.Upstream, Service: r.service, Count: 1})
+			o.unused = append(o.unused, placement.ReleasedSlots{Upstream: u.Upstream, Service: r.service, Count: 1})
 		}
 	}
 	for _, s := range e.Starts {
@@ -395,13 +395,13 @@
 func (d *Dispatcher) canEver(job *fate.Job) bool {
 	fits := d.view.Load().fits
 	for i := range job.Tasks {
-		if !placement.CanEver(fits, needsOf(&job.Tasks[i])) {
+		if !placement.AnyLargeEnough(fits, needsOf(&job.Tasks[i])) {
 			return false
 		}
 	}
 	return true
 }
 
-func needsOf(t *fate.Task) placement.Needs {
-	return placement.Needs{CPU: t.CPU, MemoryMB: t.MemoryMB, Accelerators: t.Accelerators}
+func needsOf(t *fate.Task) placement.Resources {
+	return placement.Resources{CPU: t.CPU, MemoryMB: t.MemoryMB, Accelerators: t.Accelerators}
 }
--- a/dispatch/homes.go
+++ b/dispatch/homes.go
@@ -32,7 +32,7 @@
 
 // lane is one of the logs that take sessions side by side.
 type lane struct {
-	scope placement.Scope
+	scope placement.WitnessScope
 	shard uint64
 }
 
@@ -47,7 +47,7 @@
 
 // OpenSession opens a session for a caller, in a log whose witness is as far
 // away as scope asks. The error is Stopping when this instance is leaving.
-func (d *Dispatcher) OpenSession(caller string, scope placement.Scope) (fate.Session, time.Duration, error) {
+func (d *Dispatcher) OpenSession(caller string, scope placement.WitnessScope) (fate.Session, time.Duration, error) {
 	if d.leaving.Load() {
 		return "", 0, failure.Stopping.New("instance %s is leaving", d.cfg.Self.Instance())
 	}
@@ -89,27 +89,27 @@
 }
 
 // outgrown reports whether l is alone though a witness is there by now.
-func (h *homes) outgrown(l *homeLog, scope placement.Scope) bool {
-	return l.id.Witness == "" && scope != placement.ScopeNone && len(h.d.view.Load().Members) > 1
+func (h *homes) outgrown(l *homeLog, scope placement.WitnessScope) bool {
+	return l.id.Witness == "" && scope != placement.WitnessScopeNone && len(h.d.view.Load().Members) > 1
 }
 
 // open opens a log with a witness, or alone when nobody can be one.
-func (h *homes) open(scope placement.Scope) *homeLog {
+func (h *homes) open(scope placement.WitnessScope) *homeLog {
 	id := fate.LogID{Home: h.d.cfg.Self, Number: h.number.Add(1)}
 	view := h.awaitOthers(scope)
-	self := placement.Entry{Instance: h.d.cfg.Self.Instance(), Region: h.d.cfg.Region, Zone: h.d.cfg.Zone, Rack: h.d.cfg.Rack}
+	self := placement.InstanceLocation{Instance: h.d.cfg.Self.Instance(), Region: h.d.cfg.Region, Zone: h.d.cfg.Zone, Rack: h.d.cfg.Rack}
 	for others := view.entries; ; {
-		m, there := view.member(placement.WitnessOf(self, id.Number, scope, others))
+		m, there := view.member(placement.ChooseWitness(self, id.Number, scope, others))
 		id.Witness = m.Incarnation
 		if !there || h.invite(id) == nil {
 			break
 		}
-		others = lo.Reject(others, func(e placement.Entry, _ int) bool { return e.Instance == m.Instance })
+		others = lo.Reject(others, func(e placement.InstanceLocation, _ int) bool { return e.Instance == m.Instance })
 	}
 	switch {
 	case id.Witness != "":
 		event.LogOpened.Log(h.d.cfg.Log, slog.String("log", id.String()))
-	case scope != placement.ScopeNone:
+	case scope != placement.WitnessScopeNone:
 		event.LogAlone.Log(h.d.cfg.Log, slog.String("log", id.String()))
 	}
 	return newHomeLog(h.d, id)
@@ -118,11 +118,11 @@
 // awaitOthers returns the view once it has somebody to be witness, or there is
 // nobody, or after WitnessTimeout: an instance that has just started may not
 // have heard the others yet.
-func (h *homes) awaitOthers(scope placement.Scope) *View {
+func (h *homes) awaitOthers(scope placement.WitnessScope) *View {
 	until := time.Now().Add(h.d.cfg.WitnessTimeout)
 	for {
 		v := h.d.view.Load()
-		if scope == placement.ScopeNone || len(v.Members) > 1 || v.OtherInstances == 0 || time.Now().After(until) {
+		if scope == placement.WitnessScopeNone || len(v.Members) > 1 || v.OtherInstances == 0 || time.Now().After(until) {
 			return v
 		}
 		select {
--- a/dispatch/returns.go
+++ b/dispatch/returns.go
@@ -9,7 +9,7 @@
 
 // returning is what goes back to the broker of one pool with the next release.
 type returning struct {
-	usages []placement.Usage
+	usages []placement.ReleasedSlots
 	timer  *time.Timer
 	due    time.Time // of the timer
 	hurry  bool      // work waits there: nothing is held back
@@ -25,7 +25,7 @@
 }
 
 // giveBack returns places that are free again, together with others.
-func (s *slots) giveBack(u placement.Usage) {
+func (s *slots) giveBack(u placement.ReleasedSlots) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := heldKey{u.Upstream, u.Service}
@@ -53,7 +53,7 @@
 }
 
 // add joins usages that are alike.
-func (r *returning) add(u placement.Usage) {
+func (r *returning) add(u placement.ReleasedSlots) {
 	for i := range r.usages {
 		o := &r.usages[i]
 		if o.Upstream == u.Upstream && o.Needs == u.Needs && o.Service == u.Service && o.HoldMs == u.HoldMs && o.Leaving == u.Leaving {
@@ -102,7 +102,7 @@
 	s.release(pool, r.usages)
 }
 
-func (s *slots) release(pool string, usages []placement.Usage) {
+func (s *slots) release(pool string, usages []placement.ReleasedSlots) {
 	p := s.d.view.Load().pools[pool]
 	if p == nil || p.broker == "" {
 		return
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -35,7 +35,7 @@
 	log      *homeLog
 	key      fate.Key
 	tasks    []int // that wait
-	needs    placement.Needs
+	needs    placement.Resources
 	runMs    uint32
 	service  string
 	deadline int64
@@ -131,7 +131,7 @@
 	}
 	s.mu.Unlock()
 	for _, upstream := range spare {
-		s.giveBack(placement.Usage{Upstream: upstream, Service: m.GetService(), Count: 1})
+		s.giveBack(placement.ReleasedSlots{Upstream: upstream, Service: m.GetService(), Count: 1})
 	}
 	if t == nil {
 		return
@@ -141,7 +141,7 @@
 	}
 	if len(list) > 0 {
 		for _, a := range t.log.place(t.key, list) {
-			s.giveBack(placement.Usage{Upstream: a.upstream, Service: t.service, Needs: t.needs, Count: 1})
+			s.giveBack(placement.ReleasedSlots{Upstream: a.upstream, Service: t.service, Needs: t.needs, Count: 1})
 		}
 	}
 	if m.GetRefused() != "" {
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -19,8 +19,8 @@
 
 // groupByNeeds splits tasks into groups that need the same.
 func groupByNeeds(job *fate.Job, tasks []int) [][]int {
-	var order []placement.Needs
-	groups := map[placement.Needs][]int{}
+	var order []placement.Resources
+	groups := map[placement.Resources][]int{}
 	for _, i := range tasks {
 		n := needsOf(&job.Tasks[i])
 		if groups[n] == nil {
@@ -142,7 +142,7 @@
 	for _, id := range v.order {
 		p := v.pools[id]
 		static := s.d.cfg.Placement == PlacementStatic && p.broker != s.d.cfg.Self
-		if p.broker != "" && !static && !t.tried[id] && placement.CanEver(p.Upstreams, t.needs) {
+		if p.broker != "" && !static && !t.tried[id] && placement.AnyLargeEnough(p.Upstreams, t.needs) {
 			pools = append(pools, p)
 		}
 	}
--- a/dispatch/starter.go
+++ b/dispatch/starter.go
@@ -38,7 +38,7 @@
 	began := time.Now()
 	reply, err := l.send(o, task, span.Traceparent())
 	span.End() // before the caller is answered, who may look at the trace
-	usage := placement.Usage{Upstream: o.Upstream, Needs: needsOf(task), Service: o.job.Service, Count: 1}
+	usage := placement.ReleasedSlots{Upstream: o.Upstream, Needs: needsOf(task), Service: o.job.Service, Count: 1}
 	switch {
 	case failure.Is(err, failure.Unreachable):
 		l.d.cfg.Metrics.CountWasted("start")
@@ -57,23 +57,23 @@
 	}
 }
 
-func (l *homeLog) send(o order, task *fate.Task, trace string) (upstream.Reply, error) {
+func (l *homeLog) send(o order, task *fate.Task, trace string) (upstream.StartReply, error) {
 	client := l.d.upstreams.get(o.Upstream)
 	if client == nil {
-		return upstream.Reply{}, failure.Unreachable.New("upstream %s is not known", o.Upstream)
+		return upstream.StartReply{}, failure.Unreachable.New("upstream %s is not known", o.Upstream)
 	}
 	if l.d.upstreams.isLeaving(o.Upstream) {
-		return upstream.Reply{State: api.LeaseRefused, Refusal: api.RefusedLeaving}, nil
+		return upstream.StartReply{State: api.LeaseRefused, Refusal: api.RefusedLeaving}, nil
 	}
 	l.d.cfg.Metrics.CountSent("start")
 	length := l.d.cfg.LeaseDuration + time.Duration(task.RunMs)*time.Millisecond
 	lease := o.Lease.String()
 	renewal := l.d.renewing(client, lease, length)
 	defer renewal.stop()
-	reply, err := client.Start(&upstream.Start{
+	reply, err := client.Start(&upstream.StartRequest{
 		Lease: lease, LeaseMs: length.Milliseconds(),
 		Service: o.job.Service, Task: task, Trace: trace,
-		Patience: patience + time.Duration(task.RunMs)*time.Millisecond,
+		Timeout: patience + time.Duration(task.RunMs)*time.Millisecond,
 	})
 	if err == nil {
 		l.d.cfg.Metrics.CountSent("result")
@@ -121,7 +121,7 @@
 
 // endedAs says in u how the task ended. One that was stopped says nothing of
 // its upstream.
-func endedAs(u placement.Usage, state api.LeaseState) placement.Usage {
+func endedAs(u placement.ReleasedSlots, state api.LeaseState) placement.ReleasedSlots {
 	switch state {
 	case api.LeaseFailed:
 		u.Failed = 1
@@ -133,7 +133,7 @@
 
 // ended takes the outcome of a task and gives its place back. The place goes
 // first, so that the next task need not wait for what the outcome sets off.
-func (l *homeLog) ended(o order, u placement.Usage, outcome fate.Outcome) {
+func (l *homeLog) ended(o order, u placement.ReleasedSlots, outcome fate.Outcome) {
 	l.d.slots.giveBack(u)
 	if !l.finish(o.Lease, outcome) {
 		l.d.cfg.Metrics.CountWasted("result")
@@ -141,12 +141,12 @@
 }
 
 // notStarted takes a proof that the task did not start.
-func (l *homeLog) notStarted(o order, u placement.Usage) {
+func (l *homeLog) notStarted(o order, u placement.ReleasedSlots) {
 	l.d.slots.giveBack(u)
 	l.refused(o.Lease)
 }
 
-func (l *homeLog) rejected(o order, u placement.Usage, why api.Refusal) {
+func (l *homeLog) rejected(o order, u placement.ReleasedSlots, why api.Refusal) {
 	switch why {
 	case api.RefusedBadRequest, api.RefusedUnfit:
 		outcome := fate.Outcome{State: fate.TaskFailed, Error: "the upstream refused the task: " + string(why)}
@@ -164,7 +164,7 @@
 
 // settle finds out what became of a start whose answer was lost. It asks until
 // the upstream knows, or has barred the lease, or was silent for too long.
-func (l *homeLog) settle(o order, u placement.Usage) {
+func (l *homeLog) settle(o order, u placement.ReleasedSlots) {
 	inquiry := l.d.inquire(o.Lease.String(), o.Upstream, func() bool { return l.awaits(o.Lease) })
 	switch inquiry.verdict {
 	case leaseBarred:
--- a/dispatch/starter_test.go
+++ b/dispatch/starter_test.go
@@ -12,12 +12,12 @@
 // not count against its upstream: one failed job would cast doubt on every
 // upstream that its other tasks ran at.
 func TestStoppedSaysNothingOfItsUpstream(t *testing.T) {
-	for state, want := range map[api.LeaseState]placement.Usage{
+	for state, want := range map[api.LeaseState]placement.ReleasedSlots{
 		api.LeaseFinished: {RunMs: 5},
 		api.LeaseFailed:   {RunMs: 5, Failed: 1},
 		api.LeaseStopped:  {},
 	} {
-		if got := endedAs(placement.Usage{RunMs: 5}, state); got != want {
+		if got := endedAs(placement.ReleasedSlots{RunMs: 5}, state); got != want {
 			t.Errorf("%s: usage %+v", state, got)
 		}
 	}
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -18,7 +18,7 @@
 
 // Member is an entry that is alive and not leaving.
 type Member struct {
-	placement.Entry
+	placement.InstanceLocation
 	Incarnation fate.Incarnation
 }
 
@@ -41,7 +41,7 @@
 	// the zone is cut off.
 	ZonesWithInstances map[string]bool
 
-	entries []placement.Entry
+	entries []placement.InstanceLocation
 	pools   map[string]*poolView
 	order   []string          // the ids of pools
 	poolOf  map[string]string // by upstream
@@ -59,7 +59,7 @@
 func (v *View) index(placing PlacementMode, self string) {
 	incarnations := map[string]fate.Incarnation{}
 	for _, m := range v.Members {
-		v.entries = append(v.entries, m.Entry)
+		v.entries = append(v.entries, m.InstanceLocation)
 		incarnations[m.Instance] = m.Incarnation
 	}
 	var usable []placement.Upstream
@@ -94,13 +94,13 @@
 }
 
 // poolsOf groups upstreams and chooses brokers.
-func poolsOf(placing PlacementMode, upstreams []placement.Upstream, entries []placement.Entry, self string) []brokered {
+func poolsOf(placing PlacementMode, upstreams []placement.Upstream, entries []placement.InstanceLocation, self string) []brokered {
 	if placing == PlacementStatic || placing == PlacementProbe {
 		return singles(placing, upstreams, entries)
 	}
 	var list []brokered
 	for _, p := range placement.Pools(upstreams) {
-		b := brokered{p, placement.BrokerOf(&p, entries)}
+		b := brokered{p, placement.ChooseBroker(&p, entries)}
 		if placing == PlacementGuess {
 			b.broker = self
 		}
@@ -111,13 +111,13 @@
 
 // singles makes each upstream a pool of its own, or, with static shares, part
 // of the pool of one entry.
-func singles(placing PlacementMode, upstreams []placement.Upstream, entries []placement.Entry) []brokered {
-	owners := slices.SortedFunc(slices.Values(entries), func(a, b placement.Entry) int { return cmp.Compare(a.Instance, b.Instance) })
+func singles(placing PlacementMode, upstreams []placement.Upstream, entries []placement.InstanceLocation) []brokered {
+	owners := slices.SortedFunc(slices.Values(entries), func(a, b placement.InstanceLocation) int { return cmp.Compare(a.Instance, b.Instance) })
 	sorted := slices.SortedFunc(slices.Values(upstreams), func(a, b placement.Upstream) int { return cmp.Compare(a.ID, b.ID) })
 	byID := map[string]*brokered{}
 	for i, u := range sorted {
 		one := placement.Pool{ID: "single/" + u.ID, Region: u.Region, Zone: u.Zone}
-		b := brokered{one, placement.BrokerOf(&one, entries)}
+		b := brokered{one, placement.ChooseBroker(&one, entries)}
 		if placing == PlacementStatic && len(owners) > 0 {
 			b.broker = owners[i%len(owners)].Instance
 			b.Pool = placement.Pool{ID: "static/" + b.broker, Region: u.Region}
@@ -132,7 +132,7 @@
 
 // cutOff reports whether a zone has entries but none of them is heard.
 func (v *View) cutOff(zone string) bool {
-	return v.ZonesWithInstances[zone] && !slices.ContainsFunc(v.entries, func(e placement.Entry) bool { return e.Zone == zone })
+	return v.ZonesWithInstances[zone] && !slices.ContainsFunc(v.entries, func(e placement.InstanceLocation) bool { return e.Zone == zone })
 }
 
 // brokers reports whether an incarnation is the broker of a pool.
@@ -231,7 +231,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.clients {
-		c.Close()
+		c.CloseIdleConnections()
 	}
 }
 
--- a/entry/config.go
+++ b/entry/config.go
@@ -25,17 +25,17 @@
 	Fleet, Instance, Region, Zone, Rack string
 	// ListenCallers and ListenInner are hosts and ports.
 	ListenCallers, ListenInner string
-	Platform                   string // host and port
+	PlatformAddress            string // host and port
 	LogLevel, LogFormat        string
 	Tracing                    tracing.Config
-	Grace                      time.Duration // of a planned stop
-	Heartbeat                  time.Duration
+	DrainTimeout               time.Duration // of a planned stop
+	HeartbeatInterval          time.Duration
 	// Seeds are hosts and ports of peers, to start from while the platform is
 	// down.
-	Seeds         []string
-	PollInstances time.Duration // of the platform's list
-	Membership    membership.Config
-	Dispatch      dispatch.Config
+	Seeds                []string
+	InstancePollInterval time.Duration // of the platform's list
+	Membership           membership.Config
+	Dispatch             dispatch.Config
 }
 
 // option is one key of the file.
@@ -115,16 +115,16 @@
 	{"instance", "rack", "", true, nameRule, text(func(c *Config) *string { return &c.Rack }, isName)},
 	{"listen", "callers", "", false, addressRule, text(func(c *Config) *string { return &c.ListenCallers }, isAddress)},
 	{"listen", "inner", "", false, addressRule, text(func(c *Config) *string { return &c.ListenInner }, isAddress)},
-	{"platform", "address", "", false, addressRule, text(func(c *Config) *string { return &c.Platform }, isAddress)},
-	{"platform", "poll_ms", "1000", false, "100 to 60000", duration(func(c *Config) *time.Duration { return &c.PollInstances }, 100, 60000)},
+	{"platform", "address", "", false, addressRule, text(func(c *Config) *string { return &c.PlatformAddress }, isAddress)},
+	{"platform", "poll_ms", "1000", false, "100 to 60000", duration(func(c *Config) *time.Duration { return &c.InstancePollInterval }, 100, 60000)},
 	{"log", "level", "info", false, "debug, info, warn or error", text(func(c *Config) *string { return &c.LogLevel }, word("debug", "info", "warn", "error"))},
 	{"log", "format", "text", false, "text or json", text(func(c *Config) *string { return &c.LogFormat }, word("text", "json"))},
 	{"tracing", "file", "", true, "a file to append spans to", text(func(c *Config) *string { return &c.Tracing.File }, anything)},
 	{"tracing", "endpoint", "", true, addressRule, text(func(c *Config) *string { return &c.Tracing.Endpoint }, isAddress)},
 	{"tracing", "ratio", "0", false, "0 to 1", ratio},
-	{"stop", "grace_ms", "30000", false, "0 to 600000", duration(func(c *Config) *time.Duration { return &c.Grace }, 0, 600000)},
+	{"stop", "grace_ms", "30000", false, "0 to 600000", duration(func(c *Config) *time.Duration { return &c.DrainTimeout }, 0, 600000)},
 	{"peers", "seeds", "", true, "IP numbers and ports of peers, comma separated", seeds},
-	{"peers", "heartbeat_ms", "500", false, "20 to 10000", duration(func(c *Config) *time.Duration { return &c.Heartbeat }, 20, 10000)},
+	{"peers", "heartbeat_ms", "500", false, "20 to 10000", duration(func(c *Config) *time.Duration { return &c.HeartbeatInterval }, 20, 10000)},
 	{"peers", "suspect_ms", "1600", false, "40 to 60000", millisInto(func(c *Config) *int64 { return &c.Membership.SuspectMs }, 40, 60000)},
 	{"peers", "dead_ms", "3000", false, "60 to 120000", millisInto(func(c *Config) *int64 { return &c.Membership.DeadMs }, 60, 120000)},
 	{"witness", "timeout_ms", "1500", false, "20 to 60000", duration(func(c *Config) *time.Duration { return &c.Dispatch.WitnessTimeout }, 20, 60000)},
--- a/entry/config_test.go
+++ b/entry/config_test.go
@@ -25,7 +25,7 @@
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	if c.Instance != "e1" || c.Heartbeat != 500*time.Millisecond || c.Grace != 30*time.Second || c.LogFormat != "text" {
+	if c.Instance != "e1" || c.HeartbeatInterval != 500*time.Millisecond || c.DrainTimeout != 30*time.Second || c.LogFormat != "text" {
 		t.Errorf("config %+v", c)
 	}
 }
--- a/entry/http.go
+++ b/entry/http.go
@@ -97,7 +97,7 @@
 		return err
 	}
 	scope := n.settings.Load().tree.Get(n.path("", open.Caller), settings.KeyWitness).Text
-	session, life, err := n.dispatch.OpenSession(open.Caller, placement.Scope(scope))
+	session, life, err := n.dispatch.OpenSession(open.Caller, placement.WitnessScope(scope))
 	if err != nil {
 		return err
 	}
--- a/entry/node.go
+++ b/entry/node.go
@@ -105,7 +105,7 @@
 
 func newPlatform(i do.Injector) (*kv.Client, error) {
 	counters := do.MustInvoke[*metrics.Set](i)
-	return kv.NewClient(do.MustInvoke[Config](i).Platform, do.MustInvoke[Hooks](i).DialPlatform, counters.CountSent), nil
+	return kv.NewClient(do.MustInvoke[Config](i).PlatformAddress, do.MustInvoke[Hooks](i).DialPlatform, counters.CountSent), nil
 }
 
 func newNode(i do.Injector) (*Node, error) {
@@ -157,20 +157,20 @@
 	return nil
 }
 
-// Self returns the incarnation of this instance.
-func (n *Node) Self() fate.Incarnation { return n.self }
+// Incarnation returns the incarnation of this instance.
+func (n *Node) Incarnation() fate.Incarnation { return n.self }
 
 // Metrics returns the counters of this instance.
 func (n *Node) Metrics() *metrics.Set { return n.metrics }
 
-// CallersAddress returns where callers are taken.
-func (n *Node) CallersAddress() string { return n.callers.Addr().String() }
+// CallerAddress returns where callers are taken.
+func (n *Node) CallerAddress() string { return n.callers.Addr().String() }
 
 // Instance returns this instance as the platform lists it.
 func (n *Node) Instance() api.PlatformInstance {
 	return api.PlatformInstance{
 		ID: n.cfg.Instance, Role: api.RoleEntry, Address: n.inner.Addr().String(),
-		CallerAddress: n.CallersAddress(), Region: n.cfg.Region, Zone: n.cfg.Zone, Rack: n.cfg.Rack,
+		CallerAddress: n.CallerAddress(), Region: n.cfg.Region, Zone: n.cfg.Zone, Rack: n.cfg.Rack,
 	}
 }
 
@@ -188,7 +188,7 @@
 			event.ServeFailed.Log(n.log, slog.String("error", err.Error()))
 		}
 	})
-	event.Started.Log(n.log, slog.String("incarnation", string(n.self)), slog.String("callers", n.CallersAddress()), slog.String("zone", n.cfg.Zone))
+	event.Started.Log(n.log, slog.String("incarnation", string(n.self)), slog.String("callers", n.CallerAddress()), slog.String("zone", n.cfg.Zone))
 }
 
 // drainPoll is how often a planned stop looks whether anything is in flight.
@@ -203,7 +203,7 @@
 	n.dispatch.Drain()
 	n.updateView()
 	n.beat()
-	ctx, cancel := context.WithTimeout(ctx, n.cfg.Grace)
+	ctx, cancel := context.WithTimeout(ctx, n.cfg.DrainTimeout)
 	defer cancel()
 	n.settle(ctx)
 	ticker := time.NewTicker(drainPoll)
@@ -230,7 +230,7 @@
 func (n *Node) settle(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(2 * n.cfg.Heartbeat):
+	case <-time.After(2 * n.cfg.HeartbeatInterval):
 	}
 }
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -122,8 +122,8 @@
 		v.ZonesWithInstances[p.Zone] = true
 		if p.State == membership.Alive {
 			v.Members = append(v.Members, dispatch.Member{
-				Entry:       placement.Entry{Instance: p.Instance, Region: p.Region, Zone: p.Zone, Rack: p.Rack},
-				Incarnation: p.Incarnation,
+				InstanceLocation: placement.InstanceLocation{Instance: p.Instance, Region: p.Region, Zone: p.Zone, Rack: p.Rack},
+				Incarnation:      p.Incarnation,
 			})
 		}
 	}
@@ -135,8 +135,8 @@
 	if !n.leaving.Load() || len(v.Members) == 0 {
 		// One that leaves serves its own to the end where nobody else is there.
 		v.Members = append(v.Members, dispatch.Member{
-			Entry:       placement.Entry{Instance: n.cfg.Instance, Region: n.cfg.Region, Zone: n.cfg.Zone, Rack: n.cfg.Rack},
-			Incarnation: n.self,
+			InstanceLocation: placement.InstanceLocation{Instance: n.cfg.Instance, Region: n.cfg.Region, Zone: n.cfg.Zone, Rack: n.cfg.Rack},
+			Incarnation:      n.self,
 		})
 	}
 	return v
@@ -155,7 +155,7 @@
 	return dispatch.UpstreamSpec{
 		Upstream: placement.Upstream{
 			ID: u.ID, Region: u.Region, Zone: u.Zone, Rack: u.Rack, Slots: u.Slots, Leaving: u.Leaving,
-			Capacity: placement.Needs{CPU: u.CPU, MemoryMB: u.MemoryMB, Accelerators: u.Accelerators},
+			Capacity: placement.Resources{CPU: u.CPU, MemoryMB: u.MemoryMB, Accelerators: u.Accelerators},
 		},
 		Address: u.Address, Connections: u.Connections,
 	}
@@ -163,7 +163,7 @@
 
 // heartbeats tells the peers that this instance lives, and notices silence.
 func (n *Node) heartbeats() {
-	ticker := time.NewTicker(n.cfg.Heartbeat)
+	ticker := time.NewTicker(n.cfg.HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -232,7 +232,7 @@
 // pollPause grows with the zone, so that the platform's calls do not.
 func (n *Node) pollPause() time.Duration {
 	share := (len(n.zonePeers()) + 1) / watchersPerZone
-	return n.cfg.PollInstances * time.Duration(max(share, 1))
+	return n.cfg.InstancePollInterval * time.Duration(max(share, 1))
 }
 
 func (n *Node) logPlatform(err error) {
@@ -278,20 +278,20 @@
 	return n.table.Peers()
 }
 
-// Ready reports whether this instance hears members entries, itself included,
+// FleetSizeAtLeast reports whether this instance hears members entries, itself included,
 // and knows upstreams.
-func (n *Node) Ready(members, upstreams int) bool {
+func (n *Node) FleetSizeAtLeast(members, upstreams int) bool {
 	m, u := n.dispatch.FleetSize()
 	return m >= members && u >= upstreams
 }
 
-// KnowsLeaving reports whether this instance knows that an upstream leaves.
-func (n *Node) KnowsLeaving(upstream string) bool {
+// UpstreamIsLeaving reports whether this instance knows that an upstream leaves.
+func (n *Node) UpstreamIsLeaving(upstream string) bool {
 	return lo.Contains(n.dispatch.LeavingUpstreams(), upstream)
 }
 
-// Held returns how many places at upstreams this instance's jobs hold.
-func (n *Node) Held() int { return n.dispatch.HeldSlots() }
+// HeldSlots returns how many places at upstreams this instance's jobs hold.
+func (n *Node) HeldSlots() int { return n.dispatch.HeldSlots() }
 
-// InnerBytes returns the bytes that this instance has sent to others.
-func (n *Node) InnerBytes() int64 { return n.mesh.SentBytes() }
+// SentBytes returns the bytes that this instance has sent to others.
+func (n *Node) SentBytes() int64 { return n.mesh.SentBytes() }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -202,7 +202,7 @@
 	for _, service := range tree.NodeNames(settings.LevelService) {
 		path := n.path(service, "")
 		shares[service] = placement.Share{
-			Weight: float64(tree.Int(path, settings.KeyWeight)), Slots: int(tree.Int(path, settings.KeyQuotaSlots)),
+			Weight: float64(tree.Int(path, settings.KeyWeight)), MaxSlots: int(tree.Int(path, settings.KeyQuotaSlots)),
 		}
 	}
 	return shares
--- a/experiment/cluster.go
+++ b/experiment/cluster.go
@@ -158,8 +158,8 @@
 func (c *Cluster) StartEntry(name string) (*entry.Node, error) {
 	cfg := entry.Config{
 		Fleet: "experiment", Instance: name, Zone: c.zones[name], Rack: name + "-rack",
-		ListenCallers: "127.0.0.1:0", ListenInner: "127.0.0.1:0", Platform: c.Platform.Address(),
-		Grace: 30 * time.Second, Heartbeat: c.Spec.Heartbeat, PollInstances: c.Spec.PollList,
+		ListenCallers: "127.0.0.1:0", ListenInner: "127.0.0.1:0", PlatformAddress: c.Platform.Address(),
+		DrainTimeout: 30 * time.Second, HeartbeatInterval: c.Spec.Heartbeat, InstancePollInterval: c.Spec.PollList,
 		Membership: c.Spec.Membership, Dispatch: c.Spec.Dispatch,
 	}
 	if before, again := c.ports[name]; again {
@@ -174,10 +174,10 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg.ListenCallers, cfg.ListenInner = n.CallersAddress(), n.Instance().Address
+	cfg.ListenCallers, cfg.ListenInner = n.CallerAddress(), n.Instance().Address
 	c.ports[name] = cfg
 	c.locate(n.Instance().Address, c.zones[name])
-	c.locate(n.CallersAddress(), c.zones[name])
+	c.locate(n.CallerAddress(), c.zones[name])
 	c.Platform.List(n.Instance())
 	n.Run()
 	c.mu.Lock()
@@ -228,7 +228,7 @@
 	for {
 		ready := true
 		for _, n := range c.Nodes() {
-			ready = ready && n.Ready(want, len(c.Upstreams)) && (c.Spec.Settings == "" || n.Revision() > 0)
+			ready = ready && n.FleetSizeAtLeast(want, len(c.Upstreams)) && (c.Spec.Settings == "" || n.Revision() > 0)
 		}
 		if ready {
 			return nil
@@ -309,7 +309,7 @@
 func (c *Cluster) Addresses() []string {
 	var list []string
 	for _, n := range c.Nodes() {
-		list = append(list, n.CallersAddress())
+		list = append(list, n.CallerAddress())
 	}
 	return list
 }
@@ -357,7 +357,7 @@
 	for {
 		held := 0
 		for _, n := range c.Nodes() {
-			held += n.Held()
+			held += n.HeldSlots()
 		}
 		if held == 0 || time.Now().After(deadline) {
 			return held
--- a/experiment/failure_test.go
+++ b/experiment/failure_test.go
@@ -122,13 +122,13 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(20, 300*time.Millisecond))
 	home, witness := homeOf(t, s)
-	lost := background(s, c.Node(home).CallersAddress())
+	lost := background(s, c.Node(home).CallerAddress())
 	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 20 })
 	c.KillEntry(home)
 	if got := <-lost; got.err == nil {
 		t.Error("the lost home answered")
 	}
-	answer, err := s.SendTo(context.Background(), c.Node(witness).CallersAddress())
+	answer, err := s.SendTo(context.Background(), c.Node(witness).CallerAddress())
 	wantComplete(t, answer, err, 20)
 	checkStarts(t, c)
 }
@@ -139,10 +139,10 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(120, 200*time.Millisecond))
 	home, witness := homeOf(t, s)
-	background(s, c.Node(home).CallersAddress())
+	background(s, c.Node(home).CallerAddress())
 	await(t, "some tasks to start", func() bool { return c.startsOf(s.Key()) >= 48 })
 	c.KillEntry(home)
-	answer, err := s.SendTo(context.Background(), c.Node(witness).CallersAddress())
+	answer, err := s.SendTo(context.Background(), c.Node(witness).CallerAddress())
 	wantComplete(t, answer, err, 120)
 	checkStarts(t, c)
 }
@@ -153,7 +153,7 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(10, 100*time.Millisecond))
 	home, _ := homeOf(t, s)
-	first := background(s, c.Node(home).CallersAddress())
+	first := background(s, c.Node(home).CallerAddress())
 	await(t, "a start", func() bool { return c.startsOf(s.Key()) > 0 })
 	for _, address := range c.Addresses() {
 		answer, err := s.SendTo(context.Background(), address)
@@ -172,7 +172,7 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(10, 300*time.Millisecond))
 	home, witness := homeOf(t, s)
-	first := background(s, c.Node(home).CallersAddress())
+	first := background(s, c.Node(home).CallerAddress())
 	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 10 })
 	c.KillEntry(witness)
 	got := <-first
@@ -187,7 +187,7 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(10, 200*time.Millisecond))
 	home, witness := homeOf(t, s)
-	background(s, c.Node(home).CallersAddress())
+	background(s, c.Node(home).CallerAddress())
 	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 10 })
 	c.KillEntry(home)
 	c.KillEntry(witness)
@@ -221,7 +221,7 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(200, 300*time.Millisecond))
 	home, _ := homeOf(t, s)
-	done := background(s, c.Node(home).CallersAddress())
+	done := background(s, c.Node(home).CallerAddress())
 	await(t, "a start", func() bool { return c.startsOf(s.Key()) > 0 })
 	answer, err := cl.Cancel(context.Background(), s.Key())
 	if err != nil || answer.Fate != fate.Failed || answer.Reason != fate.ReasonCancelled {
@@ -330,7 +330,7 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(4, 100*time.Millisecond))
 	home, _ := homeOf(t, s)
-	conn, err := net.Dial("tcp", c.Node(home).CallersAddress())
+	conn, err := net.Dial("tcp", c.Node(home).CallerAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -398,7 +398,7 @@
 	if other == home {
 		other = c.Names()[1]
 	}
-	answer, err := s.SendTo(context.Background(), c.Node(other).CallersAddress())
+	answer, err := s.SendTo(context.Background(), c.Node(other).CallerAddress())
 	wantComplete(t, answer, err, 3)
 	if err := tracer.Flush(context.Background()); err != nil {
 		t.Fatal(err)
--- a/experiment/fleet_test.go
+++ b/experiment/fleet_test.go
@@ -32,7 +32,7 @@
 func innerBytes(nodes []*entry.Node) int64 {
 	sum := int64(0)
 	for _, n := range nodes {
-		sum += n.InnerBytes()
+		sum += n.SentBytes()
 	}
 	return sum
 }
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -225,7 +225,7 @@
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
 func (s *Scenario) spec(network *Network) Spec {
-	broker := placement.DefaultBroker
+	broker := placement.DefaultBrokerConfig
 	broker.Order = placement.Order(s.Cluster.Order)
 	if s.Cluster.MaxQueued > 0 {
 		broker.MaxQueued = s.Cluster.MaxQueued
--- a/experiment/settings_test.go
+++ b/experiment/settings_test.go
@@ -144,7 +144,7 @@
 	if err := c.AwaitMembers(len(c.Names()), 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	cl, err := client.New(client.Config{Entries: []string{c.Node(name).CallersAddress()}, Caller: "desk"})
+	cl, err := client.New(client.Config{Entries: []string{c.Node(name).CallerAddress()}, Caller: "desk"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,14 +157,14 @@
 func TestAloneWithoutSettings(t *testing.T) {
 	n, err := entry.New(entry.Config{
 		Fleet: "f", Instance: "e", Zone: "z", ListenCallers: "127.0.0.1:0", ListenInner: "127.0.0.1:0",
-		Platform: "127.0.0.1:1", Heartbeat: time.Second, PollInstances: time.Second,
+		PlatformAddress: "127.0.0.1:1", HeartbeatInterval: time.Second, InstancePollInterval: time.Second,
 	}, entry.Hooks{}, (&Spec{}).quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.Run()
 	defer n.Kill()
-	cl, err := client.New(client.Config{Entries: []string{n.CallersAddress()}, Caller: "desk"})
+	cl, err := client.New(client.Config{Entries: []string{n.CallerAddress()}, Caller: "desk"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(30, 50*time.Millisecond))
 	home, _ := homeOf(t, s)
-	done := background(s, c.Node(home).CallersAddress())
+	done := background(s, c.Node(home).CallerAddress())
 	most := 0
 	for running := true; running; {
 		select {
--- a/experiment/stop_test.go
+++ b/experiment/stop_test.go
@@ -38,7 +38,7 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(20, 500*time.Millisecond))
 	home, _ := homeOf(t, s)
-	done := background(s, c.Node(home).CallersAddress())
+	done := background(s, c.Node(home).CallerAddress())
 	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 20 })
 	c.Upstreams[0].Close()
 	answer := (<-done).answer
@@ -101,7 +101,7 @@
 	answer, err := cl.Do(context.Background(), tasks(48, 5*time.Millisecond))
 	wantComplete(t, answer, err, 48)
 	for _, n := range c.Nodes() {
-		await(t, "every entry to know", func() bool { return n.KnowsLeaving(leaving.Instance().ID) })
+		await(t, "every entry to know", func() bool { return n.UpstreamIsLeaving(leaving.Instance().ID) })
 	}
 	sent, _ := c.Messages()
 	answer, err = cl.Do(context.Background(), tasks(40, 5*time.Millisecond))
@@ -156,10 +156,10 @@
 	if c.zones[home] == c.zones[witness] {
 		t.Fatalf("home %s and witness %s are in one zone", home, witness)
 	}
-	first := background(s, c.Node(home).CallersAddress())
+	first := background(s, c.Node(home).CallerAddress())
 	await(t, "tasks to run while others wait", func() bool { return c.startsOf(s.Key()) >= 24 })
 	network.Cut("a", "b")
-	second, err := s.SendTo(context.Background(), c.Node(witness).CallersAddress())
+	second, err := s.SendTo(context.Background(), c.Node(witness).CallerAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/experiment/throughput_test.go
+++ b/experiment/throughput_test.go
@@ -69,13 +69,13 @@
 func BenchmarkDirect(b *testing.B) {
 	c := idle(b, 1)
 	cl := upstream.NewClient("u", c.Upstreams[0].Address(), 64, nil)
-	defer cl.Close()
+	defer cl.CloseIdleConnections()
 	task := &fate.Task{}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		id := time.Now().String()
 		for n := 0; pb.Next(); n++ {
-			if _, err := cl.Start(&upstream.Start{Lease: id + "/" + time.Now().String(), LeaseMs: 1000, Service: "desk", Task: task, Patience: time.Second}); err != nil {
+			if _, err := cl.Start(&upstream.StartRequest{Lease: id + "/" + time.Now().String(), LeaseMs: 1000, Service: "desk", Task: task, Timeout: time.Second}); err != nil {
 				b.Error(err)
 			}
 		}
@@ -89,7 +89,7 @@
 		b.Run(name, func(b *testing.B) {
 			c := idle(b, entries)
 			direct := upstream.NewClient("u", c.Upstreams[0].Address(), 4, nil)
-			defer direct.Close()
+			defer direct.CloseIdleConnections()
 			cl, err := c.Client("desk")
 			if err != nil {
 				b.Fatal(err)
@@ -123,7 +123,7 @@
 					return err
 				})
 				timed(straight, func() error {
-					_, err := direct.Start(&upstream.Start{Lease: fmt.Sprintf("d/%p/%d/0", c, n), LeaseMs: 1000, Service: "desk", Task: &fate.Task{}, Patience: time.Second})
+					_, err := direct.Start(&upstream.StartRequest{Lease: fmt.Sprintf("d/%p/%d/0", c, n), LeaseMs: 1000, Service: "desk", Task: &fate.Task{}, Timeout: time.Second})
 					return err
 				})
 			}
--- a/placement/broker.go
+++ b/placement/broker.go
@@ -22,30 +22,30 @@
 	Order     Order
 	MaxQueued int // tasks that may wait
 	Health    HealthConfig
-	// OrphanMs is how long the places of a lost home stay taken: its tasks run
+	// LostHomeReleaseDelayMs is how long the places of a lost home stay taken: its tasks run
 	// on at their upstreams.
-	OrphanMs int64
+	LostHomeReleaseDelayMs int64
 }
 
-// DefaultBroker is what applies where settings say nothing.
-var DefaultBroker = BrokerConfig{Order: OrderFIFO, MaxQueued: 20000, Health: DefaultHealth, OrphanMs: 1000}
+// DefaultBrokerConfig is what applies where settings say nothing.
+var DefaultBrokerConfig = BrokerConfig{Order: OrderFIFO, MaxQueued: 20000, Health: DefaultHealthConfig, LostHomeReleaseDelayMs: 1000}
 
 // Request asks for places for tasks that are alike.
 type Request struct {
 	Home       string
 	Ticket     string
 	Count      int
-	Needs      Needs
+	Needs      Resources
 	RunMs      float64 // declared
 	Service    string
 	DeadlineMs int64 // Unix milliseconds; zero is none
 	Zone       string
-	// Avoid holds zones that the home cannot reach.
-	Avoid []string
+	// AvoidZones holds zones that the home cannot reach.
+	AvoidZones []string
 }
 
-// Place is a number of slots at one upstream.
-type Place struct {
+// UpstreamSlots is a number of slots at one upstream.
+type UpstreamSlots struct {
 	Upstream string
 	Service  string // whose they are, in a sync
 	Count    int
@@ -56,7 +56,7 @@
 
 // The refusals of a ticket.
 const (
-	RefusedNone       Refusal = ""
+	NotRefused        Refusal = ""
 	RefusedOverloaded Refusal = "overloaded"
 )
 
@@ -66,15 +66,15 @@
 	Ticket       string
 	Service      string
 	Sequence     uint64 // counts the grants to this home, refusals aside
-	Places       []Place
-	Refused      Refusal
+	Slots        []UpstreamSlots
+	Refusal      Refusal
 	RetryAfterMs int64
 }
 
-// Usage gives places back and says what the tasks there were like.
-type Usage struct {
+// ReleasedSlots gives places back and says what the tasks there were like.
+type ReleasedSlots struct {
 	Upstream string
-	Needs    Needs
+	Needs    Resources
 	Service  string
 	Count    int
 	RunMs    float64 // sum over the tasks that ran; zero where none did
@@ -91,7 +91,7 @@
 type place struct {
 	Upstream
 	used   int
-	taken  Needs
+	taken  Resources
 	health health
 	listed bool
 	// reserved is the ticket that this upstream is kept free for, or nil.
@@ -159,11 +159,11 @@
 // SetMaxQueued bounds the tasks that may wait.
 func (b *Broker) SetMaxQueued(tasks int) { b.cfg.MaxQueued = tasks }
 
-// Queued returns the number of tasks that wait.
-func (b *Broker) Queued() int { return b.queued }
+// QueuedTasks returns the number of tasks that wait.
+func (b *Broker) QueuedTasks() int { return b.queued }
 
-// Free returns the number of free slots.
-func (b *Broker) Free() int {
+// FreeSlots returns the number of free slots.
+func (b *Broker) FreeSlots() int {
 	free := 0
 	for _, p := range b.sorted {
 		if p.open() {
@@ -201,7 +201,7 @@
 		return nil
 	}
 	if wait, full := b.wait(&r, now); full {
-		return []Grant{{Home: r.Home, Ticket: r.Ticket, Service: r.Service, Refused: RefusedOverloaded, RetryAfterMs: wait}}
+		return []Grant{{Home: r.Home, Ticket: r.Ticket, Service: r.Service, Refusal: RefusedOverloaded, RetryAfterMs: wait}}
 	}
 	t := &ticket{Request: r, arrived: now}
 	b.tickets[key] = t
@@ -219,7 +219,7 @@
 // too long.
 func (b *Broker) wait(r *Request, now int64) (int64, bool) {
 	run, tail := b.services.run(r.Service, r.RunMs)
-	waitMs := int64(max(b.waitIn(b.queued+r.Count-b.Free(), run, b.slots()), b.waitOf(r, run)))
+	waitMs := int64(max(b.waitIn(b.queued+r.Count-b.FreeSlots(), run, b.slots()), b.waitOf(r, run)))
 	late := r.DeadlineMs > 0 && float64(waitMs)+tail > admitShare*float64(r.DeadlineMs-now)
 	return max(waitMs, 1), late || b.queued+r.Count > b.cfg.MaxQueued
 }
@@ -243,8 +243,8 @@
 	u := b.useOf(r.Service)
 	slots := b.slots()
 	mine := max(b.partOf(u, slots), slots-b.usedByOthers(u))
-	if u.share.Slots > 0 {
-		mine = min(mine, u.share.Slots)
+	if u.share.MaxSlots > 0 {
+		mine = min(mine, u.share.MaxSlots)
 	}
 	return b.waitIn(u.queued+r.Count-max(mine-u.used, 0), run, mine)
 }
@@ -295,13 +295,13 @@
 // Release takes places back and learns from what was seen there. It grants
 // nothing: Tick does, so that places that come back one after another go out
 // together.
-func (b *Broker) Release(home string, usages []Usage, now int64) {
+func (b *Broker) Release(home string, usages []ReleasedSlots, now int64) {
 	for i := range usages {
 		b.release(home, &usages[i], now)
 	}
 }
 
-func (b *Broker) release(home string, u *Usage, now int64) {
+func (b *Broker) release(home string, u *ReleasedSlots, now int64) {
 	p := b.places[u.Upstream]
 	if p == nil {
 		return
@@ -384,11 +384,11 @@
 }
 
 func (g *Grant) add(upstream string) {
-	for i := range g.Places {
-		if g.Places[i].Upstream == upstream {
-			g.Places[i].Count++
+	for i := range g.Slots {
+		if g.Slots[i].Upstream == upstream {
+			g.Slots[i].Count++
 			return
 		}
 	}
-	g.Places = append(g.Places, Place{Upstream: upstream, Count: 1})
+	g.Slots = append(g.Slots, UpstreamSlots{Upstream: upstream, Count: 1})
 }
--- a/placement/broker_test.go
+++ b/placement/broker_test.go
@@ -12,9 +12,9 @@
 // grants.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		cfg := DefaultBroker
+		cfg := DefaultBrokerConfig
 		cfg.MaxQueued = 20
-		cfg.Health = HealthConfig{FailuresToEject: 2, MaxEjected: 0.5, FirstMs: 100, MaxMs: 1000, SlowFactor: 1.5}
+		cfg.Health = HealthConfig{FailuresToEject: 2, MaxEjected: 0.5, FirstEjectionMs: 100, MaxEjectionMs: 1000, SlowFactor: 1.5}
 		s := &story{cfg: cfg, b: NewBroker(cfg, 0)}
 		datadriven.RunTest(t, path, s.step)
 	})
@@ -40,13 +40,13 @@
 	case "request":
 		return told(s.b.Request(s.request(t, d), s.now))
 	case "release":
-		s.b.Release(arg(t, d, "home", "h"), []Usage{s.usage(t, d)}, s.now)
+		s.b.Release(arg(t, d, "home", "h"), []ReleasedSlots{s.usage(t, d)}, s.now)
 		return told(s.b.Tick(s.now))
 	case "withdraw":
 		s.b.Withdraw(arg(t, d, "home", "h"), []string{arg(t, d, "ticket", "")})
 		return told(s.b.Tick(s.now))
 	case "gone":
-		return told(s.b.HomeGone(arg(t, d, "home", "h"), s.now))
+		return told(s.b.HandleHomeLost(arg(t, d, "home", "h"), s.now))
 	case "sync":
 		return told(s.sync(t, d))
 	case "shares":
@@ -55,7 +55,7 @@
 	case "tick":
 		return told(s.b.Tick(s.now))
 	case "state":
-		return fmt.Sprintf("free %d, queued %d\n", s.b.Free(), s.b.Queued())
+		return fmt.Sprintf("free %d, queued %d\n", s.b.FreeSlots(), s.b.QueuedTasks())
 	}
 	t.Fatalf("unknown command %s", d.Cmd)
 	return ""
@@ -79,7 +79,7 @@
 func (s *story) upstreams(t *testing.T, d *datadriven.TestData) []Upstream {
 	var list []Upstream
 	for line := range strings.Lines(d.Input) {
-		u := Upstream{Capacity: Needs{MemoryMB: 1000}}
+		u := Upstream{Capacity: Resources{MemoryMB: 1000}}
 		fields := strings.Fields(line)
 		if _, err := fmt.Sscan(strings.Join(fields[:5], " "), &u.ID, &u.Zone, &u.Slots, &u.Capacity.CPU, &u.Capacity.Accelerators); err != nil {
 			t.Fatal(err)
@@ -93,18 +93,18 @@
 func (s *story) request(t *testing.T, d *datadriven.TestData) Request {
 	r := Request{
 		Home: arg(t, d, "home", "h"), Ticket: arg(t, d, "ticket", "t"), Count: num(t, d, "count", 1),
-		Needs:      Needs{CPU: float64(num(t, d, "cpu", 0)), Accelerators: uint32(num(t, d, "accelerators", 0))},
+		Needs:      Resources{CPU: float64(num(t, d, "cpu", 0)), Accelerators: uint32(num(t, d, "accelerators", 0))},
 		RunMs:      float64(num(t, d, "run", 100)),
 		DeadlineMs: int64(num(t, d, "deadline", 0)), Zone: arg(t, d, "zone", "z"), Service: arg(t, d, "service", "s"),
 	}
 	if d.HasArg("avoid") {
-		r.Avoid = []string{arg(t, d, "avoid", "")}
+		r.AvoidZones = []string{arg(t, d, "avoid", "")}
 	}
 	return r
 }
 
-func (s *story) usage(t *testing.T, d *datadriven.TestData) Usage {
-	return Usage{
+func (s *story) usage(t *testing.T, d *datadriven.TestData) ReleasedSlots {
+	return ReleasedSlots{
 		Upstream: arg(t, d, "upstream", "u"), Count: num(t, d, "count", 1), Service: arg(t, d, "service", "s"),
 		RunMs: float64(num(t, d, "run", 0)), Failed: num(t, d, "failed", 0), HoldMs: int64(num(t, d, "hold", 0)),
 	}
@@ -116,7 +116,7 @@
 	for line := range strings.Lines(d.Input) {
 		var name string
 		var share Share
-		if _, err := fmt.Sscan(line, &name, &share.Weight, &share.Slots); err != nil {
+		if _, err := fmt.Sscan(line, &name, &share.Weight, &share.MaxSlots); err != nil {
 			t.Fatal(err)
 		}
 		all[name] = share
@@ -126,9 +126,9 @@
 
 // sync reads the places held, a line each: upstream, count.
 func (s *story) sync(t *testing.T, d *datadriven.TestData) []Grant {
-	var held []Place
+	var held []UpstreamSlots
 	for line := range strings.Lines(d.Input) {
-		var p Place
+		var p UpstreamSlots
 		if _, err := fmt.Sscan(line, &p.Upstream, &p.Count); err != nil {
 			t.Fatal(err)
 		}
@@ -141,11 +141,11 @@
 	var b strings.Builder
 	for _, g := range grants {
 		fmt.Fprintf(&b, "%s/%s:", g.Home, g.Ticket)
-		for _, p := range g.Places {
+		for _, p := range g.Slots {
 			fmt.Fprintf(&b, " %s=%d", p.Upstream, p.Count)
 		}
-		if g.Refused != "" {
-			fmt.Fprintf(&b, " refused %s, retry after %d", g.Refused, g.RetryAfterMs)
+		if g.Refusal != "" {
+			fmt.Fprintf(&b, " refused %s, retry after %d", g.Refusal, g.RetryAfterMs)
 		}
 		b.WriteString("\n")
 	}
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -13,7 +13,7 @@
 	var best *place
 	var lowest float64
 	for _, p := range b.sorted {
-		if !b.usable(p, t, now) || !p.taken.plus(t.Needs).Within(p.Capacity) {
+		if !b.usable(p, t, now) || !p.taken.plus(t.Needs).FitsIn(p.Capacity) {
 			continue
 		}
 		if score := b.score(p, &t.Request); best == nil || score < lowest {
@@ -39,7 +39,7 @@
 	switch {
 	case !p.listed || p.Leaving || p.used >= p.Slots:
 		return false
-	case slices.Contains(t.Avoid, p.Zone):
+	case slices.Contains(t.AvoidZones, p.Zone):
 		return false
 	case p.reserved != nil && p.reserved != t:
 		return false
--- a/placement/fit.go
+++ b/placement/fit.go
@@ -4,25 +4,25 @@
 // be done comes out.
 package placement
 
-// Needs is what one task takes of an upstream, next to a slot.
-type Needs struct {
+// Resources is what one task takes of an upstream, next to a slot.
+type Resources struct {
 	CPU          float64 // cores
 	MemoryMB     uint64
 	Accelerators uint32
 }
 
-// Within reports whether n fits into capacity.
-func (n Needs) Within(capacity Needs) bool {
+// FitsIn reports whether n fits into capacity.
+func (n Resources) FitsIn(capacity Resources) bool {
 	return n.CPU <= capacity.CPU && n.MemoryMB <= capacity.MemoryMB && n.Accelerators <= capacity.Accelerators
 }
 
-func (n Needs) plus(o Needs) Needs {
-	return Needs{n.CPU + o.CPU, n.MemoryMB + o.MemoryMB, n.Accelerators + o.Accelerators}
+func (n Resources) plus(o Resources) Resources {
+	return Resources{n.CPU + o.CPU, n.MemoryMB + o.MemoryMB, n.Accelerators + o.Accelerators}
 }
 
 // minus never goes below nothing, so that a repeated release does no harm.
-func (n Needs) minus(o Needs) Needs {
-	return Needs{max(n.CPU-o.CPU, 0), n.MemoryMB - min(o.MemoryMB, n.MemoryMB), n.Accelerators - min(o.Accelerators, n.Accelerators)}
+func (n Resources) minus(o Resources) Resources {
+	return Resources{max(n.CPU-o.CPU, 0), n.MemoryMB - min(o.MemoryMB, n.MemoryMB), n.Accelerators - min(o.Accelerators, n.Accelerators)}
 }
 
 // Upstream is what placement knows of one upstream.
@@ -31,16 +31,16 @@
 	Region   string
 	Zone     string
 	Rack     string
-	Capacity Needs
+	Capacity Resources
 	Slots    int
 	Leaving  bool
 }
 
-// CanEver reports whether some upstream could run a task with these needs if
+// AnyLargeEnough reports whether some upstream could run a task with these needs if
 // it were empty. With no upstream known the answer is yes: the list may lag.
-func CanEver(upstreams []Upstream, n Needs) bool {
+func AnyLargeEnough(upstreams []Upstream, n Resources) bool {
 	for i := range upstreams {
-		if n.Within(upstreams[i].Capacity) {
+		if n.FitsIn(upstreams[i].Capacity) {
 			return true
 		}
 	}
--- a/placement/health.go
+++ b/placement/health.go
@@ -7,15 +7,15 @@
 	FailuresToEject int
 	// MaxEjected is the largest share of a pool that may be ejected.
 	MaxEjected float64
-	// FirstMs and MaxMs bound an ejection, which doubles each time.
-	FirstMs, MaxMs int64
+	// FirstEjectionMs and MaxEjectionMs bound an ejection, which doubles each time.
+	FirstEjectionMs, MaxEjectionMs int64
 	// SlowFactor is how much slower than its pool an upstream must be before
 	// it is chosen last.
 	SlowFactor float64
 }
 
-// DefaultHealth is what applies where settings say nothing.
-var DefaultHealth = HealthConfig{FailuresToEject: 2, MaxEjected: 0.34, FirstMs: 5000, MaxMs: 60000, SlowFactor: 2}
+// DefaultHealthConfig is what applies where settings say nothing.
+var DefaultHealthConfig = HealthConfig{FailuresToEject: 2, MaxEjected: 0.34, FirstEjectionMs: 5000, MaxEjectionMs: 60000, SlowFactor: 2}
 
 // health is what a broker has seen of one upstream.
 type health struct {
@@ -89,7 +89,7 @@
 
 func (h *health) eject(now int64, cfg *HealthConfig) {
 	h.ejected = true
-	length := min(cfg.FirstMs<<min(h.times, 16), cfg.MaxMs)
+	length := min(cfg.FirstEjectionMs<<min(h.times, 16), cfg.MaxEjectionMs)
 	h.times++
 	h.until = now + length
 }
--- a/placement/held.go
+++ b/placement/held.go
@@ -11,7 +11,7 @@
 type orphan struct {
 	upstream string
 	count    int
-	taken    Needs
+	taken    Resources
 	at       int64
 }
 
@@ -27,10 +27,10 @@
 // holding is what one home holds of one upstream.
 type holding struct {
 	count int
-	taken Needs
+	taken Resources
 }
 
-func (b *Broker) take(home string, p *place, service string, n Needs, count int) {
+func (b *Broker) take(home string, p *place, service string, n Resources, count int) {
 	key := heldKey{home, p.ID, service}
 	b.useOf(service).used += count
 	h := b.held[key]
@@ -48,10 +48,10 @@
 
 // giveUp takes count places of a holding back and returns what they took. The
 // places stay used until they are vacated.
-func (b *Broker) giveUp(key heldKey, count int) Needs {
+func (b *Broker) giveUp(key heldKey, count int) Resources {
 	h := b.held[key]
 	share := float64(count) / float64(h.count)
-	freed := Needs{h.taken.CPU * share, uint64(float64(h.taken.MemoryMB) * share), uint32(float64(h.taken.Accelerators) * share)}
+	freed := Resources{h.taken.CPU * share, uint64(float64(h.taken.MemoryMB) * share), uint32(float64(h.taken.Accelerators) * share)}
 	h.taken = h.taken.minus(freed)
 	h.count -= count
 	if h.count <= 0 {
@@ -62,17 +62,17 @@
 	return freed
 }
 
-func (p *place) vacate(freed Needs, count int) {
+func (p *place) vacate(freed Resources, count int) {
 	p.used = max(p.used-count, 0)
 	p.taken = p.taken.minus(freed)
 	if p.used == 0 {
-		p.taken = Needs{}
+		p.taken = Resources{}
 	}
 }
 
-// HomeGone takes the news that a home is lost: what waits for it is dropped,
+// HandleHomeLost takes the news that a home is lost: what waits for it is dropped,
 // what it holds comes back after a while.
-func (b *Broker) HomeGone(home string, now int64) []Grant {
+func (b *Broker) HandleHomeLost(home string, now int64) []Grant {
 	for _, t := range slices.Clone(b.queue) {
 		if t.Home == home {
 			b.remove(t)
@@ -81,7 +81,7 @@
 	for key, h := range b.held {
 		if key.home == home {
 			count := h.count
-			b.orphans = append(b.orphans, orphan{key.upstream, count, b.giveUp(key, count), now + b.cfg.OrphanMs})
+			b.orphans = append(b.orphans, orphan{key.upstream, count, b.giveUp(key, count), now + b.cfg.LostHomeReleaseDelayMs})
 		}
 	}
 	delete(b.homes, home)
--- a/placement/learn.go
+++ b/placement/learn.go
@@ -1,7 +1,7 @@
 package placement
 
-// learn takes what the tasks of a usage were like.
-func (b *Broker) learn(p *place, u *Usage, now int64) {
+// learn takes what the tasks of released slots were like.
+func (b *Broker) learn(p *place, u *ReleasedSlots, now int64) {
 	finished := u.Count - u.Failed
 	if u.HoldMs > 0 || u.RunMs == 0 {
 		finished = 0 // the places were not used
@@ -23,7 +23,7 @@
 // failed counts a failure against an upstream: as many in a row as chance does
 // not explain eject it, and a first one of a service that hardly ever fails
 // casts doubt. Being out of one home's reach says less.
-func (b *Broker) failed(p *place, u *Usage, now int64) {
+func (b *Broker) failed(p *place, u *ReleasedSlots, now int64) {
 	p.health.inRow++
 	p.health.failed = now
 	needed := unreachedInRow
--- a/placement/pool.go
+++ b/placement/pool.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PoolSize is the most upstreams that one broker hands out together.
-const PoolSize = 64
+// MaxPoolSize is the most upstreams that one broker hands out together.
+const MaxPoolSize = 64
 
 // Pool is a set of upstreams that share a broker.
 type Pool struct {
@@ -19,7 +19,7 @@
 	Upstreams []Upstream
 }
 
-// Pools groups upstreams. A region of up to PoolSize upstreams is one pool: the
+// Pools groups upstreams. A region of up to MaxPoolSize upstreams is one pool: the
 // larger the pool, the less a job waits while a place is free elsewhere. In a
 // larger region each zone has pools of its own, which upstreams share out by
 // hash, so that one that comes or goes moves no other.
@@ -48,38 +48,38 @@
 }
 
 func poolOf(u *Upstream, inRegion, inZone int) Pool {
-	if inRegion <= PoolSize {
+	if inRegion <= MaxPoolSize {
 		return Pool{ID: "region/" + u.Region, Region: u.Region}
 	}
 	parts := 1
-	for parts*PoolSize < inZone {
+	for parts*MaxPoolSize < inZone {
 		parts *= 2
 	}
 	part := strconv.FormatUint(xxhash.Sum64String(u.ID)%uint64(parts), 10)
 	return Pool{ID: "zone/" + u.Zone + "/" + part, Region: u.Region, Zone: u.Zone}
 }
 
-// Entry is an instance that may be a broker or a witness.
-type Entry struct {
+// InstanceLocation is an instance that may be a broker or a witness.
+type InstanceLocation struct {
 	Instance string
 	Region   string
 	Zone     string
 	Rack     string
 }
 
-// BrokerOf chooses the broker of a pool by rendezvous hash: among the entries
+// ChooseBroker chooses the broker of a pool by rendezvous hash: among the entries
 // of its zone, or else of its region, or else all. It returns "" without
 // entries.
-func BrokerOf(p *Pool, entries []Entry) string {
-	choices := []func(*Entry) bool{
-		func(e *Entry) bool { return p.Zone != "" && e.Zone == p.Zone },
-		func(e *Entry) bool { return e.Region == p.Region },
-		func(*Entry) bool { return true },
+func ChooseBroker(p *Pool, entries []InstanceLocation) string {
+	choices := []func(*InstanceLocation) bool{
+		func(e *InstanceLocation) bool { return p.Zone != "" && e.Zone == p.Zone },
+		func(e *InstanceLocation) bool { return e.Region == p.Region },
+		func(*InstanceLocation) bool { return true },
 	}
 	return firstOf(p.ID, entries, choices)
 }
 
-func firstOf(name string, entries []Entry, choices []func(*Entry) bool) string {
+func firstOf(name string, entries []InstanceLocation, choices []func(*InstanceLocation) bool) string {
 	for _, may := range choices {
 		if found := highest(name, entries, may); found != "" {
 			return found
@@ -88,7 +88,7 @@
 	return ""
 }
 
-func highest(name string, entries []Entry, may func(*Entry) bool) string {
+func highest(name string, entries []InstanceLocation, may func(*InstanceLocation) bool) string {
 	best, score := "", uint64(0)
 	for i := range entries {
 		if !may(&entries[i]) {
@@ -102,32 +102,32 @@
 	return best
 }
 
-// Scope says how far away a witness is looked for.
-type Scope string
+// WitnessScope says how far away a witness is looked for.
+type WitnessScope string
 
 // The scopes of a witness, each with what it survives besides one instance.
 const (
-	ScopeNone   Scope = "none"   // no witness
-	ScopeZone   Scope = "zone"   // the same zone, another rack where there is one
-	ScopeRegion Scope = "region" // another zone where there is one
+	WitnessScopeNone   WitnessScope = "none"   // no witness
+	WitnessScopeZone   WitnessScope = "zone"   // the same zone, another rack where there is one
+	WitnessScopeRegion WitnessScope = "region" // another zone where there is one
 )
 
-// WitnessOf chooses the witness for log number of an entry: another rack
+// ChooseWitness chooses the witness for log number of an entry: another rack
 // before the same one, in the order that scope asks for. It returns "" when
 // nobody else is there. Numbers spread the logs of one home over witnesses.
-func WitnessOf(self Entry, number uint64, scope Scope, others []Entry) string {
-	if scope == ScopeNone {
+func ChooseWitness(self InstanceLocation, number uint64, scope WitnessScope, others []InstanceLocation) string {
+	if scope == WitnessScopeNone {
 		return ""
 	}
 	name := self.Instance + "#" + strconv.FormatUint(number, 10)
-	near := func(e *Entry) bool { return e.Zone == self.Zone }
-	if scope == ScopeRegion {
-		near = func(e *Entry) bool { return e.Zone != self.Zone && e.Region == self.Region }
+	near := func(e *InstanceLocation) bool { return e.Zone == self.Zone }
+	if scope == WitnessScopeRegion {
+		near = func(e *InstanceLocation) bool { return e.Zone != self.Zone && e.Region == self.Region }
 	}
-	other := func(e *Entry) bool { return e.Instance != self.Instance }
-	return firstOf(name, others, []func(*Entry) bool{
-		func(e *Entry) bool { return other(e) && near(e) && e.Rack != self.Rack },
-		func(e *Entry) bool { return other(e) && near(e) },
+	other := func(e *InstanceLocation) bool { return e.Instance != self.Instance }
+	return firstOf(name, others, []func(*InstanceLocation) bool{
+		func(e *InstanceLocation) bool { return other(e) && near(e) && e.Rack != self.Rack },
+		func(e *InstanceLocation) bool { return other(e) && near(e) },
 		other,
 	})
 }
--- a/placement/round.go
+++ b/placement/round.go
@@ -70,7 +70,7 @@
 func (b *Broker) reserveFor(t *ticket) {
 	var best *place
 	for _, p := range b.sorted {
-		if p.Leaving || p.health.ejected || slices.Contains(t.Avoid, p.Zone) || !t.Needs.Within(p.Capacity) {
+		if p.Leaving || p.health.ejected || slices.Contains(t.AvoidZones, p.Zone) || !t.Needs.FitsIn(p.Capacity) {
 			continue
 		}
 		if best == nil || p.used < best.used {
--- a/placement/share.go
+++ b/placement/share.go
@@ -9,8 +9,8 @@
 
 // Share is a service's part of a pool.
 type Share struct {
-	Weight float64 // against the other services that wait; zero is 1
-	Slots  int     // the most that it may have; zero is no bound
+	Weight   float64 // against the other services that wait; zero is 1
+	MaxSlots int     // the most that it may have; zero is no bound
 }
 
 func (b *Broker) useOf(service string) *use {
@@ -43,4 +43,4 @@
 func (u *use) standing() float64 { return float64(u.used+1) / u.weight() }
 
 // atBound reports whether the service has all that it may have.
-func (u *use) atBound() bool { return u.share.Slots > 0 && u.used >= u.share.Slots }
+func (u *use) atBound() bool { return u.share.MaxSlots > 0 && u.used >= u.share.MaxSlots }
--- a/placement/sync.go
+++ b/placement/sync.go
@@ -27,7 +27,7 @@
 // Sync puts the books right by what a home says that it has: the places that
 // it holds and the requests that wait. It changes nothing while a grant may be
 // on its way; sequence is that of the last one that the home got.
-func (b *Broker) Sync(home string, sequence uint64, held []Place, waiting []Request, now int64) []Grant {
+func (b *Broker) Sync(home string, sequence uint64, held []UpstreamSlots, waiting []Request, now int64) []Grant {
 	if g := b.homes[home]; g != nil && g.sequence != sequence && now-g.last < grantMs {
 		return nil
 	}
@@ -36,7 +36,7 @@
 	return append(refused, b.serve(now)...)
 }
 
-func (b *Broker) syncHeld(home string, held []Place) {
+func (b *Broker) syncHeld(home string, held []UpstreamSlots) {
 	now := map[heldKey]int{}
 	for _, h := range held {
 		now[heldKey{home, h.Upstream, h.Service}] += h.Count
@@ -52,7 +52,7 @@
 			missing -= h.count
 		}
 		if missing > 0 {
-			b.take(home, b.placeOf(key.upstream), key.service, Needs{}, missing)
+			b.take(home, b.placeOf(key.upstream), key.service, Resources{}, missing)
 		}
 	}
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -21,19 +21,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Start is the message that starts a task.
-type Start struct {
+// StartRequest is the message that starts a task.
+type StartRequest struct {
 	Lease       string
 	LeaseMs     int64
 	Incarnation string // of the upstream, where it is known
 	Service     string
 	Task        *fate.Task
 	Trace       string
-	Patience    time.Duration // how long to wait for the end on this connection
+	Timeout     time.Duration // how long to wait for the end on this connection
 }
 
-// Reply is an upstream's answer to a start.
-type Reply struct {
+// StartReply is an upstream's answer to a start.
+type StartReply struct {
 	State   api.LeaseState // finished, failed, stopped or refused
 	Refusal api.Refusal
 	Body    []byte // the result, or the text of the failure
@@ -65,12 +65,12 @@
 func (e *notSent) Error() string { return e.cause.Error() }
 func (e *notSent) Unwrap() error { return e.cause }
 
-// Dial opens a connection to an upstream. Tests cut and delay here.
-type Dial func(address string) (net.Conn, error)
+// DialFunc opens a connection to an upstream. Tests cut and delay here.
+type DialFunc func(address string) (net.Conn, error)
 
 // NewClient returns a client of the upstream id at address that opens at most
 // connections for tasks. A nil dial is TCP.
-func NewClient(id, address string, connections int, dial Dial) *Client {
+func NewClient(id, address string, connections int, dial DialFunc) *Client {
 	if dial == nil {
 		dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, dialTimeout) }
 	}
@@ -106,14 +106,14 @@
 	}
 }
 
-// Close closes the idle connections.
-func (c *Client) Close() {
+// CloseIdleConnections closes the idle connections.
+func (c *Client) CloseIdleConnections() {
 	c.tasks.CloseIdleConnections()
 	c.control.CloseIdleConnections()
 }
 
 // Start starts a task and waits for its end.
-func (c *Client) Start(s *Start) (Reply, error) {
+func (c *Client) Start(s *StartRequest) (StartReply, error) {
 	req := fasthttp.AcquireRequest()
 	res := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -121,16 +121,16 @@
 	s.write(req, c.Address)
 	if err := c.tasks.Do(req, res); err != nil {
 		c.tasks.CloseIdleConnections() // others to a lost upstream are dead as well
-		return Reply{}, classify(c.ID, err)
+		return StartReply{}, classify(c.ID, err)
 	}
 	return readReply(c.ID, res)
 }
 
-func (s *Start) write(req *fasthttp.Request, address string) {
+func (s *StartRequest) write(req *fasthttp.Request, address string) {
 	req.Header.DisableNormalizing()
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI("http://" + address + api.PathTasks)
-	req.SetTimeout(s.Patience)
+	req.SetTimeout(s.Timeout)
 	h := &req.Header
 	h.Set(api.HeaderLease, s.Lease)
 	h.Set(api.HeaderLeaseMs, strconv.FormatInt(s.LeaseMs, 10))
@@ -184,8 +184,8 @@
 
 // readReply takes only what the protocol knows: any other answer says nothing
 // of whether the task started.
-func readReply(id string, res *fasthttp.Response) (Reply, error) {
-	r := Reply{State: api.LeaseState(res.Header.Peek(api.HeaderState)), Refusal: api.Refusal(res.Header.Peek(api.HeaderRefusal))}
+func readReply(id string, res *fasthttp.Response) (StartReply, error) {
+	r := StartReply{State: api.LeaseState(res.Header.Peek(api.HeaderState)), Refusal: api.Refusal(res.Header.Peek(api.HeaderRefusal))}
 	switch r.State {
 	case api.LeaseFinished, api.LeaseFailed, api.LeaseStopped:
 		r.Body = append([]byte(nil), res.Body()...)
@@ -193,7 +193,7 @@
 	case api.LeaseRefused:
 		return r, nil
 	default:
-		return Reply{}, failure.Lost.New("upstream %s answered status %d without a state", id, res.StatusCode())
+		return StartReply{}, failure.Lost.New("upstream %s answered status %d without a state", id, res.StatusCode())
 	}
 }
 
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -59,8 +59,8 @@
 	_, _ = conn.Write([]byte(c.answer))
 }
 
-func start(c *Client) (Reply, error) {
-	return c.Start(&Start{Lease: "k/0/1", LeaseMs: 1000, Service: "desk", Task: &fate.Task{Payload: []byte("{}")}, Patience: 5 * time.Second})
+func start(c *Client) (StartReply, error) {
+	return c.Start(&StartRequest{Lease: "k/0/1", LeaseMs: 1000, Service: "desk", Task: &fate.Task{Payload: []byte("{}")}, Timeout: 5 * time.Second})
 }
 
 // TestStartIsNeverSentTwice ends the connection before the start is read,
@@ -70,7 +70,7 @@
 	check := func(t *testing.T, c *cutter) {
 		t.Helper()
 		cl := NewClient("u", c.listener.Addr().String(), 4, nil)
-		defer cl.Close()
+		defer cl.CloseIdleConnections()
 		_, err := start(cl)
 		if !failure.Is(err, failure.Lost) {
 			t.Errorf("error %v", err)
