--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -23,8 +23,8 @@
 
 // Peers carries frames to other instances; inner.Mesh does.
 type Peers interface {
-	Post(peer fate.Incarnation, f *inner.Frame) error
-	Notify(peer fate.Incarnation, f *inner.Frame, done func(*inner.Frame, error)) error
+	TrySend(peer fate.Incarnation, f *inner.Frame) error
+	CallAsync(peer fate.Incarnation, f *inner.Frame, done func(*inner.Frame, error)) error
 	Call(ctx context.Context, peer fate.Incarnation, f *inner.Frame) (*inner.Frame, error)
 }
 
@@ -57,7 +57,7 @@
 	GrantDelay   time.Duration
 	Broker       placement.BrokerConfig
 	Placement    PlacementMode
-	DialUpstream upstream.Dial
+	DialUpstream upstream.DialFunc
 	Metrics      *metrics.Set
 	Tracer       *tracing.Tracer
 	Log          *slog.Logger
@@ -118,7 +118,7 @@
 		c.Retention = DefaultRetention
 	}
 	if c.Broker == (placement.BrokerConfig{}) {
-		c.Broker = placement.DefaultBroker
+		c.Broker = placement.DefaultBrokerConfig
 	}
 	if c.Metrics == nil {
 		c.Metrics = metrics.NewSet()
--- a/experiment/fleet_test.go
+++ b/experiment/fleet_test.go
@@ -32,7 +32,7 @@
 func innerBytes(nodes []*entry.Node) int64 {
 	sum := int64(0)
 	for _, n := range nodes {
-		sum += n.InnerBytes()
+		sum += n.SentBytes()
 	}
 	return sum
 }
@@ -89,7 +89,7 @@
 			store := c.store()
 			worst := time.Duration(0)
 			for n := 0; b.Loop(); n++ {
-				head, _, err := store.Change(0, "bench", func(t *settings.Tree) (*settings.Tree, []error) {
+				head, _, err := store.Update(0, "bench", func(t *settings.Tree) (*settings.Tree, []error) {
 					value := fmt.Sprint(n%1000 + 1)
 					return t.With(settings.Node{Level: settings.LevelFleet}, settings.KeyDeadlineMs, &value)
 				})
@@ -98,7 +98,7 @@
 				}
 				began := time.Now()
 				for _, node := range c.Nodes() {
-					for node.Revision() < head.Revision {
+					for node.Revision() < head.Number {
 						time.Sleep(200 * time.Microsecond)
 					}
 				}
