--- a/ingress/coordinator.go
+++ b/ingress/coordinator.go
@@ -38,7 +38,7 @@
 	CustomerLeft Verdict = "left"    // the customer closed its connection
 )
 
-// Response is the response to the customer of a job.
+// Response is the final response to the customer of a job.
 type Response struct {
 	Verdict Verdict
 	Reason  string
--- a/ingress/policy.go
+++ b/ingress/policy.go
@@ -16,7 +16,7 @@
 	Age      time.Duration
 }
 
-// Choice is the owner that the unassigned tasks of a job are offered to next, and how.
+// Choice tells which owner to offer a job's unassigned tasks to next, and how.
 type Choice struct {
 	Group string
 	// MayQueue lets the tasks wait in the owner's queue, because no owner has free capacity.
@@ -56,7 +56,7 @@
 // maxOwnersWithoutCapacity is how many owners may expect no free capacity in time before a
 // job is rejected. The first one has the shortest queue, so the others are less likely to
 // have capacity, and each offer sends the whole job over two network links while the
-// customer waits. Two owners would be too few: they do not represent four groups.
+// customer waits. Two owners would be too few to judge a fleet of four groups.
 const maxOwnersWithoutCapacity = 3
 
 // DefaultPolicy enables all rules.
--- a/ingress/simlink_test.go
+++ b/ingress/simlink_test.go
@@ -19,7 +19,7 @@
 	coordinatorLastReceived    time.Time
 	ownerLastReceived          time.Time
 	offers                     map[schedule.JobKey]owner.OfferCallbacks // offers of the coordinator that have not ended
-	afterSend                  map[schedule.JobKey][]func()             // withdrawals to send once the offer has been sent; has a key for each offer being sent
+	afterSend                  map[schedule.JobKey][]func()             // for each offer that is being sent, the withdrawals to send after it
 }
 
 func (l *simLink) name() string { return fmt.Sprintf("%s#%d", l.coordinator.name, l.number) }
--- a/ingress/tworuns_test.go
+++ b/ingress/tworuns_test.go
@@ -369,7 +369,7 @@
 		{seed: 0xf02, lossShare: 0.02, faultPercent: 1, faultKinds: earlyFaultKinds, linkHeartbeat: sameZoneHeartbeat},
 		{seed: 0x5d33, lossShare: 0.02, lateShare: 0.05, faultPercent: 22, faultKinds: earlyFaultKinds, linkHeartbeat: sameZoneHeartbeat},
 		{seed: 0x1ec, lateShare: 0.05, faultPercent: 23, faultKinds: earlyFaultKinds, linkHeartbeat: sameZoneHeartbeat},
-		// An owner is paused, and by the time it reads an offer its coordinator is paused.
+		// A paused owner resumes and reads an offer while the offer's coordinator is paused.
 		{seed: 0x54, faultPercent: 19, faultKinds: allFaultKinds, linkHeartbeat: crossZoneHeartbeat},
 		// A request is read after its connection has ended.
 		{seed: 0x169ae, faultPercent: 2, faultKinds: allFaultKinds, linkHeartbeat: sameZoneHeartbeat},
--- a/owner/group.go
+++ b/owner/group.go
@@ -21,6 +21,9 @@
 type UpstreamClient interface {
 	Start(to fleet.Upstream, o fleet.StartOrder, timeout time.Duration) (fleet.Refusal, error)
 	Stop(to fleet.Upstream, run fleet.Run, token uint64, timeout time.Duration) error
+	// Hold renews the leases of all runs on an upstream, unless the order has no lease, and
+	// returns the upstream's report. The upstream may delay the report until a run ends, by
+	// up to o.WaitMs; the call times out timeout after that.
 	Hold(to fleet.Upstream, o fleet.HoldOrder, timeout time.Duration) (fleet.Report, error)
 	// CloseIdleConnections closes the connections to an upstream on which no call is in
 	// flight, because they may have gone silent.
@@ -259,8 +262,8 @@
 	})
 }
 
-// holdLoop holds one upstream again and again, to renew its leases and read its reports,
-// until the upstream does not belong to the group any more.
+// holdLoop sends one hold after the other to an upstream, to renew its leases and read its
+// reports, until the upstream does not belong to the group any more.
 func (g *Group) holdLoop(id string) {
 	for {
 		g.mu.Lock()
