--- a/node/configask_test.go
+++ b/node/configrequest_test.go
@@ -42,18 +42,18 @@
 // TestConfigSpreads: every instance has a new version soon, and few ask peers for
 // it: each answer is the whole configuration.
 func TestConfigSpreads(t *testing.T) {
-	in := newInstallation(t, []string{"a"}, 1, "a-1", "a-2", "a-3", "a-4", "a-5", "a-6", "a-7", "a-8")
+	cluster := newTestCluster(t, []string{"a"}, 1, "a-1", "a-2", "a-3", "a-4", "a-5", "a-6", "a-7", "a-8")
 	for version := 2; version <= 10; version++ {
-		in.configure(version, "/checks/")
-		for name, n := range in.nodes {
-			in.until(name+" has it", func() bool { return n.config.Load().Version == uint64(version) })
+		cluster.configure(version, "/checks/")
+		for name, n := range cluster.nodes {
+			cluster.waitUntil(name+" has it", func() bool { return n.config.Load().Version == uint64(version) })
 		}
 	}
 	asked := int64(0)
-	for _, n := range in.nodes {
+	for _, n := range cluster.nodes {
 		asked += metrics.Values(n.metrics.Messages)["config_request"]
 	}
-	if asked > int64(len(in.nodes)) {
+	if asked > int64(len(cluster.nodes)) {
 		t.Errorf("8 instances asked %d times for 9 versions", asked)
 	}
 }
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -11,40 +11,40 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// quietFrom returns a moment after which no start of a zone may come: its owner is told, and
+// waitUntilClosed returns a moment after which no start of a zone may come: its owner is told, and
 // what it had ordered before has arrived.
-func (in *installation) quietFrom(group string) time.Time {
-	in.t.Helper()
-	in.until(group+" is closed", func() bool {
-		n := in.nodes[in.owner(group)]
+func (cluster *testCluster) waitUntilClosed(group string) time.Time {
+	cluster.t.Helper()
+	cluster.waitUntil(group+" is closed", func() bool {
+		n := cluster.nodes[cluster.owner(group)]
 		n.mu.Lock()
 		g := n.groups[group]
 		n.mu.Unlock()
 		return g != nil && g.Load().Closed
 	})
-	time.Sleep(2 * minOrderTime)
+	time.Sleep(2 * orderTime)
 	return time.Now()
 }
 
-// minOrderTime is some times what an order takes on loopback.
-const minOrderTime = 25 * time.Millisecond
+// orderTime is some times what an order takes on loopback.
+const orderTime = 25 * time.Millisecond
 
 // startedSince returns the upstreams of a zone that have started a task since.
-func (in *installation) startedSince(zone string, since time.Time) []string {
+func (cluster *testCluster) startedSince(zone string, since time.Time) []string {
 	var list []string
-	for _, u := range in.upstreams {
-		if strings.HasPrefix(u.ID, "u-"+zone+"-") && in.ledger.LastUpstreamStart(u.ID).After(since) {
+	for _, u := range cluster.upstreams {
+		if strings.HasPrefix(u.ID, "u-"+zone+"-") && cluster.runs.LastUpstreamStart(u.ID).After(since) {
 			list = append(list, u.ID)
 		}
 	}
 	return list
 }
 
-// noStarts checks that a zone's upstreams have started nothing since.
-func (in *installation) noStarts(zone string, since time.Time) {
-	in.t.Helper()
-	if list := in.startedSince(zone, since); len(list) > 0 {
-		in.t.Errorf("%v started tasks while their zone was evacuated", list)
+// checkNoStarts checks that a zone's upstreams have started nothing since.
+func (cluster *testCluster) checkNoStarts(zone string, since time.Time) {
+	cluster.t.Helper()
+	if list := cluster.startedSince(zone, since); len(list) > 0 {
+		cluster.t.Errorf("%v started tasks while their zone was evacuated", list)
 	}
 }
 
@@ -52,34 +52,37 @@
 // what customers of the zone send is done in the other one, also while the former still
 // runs. Taken back, the zone works again.
 func TestEvacuation(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	runs := in.background("a-1", in.newID(), 4, 600)
-	in.until("the zone is at work", func() bool { return in.running() == 4 })
-	in.store.Evacuate("a")
-	since := in.quietFrom("a/0")
+	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
+	runs := cluster.background("a-1", cluster.newJobID(), 4, 600)
+	cluster.waitUntil("the zone is at work", func() bool { return cluster.runningTasks() == 4 })
+	cluster.store.Evacuate("a")
+	since := cluster.waitUntilClosed("a/0")
 	served := func(name string, tasks int) func() bool {
-		return func() bool { status, _ := in.submit(name, in.newID(), tasks, 20); return status == http.StatusOK }
+		return func() bool {
+			status, _ := cluster.submit(name, cluster.newJobID(), tasks, 20)
+			return status == http.StatusOK
+		}
 	}
-	in.until("the other zone serves while the job still runs", served("a-2", 1))
+	cluster.waitUntil("the other zone serves while the job still runs", served("a-2", 1))
 	if status := <-runs; status != http.StatusOK {
 		t.Errorf("a job that had begun is answered %d", status)
 	}
 	for range 3 {
-		in.until("customers of the zone are served", served("a-1", 2))
-		in.until("also with wide jobs", served("a-2", 4))
+		cluster.waitUntil("customers of the zone are served", served("a-1", 2))
+		cluster.waitUntil("also with wide jobs", served("a-2", 4))
 	}
-	in.noStarts("a", since)
-	in.store.EndEvacuation("a")
-	in.until("the zone works again", func() bool {
+	cluster.checkNoStarts("a", since)
+	cluster.store.EndEvacuation("a")
+	cluster.waitUntil("the zone works again", func() bool {
 		served("a-1", 2)()
-		return len(in.startedSince("a", since)) > 0
+		return len(cluster.startedSince("a", since)) > 0
 	})
 }
 
 // evacuatedAt returns the revision of the store at which an instance knows a zone to be
 // evacuated, 0 where it takes it for open.
-func (in *installation) evacuatedAt(name, zone string) uint64 {
-	states, _ := in.nodes[name].directory.Zones()
+func (cluster *testCluster) evacuatedAt(name, zone string) uint64 {
+	states, _ := cluster.nodes[name].directory.Zones()
 	for _, s := range states {
 		if s.Zone == zone && s.Evacuated {
 			return s.Revision
@@ -91,20 +94,20 @@
 // TestEvacuationSetAgain: an evacuation is taken back and set again at once, several times,
 // while customers press. What stands in the end holds, on the owner and on the others.
 func TestEvacuationSetAgain(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	in.store.Evacuate("a")
-	in.quietFrom("a/0")
+	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
+	cluster.store.Evacuate("a")
+	cluster.waitUntilClosed("a/0")
 	for range 3 {
-		before := in.evacuatedAt(in.owner("a/0"), "a")
-		in.store.EndEvacuation("a")
-		in.store.Evacuate("a")
-		for name := range in.nodes {
-			in.until(name+" knows the later one", func() bool { return in.evacuatedAt(name, "a") > before })
+		before := cluster.evacuatedAt(cluster.owner("a/0"), "a")
+		cluster.store.EndEvacuation("a")
+		cluster.store.Evacuate("a")
+		for name := range cluster.nodes {
+			cluster.waitUntil(name+" knows the later one", func() bool { return cluster.evacuatedAt(name, "a") > before })
 		}
-		since := in.quietFrom("a/0")
-		in.want("a-1", 3, 20)
-		in.want("b-1", 3, 20)
-		in.noStarts("a", since)
+		since := cluster.waitUntilClosed("a/0")
+		cluster.mustComplete("a-1", 3, 20)
+		cluster.mustComplete("b-1", 3, 20)
+		cluster.checkNoStarts("a", since)
 	}
 }
 
@@ -112,28 +115,28 @@
 // while a job that had begun there still runs. The job is completed, and whoever owns the
 // zone next starts nothing.
 func TestEvacuationOutlastsPlannedStop(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	runs := in.background("a-1", in.newID(), 4, 600)
-	in.until("the zone is at work", func() bool { return in.running() == 4 })
-	in.store.Evacuate("a")
-	since := in.quietFrom("a/0")
-	former := in.owner("a/0")
+	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
+	runs := cluster.background("a-1", cluster.newJobID(), 4, 600)
+	cluster.waitUntil("the zone is at work", func() bool { return cluster.runningTasks() == 4 })
+	cluster.store.Evacuate("a")
+	since := cluster.waitUntilClosed("a/0")
+	former := cluster.owner("a/0")
 	stopped := make(chan bool, 1)
-	go func() { stopped <- in.nodes[former].Stop() }()
-	in.until("another one owns the zone", func() bool {
-		next := in.owners("a/0")
+	go func() { stopped <- cluster.nodes[former].Stop() }()
+	cluster.waitUntil("another one owns the zone", func() bool {
+		next := cluster.owners("a/0")
 		return len(next) == 1 && next[0] != former
 	})
 	if status := <-runs; status != http.StatusOK {
 		t.Errorf("the job that had begun is answered %d", status)
 	}
 	for range 3 {
-		in.until("customers of the zone are served", func() bool {
-			status, _ := in.submit(in.owner("a/0"), in.newID(), 3, 20)
+		cluster.waitUntil("customers of the zone are served", func() bool {
+			status, _ := cluster.submit(cluster.owner("a/0"), cluster.newJobID(), 3, 20)
 			return status == http.StatusOK
 		})
 	}
-	in.noStarts("a", since)
+	cluster.checkNoStarts("a", since)
 	if !<-stopped {
 		t.Error("the stop ended undrained")
 	}
@@ -142,90 +145,96 @@
 // TestEvacuationOfAll: with every zone evacuated, customers are rejected at once and
 // told when to come back; nothing starts.
 func TestEvacuationOfAll(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 1, "a-1", "b-1")
-	in.store.Evacuate("a")
-	in.store.Evacuate("b")
-	since := in.quietFrom("a/0")
-	in.quietFrom("b/0")
-	for name := range in.nodes {
-		in.until(name+" rejects", func() bool {
-			status, body := in.submit(name, in.newID(), 1, 10)
+	cluster := newTestCluster(t, []string{"a", "b"}, 1, "a-1", "b-1")
+	cluster.store.Evacuate("a")
+	cluster.store.Evacuate("b")
+	since := cluster.waitUntilClosed("a/0")
+	cluster.waitUntilClosed("b/0")
+	for name := range cluster.nodes {
+		cluster.waitUntil(name+" rejects", func() bool {
+			status, body := cluster.submit(name, cluster.newJobID(), 1, 10)
 			return status == http.StatusServiceUnavailable && body == "nothing may start on any upstream"
 		})
 	}
-	in.noStarts("a", since)
-	in.store.EndEvacuation("b")
-	in.until("a customer of the other zone is served", func() bool { status, _ := in.submit("a-1", in.newID(), 1, 10); return status == http.StatusOK })
-	in.noStarts("a", since)
+	cluster.checkNoStarts("a", since)
+	cluster.store.EndEvacuation("b")
+	cluster.waitUntil("a customer of the other zone is served", func() bool {
+		status, _ := cluster.submit("a-1", cluster.newJobID(), 1, 10)
+		return status == http.StatusOK
+	})
+	cluster.checkNoStarts("a", since)
 }
 
 // TestEvacuationOutlastsOwner: the owner of an evacuated zone is lost, and all
 // instances are restarted after it. Nobody starts anything there.
 func TestEvacuationOutlastsOwner(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	in.store.Evacuate("a")
-	since := in.quietFrom("a/0")
-	in.kill(in.owner("a/0"))
-	in.until("the other one owns the zone", func() bool { return len(in.owners("a/0")) == 1 })
-	in.want("b-1", 6, 20)
-	for name := range in.nodes {
-		in.kill(name)
+	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
+	cluster.store.Evacuate("a")
+	since := cluster.waitUntilClosed("a/0")
+	cluster.kill(cluster.owner("a/0"))
+	cluster.waitUntil("the other one owns the zone", func() bool { return len(cluster.owners("a/0")) == 1 })
+	cluster.mustComplete("b-1", 6, 20)
+	for name := range cluster.nodes {
+		cluster.kill(name)
 	}
 	for _, name := range []string{"a-1", "a-2", "b-1"} {
-		in.start(name)
+		cluster.start(name)
 	}
-	in.quietFrom("a/0")
-	in.until("it is served again", func() bool { status, _ := in.submit("a-1", in.newID(), 6, 20); return status == http.StatusOK })
-	in.noStarts("a", since)
+	cluster.waitUntilClosed("a/0")
+	cluster.waitUntil("it is served again", func() bool {
+		status, _ := cluster.submit("a-1", cluster.newJobID(), 6, 20)
+		return status == http.StatusOK
+	})
+	cluster.checkNoStarts("a", since)
 }
 
 // TestEvacuationWhileStoreForgets: the store forgets its history and does not answer
 // for a while after an evacuation, and again after it was taken back and set for
 // another zone: what stands in the end is known.
 func TestEvacuationWhileStoreForgets(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "b-1")
-	in.store.SetFault(standin.ConnectionReset, 0)
-	in.store.Evacuate("a")
-	in.store.EndEvacuation("a")
-	in.store.Evacuate("a")
-	in.store.Forget()
-	in.store.SetFault(standin.NoFault, 0)
-	since := in.quietFrom("a/0")
-	in.want("a-1", 3, 20)
-	in.noStarts("a", since)
-	in.store.SetFault(standin.ConnectionReset, 0)
-	in.store.EndEvacuation("a")
-	in.store.Evacuate("b")
-	in.store.Forget()
-	in.store.SetFault(standin.NoFault, 0)
-	since = in.quietFrom("b/0")
-	in.want("b-1", 3, 20)
-	in.noStarts("b", since)
+	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "b-1")
+	cluster.store.SetFault(standin.ConnectionReset, 0)
+	cluster.store.Evacuate("a")
+	cluster.store.EndEvacuation("a")
+	cluster.store.Evacuate("a")
+	cluster.store.Forget()
+	cluster.store.SetFault(standin.NoFault, 0)
+	since := cluster.waitUntilClosed("a/0")
+	cluster.mustComplete("a-1", 3, 20)
+	cluster.checkNoStarts("a", since)
+	cluster.store.SetFault(standin.ConnectionReset, 0)
+	cluster.store.EndEvacuation("a")
+	cluster.store.Evacuate("b")
+	cluster.store.Forget()
+	cluster.store.SetFault(standin.NoFault, 0)
+	since = cluster.waitUntilClosed("b/0")
+	cluster.mustComplete("b-1", 3, 20)
+	cluster.checkNoStarts("b", since)
 }
 
 // TestEvacuationHeardFromPeers: an instance that reads nothing from the store hears
 // of an evacuation, and of its end, from a peer. An older word changes nothing.
 func TestEvacuationHeardFromPeers(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 1, "a-1", "b-1")
-	teller := in.nodes["b-1"]
+	cluster := newTestCluster(t, []string{"a", "b"}, 1, "a-1", "b-1")
+	teller := cluster.nodes["b-1"]
 	cut := directory.New()
 	hear := func(p *inner.Presence) { cut.ReplaceZones(p.GetZonesRevision(), zoneStatesFromPeer(p)) }
 	before := teller.heartbeat()
-	in.store.Evacuate("a")
-	in.quietFrom("a/0")
+	cluster.store.Evacuate("a")
+	cluster.waitUntilClosed("a/0")
 	evacuated := func() bool {
 		states, revision := cut.Zones()
 		return revision > 0 && len(states) == 1 && states[0].Evacuated
 	}
-	in.until("the peer knows", func() bool { return len(teller.heartbeat().GetZones()) == 1 })
+	cluster.waitUntil("the peer knows", func() bool { return len(teller.heartbeat().GetZones()) == 1 })
 	during := teller.heartbeat()
 	hear(during)
 	hear(before)
 	if !evacuated() {
 		t.Error("it has not heard of the evacuation")
 	}
-	in.store.EndEvacuation("a")
-	in.until("the peer knows the end", func() bool { return !teller.heartbeat().GetZones()[0].GetEvacuated() })
+	cluster.store.EndEvacuation("a")
+	cluster.waitUntil("the peer knows the end", func() bool { return !teller.heartbeat().GetZones()[0].GetEvacuated() })
 	hear(teller.heartbeat())
 	hear(during)
 	if evacuated() {
@@ -237,7 +246,7 @@
 // also where one overwrites a good one; the others work on, and the good one does once
 // it is back.
 func TestEntriesOfOtherWriters(t *testing.T) {
-	in := newInstallation(t, []string{"a"}, 2, "a-1")
+	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	for name, raw := range map[string]string{
 		"null": "null", "binary": "\xff\xfe", "list": `[1,2]`,
 		"state":     `{"Service":"desk","Address":"127.0.0.1:1","Zone":"a","State":"resting","Capacity":{"Cpu":16000,"MemoryLimitMb":1000}}`,
@@ -246,10 +255,10 @@
 		"address":   `{"Service":"desk","Zone":"a","State":"ready","Capacity":{"Cpu":16000,"MemoryLimitMb":1000}}`,
 		"capacity":  `{"Service":"desk","Address":"127.0.0.1:1","Zone":"a","State":"ready","Capacity":{"Cpu":-1}}`,
 	} {
-		in.store.OverwriteEntry("x-"+name, []byte(raw))
+		cluster.store.OverwriteEntry("x-"+name, []byte(raw))
 	}
-	in.store.OverwriteEntry("u-a-0", []byte(`{"Service":5}`))
-	n := in.nodes["a-1"]
+	cluster.store.OverwriteEntry("u-a-0", []byte(`{"Service":5}`))
+	n := cluster.nodes["a-1"]
 	members := func() (open []string) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -260,15 +269,15 @@
 		}
 		return open
 	}
-	in.until("only the other one is used", func() bool { m := members(); return len(m) == 1 && m[0] == "u-a-1" })
-	time.Sleep(2 * minOrderTime)
+	cluster.waitUntil("only the other one is used", func() bool { m := members(); return len(m) == 1 && m[0] == "u-a-1" })
+	time.Sleep(2 * orderTime)
 	since := time.Now()
-	in.want("a-1", 2, 20)
-	in.want("a-1", 2, 20)
-	if in.ledger.LastUpstreamStart("u-a-0").After(since) {
+	cluster.mustComplete("a-1", 2, 20)
+	cluster.mustComplete("a-1", 2, 20)
+	if cluster.runs.LastUpstreamStart("u-a-0").After(since) {
 		t.Error("an upstream was used whose entry cannot be read")
 	}
-	in.upstreams[0].RegisterAt(in.upstreams[0].Address)
-	in.until("both are used again", func() bool { return len(members()) == 2 })
-	in.want("a-1", 4, 20)
+	cluster.upstreams[0].RegisterAt(cluster.upstreams[0].Address)
+	cluster.waitUntil("both are used again", func() bool { return len(members()) == 2 })
+	cluster.mustComplete("a-1", 4, 20)
 }
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -30,7 +30,7 @@
 			}
 			count := 0
 			for _, self := range zone {
-				n := bareNode(self, "a")
+				n := newIdleNode(self, "a")
 				known, heard := map[string]membership.Listing{}, 0
 				for _, other := range zone {
 					known[other] = membership.Listing{Instance: other, Zone: "a", Address: other}
--- a/node/giveup_test.go
+++ b/node/giveup_test.go
@@ -12,16 +12,16 @@
 // A customer that gives up leaves nothing at work, whatever becomes of the owner
 // that started its tasks, or of the orders that are under way.
 
-// longTask is how long the tasks of these customers would work: longer than a test.
-const longTask = 60_000
+// longTaskMs is how long the tasks of these customers would work: longer than a test.
+const longTaskMs = 60_000
 
-// handIn submits a job on a connection of its own; leave closes it.
-func (in *installation) handIn(name, id string, tasks int) (leave func()) {
-	in.t.Helper()
+// submitAndLeave submits a job on a connection of its own; leave closes it.
+func (cluster *testCluster) submitAndLeave(name, id string, tasks int) (leave func()) {
+	cluster.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	req, err := standin.NewRequest(ctx, "POST", in.nodes[name].settings.CustomerAddress, "desk.example", "/checks/"+id, jobBody(tasks, longTask), patience)
+	req, err := standin.NewRequest(ctx, "POST", cluster.nodes[name].settings.CustomerAddress, "desk.example", "/checks/"+id, jobBody(tasks, longTaskMs), waitLimit)
 	if err != nil {
-		in.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	answered := make(chan struct{})
 	go func() {
@@ -34,88 +34,88 @@
 	return func() { cancel(); <-answered }
 }
 
-// nothingRuns waits until no task of a job runs, serves another job on the same
+// checkJobStopped waits until no task of a job runs, serves another job on the same
 // upstreams, and checks that no task of the first has begun since.
-func (in *installation) nothingRuns(id, through string) {
-	in.t.Helper()
-	in.until("nothing of the job runs", func() bool { return !in.ledger.IsRunning(id) })
-	last := in.ledger.LastJobStart(id)
-	in.until("the group has room", func() bool {
-		loads := in.nodes[through].router.Loads()
+func (cluster *testCluster) checkJobStopped(id, through string) {
+	cluster.t.Helper()
+	cluster.waitUntil("nothing of the job runs", func() bool { return !cluster.runs.IsRunning(id) })
+	last := cluster.runs.LastJobStart(id)
+	cluster.waitUntil("the group has room", func() bool {
+		loads := cluster.nodes[through].router.Loads()
 		return len(loads) == 1 && loads[0].Capacity > 0
 	})
-	in.want(through, 2, 20)
-	if in.ledger.IsRunning(id) || in.ledger.LastJobStart(id).After(last) {
-		in.t.Error("a task of it has begun after its customer had left")
+	cluster.mustComplete(through, 2, 20)
+	if cluster.runs.IsRunning(id) || cluster.runs.LastJobStart(id).After(last) {
+		cluster.t.Error("a task of it has begun after its customer had left")
 	}
 }
 
-// twoInstances returns an installation with the owner of its only group, and a
+// newOwnerAndCoordinator returns an installation with the owner of its only group, and a
 // coordinator beside it.
-func twoInstances(t *testing.T) (in *installation, owner, coordinator string) {
-	in = newInstallation(t, []string{"a"}, 2, "a-1", "a-2")
-	owner = in.owner("a/0")
-	return in, owner, in.other(owner)
+func newOwnerAndCoordinator(t *testing.T) (cluster *testCluster, owner, coordinator string) {
+	cluster = newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
+	owner = cluster.owner("a/0")
+	return cluster, owner, cluster.other(owner)
 }
 
 func TestNothingRunsForNobody(t *testing.T) {
 	t.Run("its owner is cut off", func(t *testing.T) {
-		in, _, coordinator := twoInstances(t)
-		id := in.newID()
-		leave := in.handIn(coordinator, id, 2)
-		in.until("it runs", func() bool { return in.ledger.IsRunning(id) })
-		in.silencePeers()
+		cluster, _, coordinator := newOwnerAndCoordinator(t)
+		id := cluster.newJobID()
+		leave := cluster.submitAndLeave(coordinator, id, 2)
+		cluster.waitUntil("it runs", func() bool { return cluster.runs.IsRunning(id) })
+		cluster.blackholePeerConnections()
 		leave()
-		in.nothingRuns(id, coordinator)
+		cluster.checkJobStopped(id, coordinator)
 	})
 	t.Run("its owner is removed", func(t *testing.T) {
-		in, owner, coordinator := twoInstances(t)
-		id := in.newID()
-		leave := in.handIn(coordinator, id, 2)
-		in.until("it runs", func() bool { return in.ledger.IsRunning(id) })
-		in.kill(owner)
+		cluster, owner, coordinator := newOwnerAndCoordinator(t)
+		id := cluster.newJobID()
+		leave := cluster.submitAndLeave(coordinator, id, 2)
+		cluster.waitUntil("it runs", func() bool { return cluster.runs.IsRunning(id) })
+		cluster.kill(owner)
 		leave()
-		in.until("another owns the group", func() bool { return in.owner("a/0") == coordinator })
-		in.nothingRuns(id, coordinator)
+		cluster.waitUntil("another owns the group", func() bool { return cluster.owner("a/0") == coordinator })
+		cluster.checkJobStopped(id, coordinator)
 	})
 	t.Run("its owner and its coordinator are one, and removed", func(t *testing.T) {
-		in, owner, other := twoInstances(t)
-		id := in.newID()
-		leave := in.handIn(owner, id, 2)
-		in.until("it runs", func() bool { return in.ledger.IsRunning(id) })
-		in.kill(owner)
+		cluster, owner, other := newOwnerAndCoordinator(t)
+		id := cluster.newJobID()
+		leave := cluster.submitAndLeave(owner, id, 2)
+		cluster.waitUntil("it runs", func() bool { return cluster.runs.IsRunning(id) })
+		cluster.kill(owner)
 		leave()
-		in.until("another owns the group", func() bool { return in.owner("a/0") == other })
-		in.nothingRuns(id, other)
+		cluster.waitUntil("another owns the group", func() bool { return cluster.owner("a/0") == other })
+		cluster.checkJobStopped(id, other)
 	})
 	t.Run("the orders to start are carried out late", func(t *testing.T) {
-		in, _, coordinator := twoInstances(t)
-		in.delayOrders(1, 300*time.Millisecond)
-		id := in.newID()
-		leave := in.handIn(coordinator, id, 2)
-		in.until("it runs", func() bool { return in.ledger.IsRunning(id) })
+		cluster, _, coordinator := newOwnerAndCoordinator(t)
+		cluster.delayOrders(1, 300*time.Millisecond)
+		id := cluster.newJobID()
+		leave := cluster.submitAndLeave(coordinator, id, 2)
+		cluster.waitUntil("it runs", func() bool { return cluster.runs.IsRunning(id) })
 		leave()
-		in.delayOrders(0, 0)
-		in.nothingRuns(id, coordinator)
+		cluster.delayOrders(0, 0)
+		cluster.checkJobStopped(id, coordinator)
 	})
 	t.Run("the orders are under way when it leaves and its owner is removed", func(t *testing.T) {
-		in, owner, coordinator := twoInstances(t)
-		in.delayOrders(1, 300*time.Millisecond)
-		id := in.newID()
-		leave := in.handIn(coordinator, id, 2)
-		in.until("the job is open", func() bool { return in.nodes[coordinator].ingress.OpenJobs() == 1 })
+		cluster, owner, coordinator := newOwnerAndCoordinator(t)
+		cluster.delayOrders(1, 300*time.Millisecond)
+		id := cluster.newJobID()
+		leave := cluster.submitAndLeave(coordinator, id, 2)
+		cluster.waitUntil("the job is open", func() bool { return cluster.nodes[coordinator].ingress.OpenJobs() == 1 })
 		leave()
-		in.kill(owner)
-		in.delayOrders(0, 0)
-		in.until("another owns the group", func() bool { return in.owner("a/0") == coordinator })
-		in.nothingRuns(id, coordinator)
+		cluster.kill(owner)
+		cluster.delayOrders(0, 0)
+		cluster.waitUntil("another owns the group", func() bool { return cluster.owner("a/0") == coordinator })
+		cluster.checkJobStopped(id, coordinator)
 	})
 }
 
 // delayOrders makes a share of the orders to all upstreams be carried out late, and
 // not answered.
-func (in *installation) delayOrders(share float64, late time.Duration) {
-	for _, u := range in.upstreams {
+func (cluster *testCluster) delayOrders(share float64, late time.Duration) {
+	for _, u := range cluster.upstreams {
 		u.DelayOrders(share, late)
 	}
 }
--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -11,12 +11,12 @@
 // without hearing that it is alive are completed, whether their owner is an instance of
 // the coordinator's zone or of another, or the coordinator itself.
 func TestLongJobsKeepTheirLease(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 1, "a-1", "a-2", "b-1")
+	cluster := newTestCluster(t, []string{"a", "b"}, 1, "a-1", "a-2", "b-1")
 	for _, name := range []string{"a-1", "a-2", "b-1"} {
-		in.want(name, 2, 1500)
+		cluster.mustComplete(name, 2, 1500)
 	}
-	alone := newInstallation(t, []string{"a"}, 1, "a-1")
-	alone.want("a-1", 1, 1500)
+	alone := newTestCluster(t, []string{"a"}, 1, "a-1")
+	alone.mustComplete("a-1", 1, 1500)
 }
 
 // TestAliveAt: a time of a peer's clock is never later than the customer was there.
--- a/node/lives_test.go
+++ b/node/lives_test.go
@@ -14,11 +14,11 @@
 // second time while they drain. Their work is done by others or by the next lives, and
 // those are used as if they were new.
 func TestUpstreamStartsAgain(t *testing.T) {
-	in := newInstallation(t, []string{"a"}, 2, "a-1", "a-2")
+	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	for round := range 3 {
-		for i, u := range in.upstreams {
-			served := in.background("a-1", in.newID(), 2, 300)
-			in.until("work is under way", func() bool { return in.running() > 0 })
+		for i, u := range cluster.upstreams {
+			served := cluster.background("a-1", cluster.newJobID(), 2, 300)
+			cluster.waitUntil("work is under way", func() bool { return cluster.runningTasks() > 0 })
 			if round == 1 {
 				u.Drain()
 			}
@@ -28,8 +28,8 @@
 				t.Fatalf("round %d, upstream %d: the job is answered %d", round, i, status)
 			}
 		}
-		in.until("all places are used", func() bool {
-			status, _ := in.submit("a-2", in.newID(), 2*len(in.upstreams), 10)
+		cluster.waitUntil("all places are used", func() bool {
+			status, _ := cluster.submit("a-2", cluster.newJobID(), 2*len(cluster.upstreams), 10)
 			return status == http.StatusOK
 		})
 	}
@@ -38,18 +38,18 @@
 // TestRoomShrinks: the room of the only upstream shrinks to that of one task. Four tasks run
 // there one after the other; it grows again, and two run at once.
 func TestRoomShrinks(t *testing.T) {
-	in := newInstallation(t, []string{"a"}, 1, "a-1")
+	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	knows := func(capacity int64) {
-		in.until("the owner knows the room", func() bool {
-			groups := in.nodes["a-1"].ownedGroups()
+		cluster.waitUntil("the owner knows the room", func() bool {
+			groups := cluster.nodes["a-1"].ownedGroups()
 			return len(groups) == 1 && groups[0].Load().Capacity == capacity
 		})
 	}
 	for _, capacity := range []int64{taskSize, 2 * taskSize} {
-		in.upstreams[0].Resize(fleet.Resources{MilliCPU: capacity, MemoryMB: 1000}, 0)
+		cluster.upstreams[0].Resize(fleet.Resources{MilliCPU: capacity, MemoryMB: 1000}, 0)
 		knows(capacity)
-		in.until("four tasks are served", func() bool {
-			status, _ := in.submit("a-1", in.newID(), 4, 20)
+		cluster.waitUntil("four tasks are served", func() bool {
+			status, _ := cluster.submit("a-1", cluster.newJobID(), 4, 20)
 			return status == http.StatusOK
 		})
 	}
@@ -59,10 +59,10 @@
 // there. Its job is answered as failed after three crashes at the most; what ran beside it
 // is done, and the upstreams are used again.
 func TestTaskCrashesUpstreams(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 3, "a-1", "a-2", "b-1")
-	bad := in.newID()
+	cluster := newTestCluster(t, []string{"a", "b"}, 3, "a-1", "a-2", "b-1")
+	bad := cluster.newJobID()
 	var crashes atomic.Int32
-	for _, u := range in.upstreams {
+	for _, u := range cluster.upstreams {
 		u.WithModel(func(c *standin.UpstreamModel) {
 			c.ShouldCrash = func(r fleet.Run) bool {
 				if r.Task.Job != bad {
@@ -73,17 +73,17 @@
 			}
 		})
 	}
-	beside := in.background("a-1", in.newID(), 4, 400)
-	in.until("others are at work", func() bool { return in.running() == 4 })
-	status, body := in.submit("a-1", bad, 1, 300)
+	beside := cluster.background("a-1", cluster.newJobID(), 4, 400)
+	cluster.waitUntil("others are at work", func() bool { return cluster.runningTasks() == 4 })
+	status, body := cluster.submit("a-1", bad, 1, 300)
 	if status != http.StatusOK || !strings.Contains(body, "failed") || crashes.Load() > 3 {
 		t.Errorf("answered %d %s after %d crashes", status, body, crashes.Load())
 	}
 	if status := <-beside; status != http.StatusOK {
 		t.Errorf("what ran beside it is answered %d", status)
 	}
-	in.until("all upstreams are used", func() bool {
-		status, _ := in.submit("a-2", in.newID(), 6, 10)
+	cluster.waitUntil("all upstreams are used", func() bool {
+		status, _ := cluster.submit("a-2", cluster.newJobID(), 6, 10)
 		return status == http.StatusOK
 	})
 }
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -8,11 +8,11 @@
 
 // TestMetrics reads what an instance tells on its metrics address.
 func TestMetrics(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	in.want("a-1", 2, 20)
-	n := in.nodes["a-1"]
-	in.until("all neighbours are known", func() bool { return n.isNeighbour("a-2") && n.isNeighbour("b-1") })
-	status, text := in.call("GET", n.settings.MetricsAddress, "/metrics", nil)
+	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
+	cluster.mustComplete("a-1", 2, 20)
+	n := cluster.nodes["a-1"]
+	cluster.waitUntil("all neighbours are known", func() bool { return n.isNeighbour("a-2") && n.isNeighbour("b-1") })
+	status, text := cluster.call("GET", n.settings.MetricsAddress, "/metrics", nil)
 	if status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
@@ -25,8 +25,8 @@
 			t.Errorf("the metrics lack %q:\n%s", line, text)
 		}
 	}
-	owner := in.nodes[in.owner("a/0")]
-	if _, text := in.call("GET", owner.settings.MetricsAddress, "/metrics", nil); !strings.Contains(text, `sedgehatch_group_overdue_ms{group="a/0"} `) {
+	owner := cluster.nodes[cluster.owner("a/0")]
+	if _, text := cluster.call("GET", owner.settings.MetricsAddress, "/metrics", nil); !strings.Contains(text, `sedgehatch_group_overdue_ms{group="a/0"} `) {
 		t.Errorf("the owner's metrics lack what its calls wait for:\n%s", text)
 	}
 }
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -14,20 +14,20 @@
 	"github.com/samber/lo"
 )
 
-// largeInstallation has a zone in which not all instances are hubs, and a small
+// newLargeTestCluster has a zone in which not all instances are hubs, and a small
 // one beside it.
-func largeInstallation(t *testing.T) (in *installation, hubs, spokes []string) {
+func newLargeTestCluster(t *testing.T) (cluster *testCluster, hubs, spokes []string) {
 	t.Helper()
 	var names []string
 	for i := range 16 {
 		names = append(names, fmt.Sprintf("a-%02d", i))
 	}
-	in = newInstallation(t, []string{"a", "b"}, 2, append(names, "b-1")...)
-	in.describe = func() string { return describeZone(in, names) }
-	in.until("the instances of the large zone agree on its hubs", func() bool {
+	cluster = newTestCluster(t, []string{"a", "b"}, 2, append(names, "b-1")...)
+	cluster.describe = func() string { return describeZone(cluster, names) }
+	cluster.waitUntil("the instances of the large zone agree on its hubs", func() bool {
 		hubs, spokes = nil, nil
 		for _, name := range names {
-			n := in.nodes[name]
+			n := cluster.nodes[name]
 			n.mu.Lock()
 			hub, count := n.neighbours.IsHub, n.neighbours.HubCount
 			n.mu.Unlock()
@@ -42,15 +42,15 @@
 		}
 		return len(hubs) == 8
 	})
-	return in, hubs, spokes
+	return cluster, hubs, spokes
 }
 
 // TestLargeZone: instances that are no hubs do not hear each other, know the
 // owners of their own and of other zones, and serve with both.
 func TestLargeZone(t *testing.T) {
-	in, _, spokes := largeInstallation(t)
-	first := in.nodes[spokes[0]]
-	in.until("no spoke hears another", func() bool {
+	cluster, _, spokes := newLargeTestCluster(t)
+	first := cluster.nodes[spokes[0]]
+	cluster.waitUntil("no spoke hears another", func() bool {
 		first.mu.Lock()
 		defer first.mu.Unlock()
 		for _, other := range spokes[1:] {
@@ -60,56 +60,56 @@
 		}
 		return first.peers.State("b-1") == membership.Listed
 	})
-	in.until("the owner of the other zone is known", func() bool { return len(first.router.Loads()) == 2 })
-	in.want(spokes[0], 2, 20)
-	in.want(spokes[0], 6, 20)
-	in.until("its connection to the owner of the other zone is in use", func() bool { return first.isNeighbour("b-1") })
-	in.want("b-1", 6, 20)
+	cluster.waitUntil("the owner of the other zone is known", func() bool { return len(first.router.Loads()) == 2 })
+	cluster.mustComplete(spokes[0], 2, 20)
+	cluster.mustComplete(spokes[0], 6, 20)
+	cluster.waitUntil("its connection to the owner of the other zone is in use", func() bool { return first.isNeighbour("b-1") })
+	cluster.mustComplete("b-1", 6, 20)
 }
 
 // TestLargeZoneLosses loses the owner of the large zone, then a coordinator that
 // is no hub.
 func TestLargeZoneLosses(t *testing.T) {
-	in, _, spokes := largeInstallation(t)
-	owner := in.owner("a/0")
-	in.until("the coordinator knows the owner of its zone", func() bool {
-		return slices.ContainsFunc(in.nodes[spokes[0]].router.Loads(), func(l ingress.OwnerLoad) bool { return l.Group == "a/0" && l.Free > 0 })
+	cluster, _, spokes := newLargeTestCluster(t)
+	owner := cluster.owner("a/0")
+	cluster.waitUntil("the coordinator knows the owner of its zone", func() bool {
+		return slices.ContainsFunc(cluster.nodes[spokes[0]].router.Loads(), func(l ingress.OwnerLoad) bool { return l.Group == "a/0" && l.Free > 0 })
 	})
-	id := in.newID()
-	lost := in.background(spokes[0], id, 2, 5000) // its own zone goes first
-	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
-	in.kill(owner)
+	id := cluster.newJobID()
+	lost := cluster.background(spokes[0], id, 2, 5000) // its own zone goes first
+	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
+	cluster.kill(owner)
 	if status := <-lost; status != http.StatusGatewayTimeout {
 		t.Errorf("the job of the lost owner was answered %d", status)
 	}
-	in.until("the job's tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
-	in.until("work is done again", func() bool {
-		status, _ := in.submit(spokes[0], in.newID(), 2, 10)
+	cluster.waitUntil("the job's tasks are stopped", func() bool { return !cluster.runs.IsRunning(id) })
+	cluster.waitUntil("work is done again", func() bool {
+		status, _ := cluster.submit(spokes[0], cluster.newJobID(), 2, 10)
 		return status == http.StatusOK
 	})
-	id = in.newID()
-	cut := in.background(spokes[1], id, 4, 5000) // some of it in the other zone
-	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
-	in.kill(spokes[1])
+	id = cluster.newJobID()
+	cut := cluster.background(spokes[1], id, 4, 5000) // some of it in the other zone
+	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
+	cluster.kill(spokes[1])
 	<-cut
-	in.until("its tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
+	cluster.waitUntil("its tasks are stopped", func() bool { return !cluster.runs.IsRunning(id) })
 }
 
 // TestLargeZoneConfig: an instance that is no hub and does not reach the store
 // hears of a version from the hubs.
 func TestLargeZoneConfig(t *testing.T) {
-	in, _, spokes := largeInstallation(t)
-	n := in.nodes[spokes[0]]
+	cluster, _, spokes := newLargeTestCluster(t)
+	n := cluster.nodes[spokes[0]]
 	n.store.Close()
-	in.configure(2, "/checks/")
-	in.until("the version has come", func() bool { return n.config.Load().Version == 2 })
+	cluster.configure(2, "/checks/")
+	cluster.waitUntil("the version has come", func() bool { return n.config.Load().Version == 2 })
 }
 
 // describeZone tells what the instances of a zone believe of each other.
-func describeZone(in *installation, names []string) string {
+func describeZone(cluster *testCluster, names []string) string {
 	var b strings.Builder
 	for _, name := range names {
-		n := in.nodes[name]
+		n := cluster.nodes[name]
 		n.mu.Lock()
 		fmt.Fprintf(&b, "%s: hub %v of %d, near %d, far %d;", name, n.neighbours.IsHub, n.neighbours.HubCount, len(n.neighbours.Near), len(n.neighbours.Far))
 		states := map[membership.State]int{}
@@ -142,27 +142,27 @@
 // TestStandbyReadsUpstreams: an instance that stands by for a larger one does not
 // read each change of the upstreams, but reads them all when it has to own them.
 func TestStandbyReadsUpstreams(t *testing.T) {
-	in := newInstallation(t, []string{"a"}, 2, "a-1")
-	in.startSized("a-2", 0.1)
-	small := in.nodes["a-2"]
-	in.until("the smaller one stands by", func() bool { return small.upstreamFollowMode() == followPeriodically })
-	if in.nodes["a-1"].upstreamFollowMode() != followContinuously {
+	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
+	cluster.startWithCPUShare("a-2", 0.1)
+	small := cluster.nodes["a-2"]
+	cluster.waitUntil("the smaller one stands by", func() bool { return small.upstreamFollowMode() == followPeriodically })
+	if cluster.nodes["a-1"].upstreamFollowMode() != followContinuously {
 		t.Error("the owner reads the upstreams only from time to time")
 	}
-	in.until("it has read them", func() bool { return small.knows("u-a-1") })
-	in.addUpstream("u-a-new", "a")
-	in.until("the owner knows the new one", func() bool { return in.nodes["a-1"].knows("u-a-new") })
-	if small.knows("u-a-new") {
+	cluster.waitUntil("it has read them", func() bool { return small.knowsUpstream("u-a-1") })
+	cluster.addUpstream("u-a-new", "a")
+	cluster.waitUntil("the owner knows the new one", func() bool { return cluster.nodes["a-1"].knowsUpstream("u-a-new") })
+	if small.knowsUpstream("u-a-new") {
 		t.Error("the smaller one has read it too")
 	}
-	in.kill("a-1")
-	in.until("the smaller one owns the group", func() bool { return in.owner("a/0") == "a-2" })
-	in.until("it knows the new one", func() bool { return small.knows("u-a-new") })
-	in.want("a-2", 2, 20)
+	cluster.kill("a-1")
+	cluster.waitUntil("the smaller one owns the group", func() bool { return cluster.owner("a/0") == "a-2" })
+	cluster.waitUntil("it knows the new one", func() bool { return small.knowsUpstream("u-a-new") })
+	cluster.mustComplete("a-2", 2, 20)
 }
 
-// knows reports whether an instance knows an upstream.
-func (n *Node) knows(upstream string) bool {
+// knowsUpstream reports whether an instance knowsUpstream an upstream.
+func (n *Node) knowsUpstream(upstream string) bool {
 	_, known := n.directory.Lookup(upstream)
 	return known
 }
@@ -170,7 +170,7 @@
 // TestNeighboursAreKept: who the neighbours are is worked out when what they follow
 // from changes, and not in each beat.
 func TestNeighboursAreKept(t *testing.T) {
-	n := bareNode("a-1", "a")
+	n := newIdleNode("a-1", "a")
 	known := map[string]membership.Listing{}
 	for i := range 40 {
 		name := fmt.Sprintf("%c-%d", 'a'+i%2, i+1)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -18,11 +18,11 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// installation is instances, upstreams and a store on loopback.
-type installation struct {
+// testCluster is instances, upstreams and a store on loopback.
+type testCluster struct {
 	t         *testing.T
 	store     *standin.Store
-	ledger    *standin.RunTracker
+	runs      *standin.RunTracker
 	upstreams []*standin.Upstream
 	nodes     map[string]*Node
 	// describe tells more where a test waits in vain; it may be nil.
@@ -31,16 +31,16 @@
 	nextJob  int
 }
 
-// patience bounds how long a test waits for something to become true.
-const patience = 20 * time.Second
+// waitLimit bounds how long a test waits for something to become true.
+const waitLimit = 20 * time.Second
 
-func newInstallation(t *testing.T, zones []string, upstreamsPerZone int, instances ...string) *installation {
+func newTestCluster(t *testing.T, zones []string, upstreamsPerZone int, instances ...string) *testCluster {
 	t.Helper()
 	store, err := standin.NewStore("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := &installation{t: t, store: store, ledger: standin.NewRunTracker(), nodes: map[string]*Node{}}
+	in := &testCluster{t: t, store: store, runs: standin.NewRunTracker(), nodes: map[string]*Node{}}
 	t.Cleanup(in.close)
 	in.configure(1, "/checks/")
 	for _, zone := range zones {
@@ -52,93 +52,93 @@
 		in.start(name)
 	}
 	for _, name := range instances {
-		in.until(name+" is ready", func() bool {
+		in.waitUntil(name+" is ready", func() bool {
 			return in.status("GET", in.nodes[name].settings.ReadinessAddress, "/readiness") == http.StatusOK
 		})
 	}
-	in.until("every zone has an owner", func() bool {
+	in.waitUntil("every zone has an owner", func() bool {
 		return len(in.nodes[instances[0]].router.Loads()) == len(zones)*membership.GroupCount(upstreamsPerZone, len(instances), 0)
 	})
 	return in
 }
 
-func (in *installation) close() {
-	for _, n := range in.nodes {
+func (cluster *testCluster) close() {
+	for _, n := range cluster.nodes {
 		n.Close()
 	}
-	for _, u := range in.upstreams {
+	for _, u := range cluster.upstreams {
 		u.Close()
 	}
-	in.store.Close()
-	for _, b := range in.ledger.Violations() {
-		in.t.Error(b)
+	cluster.store.Close()
+	for _, b := range cluster.runs.Violations() {
+		cluster.t.Error(b)
 	}
 }
 
 // configure puts a version of the configuration into the store.
-func (in *installation) configure(version int, prefixes ...string) {
+func (cluster *testCluster) configure(version int, prefixes ...string) {
 	var routes []standin.Route
 	for _, prefix := range prefixes {
 		routes = append(routes, standin.Route{Name: "r" + prefix, Host: "desk.example", Prefix: prefix, Service: "desk", MaxAttempts: 3})
 	}
-	if err := in.store.Configure(version, routes); err != nil {
-		in.t.Fatal(err)
+	if err := cluster.store.Configure(version, routes); err != nil {
+		cluster.t.Fatal(err)
 	}
 }
 
 // taskSize is what a task of these tests asks for; upstreams hold two.
 const taskSize = 7000
 
-func (in *installation) addUpstream(id, zone string) *standin.Upstream {
+func (cluster *testCluster) addUpstream(id, zone string) *standin.Upstream {
 	u, err := standin.NewUpstream(standin.UpstreamConfig{
 		ID: id, Service: "desk", Zone: zone, Address: "127.0.0.1:0", Capacity: fleet.Resources{MilliCPU: 16000, MemoryMB: 1000},
 		TaskDuration: standin.SpecDuration,
 		Demand:       func(string) fleet.Resources { return fleet.Resources{MilliCPU: taskSize} }, ReportsStartTime: true,
-	}, in.store, in.ledger)
+	}, cluster.store, cluster.runs)
 	if err != nil {
-		in.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	in.upstreams = append(in.upstreams, u)
+	cluster.upstreams = append(cluster.upstreams, u)
 	return u
 }
 
 // zoneOfInstance is the part of an instance's name before the dash.
 func zoneOfInstance(name string) string { zone, _, _ := strings.Cut(name, "-"); return zone }
 
-func (in *installation) settings(name string) fleet.Instance {
+func (cluster *testCluster) settings(name string) fleet.Instance {
 	return fleet.Instance{
 		Name: name, Zone: zoneOfInstance(name), Region: "r", CPUShare: 0.4,
 		CustomerAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0", MetricsAddress: "127.0.0.1:0",
-		StoreAddress: in.store.Address,
+		StoreAddress: cluster.store.Address,
 		Timing: fleet.Timing{
 			MaxTaskLease: time.Second, Grace: 6 * time.Second, MinOwnershipInterval: 3 * time.Second,
 		},
 	}
 }
 
-func (in *installation) start(name string) *Node {
-	in.t.Helper()
-	return in.startSized(name, in.settings(name).CPUShare)
+func (cluster *testCluster) start(name string) *Node {
+	cluster.t.Helper()
+	return cluster.startWithCPUShare(name, cluster.settings(name).CPUShare)
 }
 
-// startSized starts an instance with a share of a processor.
-func (in *installation) startSized(name string, share float64) *Node {
-	in.t.Helper()
-	settings := in.settings(name)
+// startWithCPUShare starts an instance with a share of a processor.
+func (cluster *testCluster) startWithCPUShare(name string, share float64) *Node {
+	cluster.t.Helper()
+	settings := cluster.settings(name)
 	settings.CPUShare = share
-	return in.startWith(settings)
+	return cluster.startWithSettings(settings)
 }
 
-// startKnowing starts an instance whose settings name where another listens.
-func (in *installation) startKnowing(name, other string) *Node {
-	in.t.Helper()
-	settings := in.settings(name)
-	settings.SeedPeers = []string{in.nodes[other].settings.PeerAddress}
-	return in.startWith(settings)
+// startWithSeed starts an instance whose settings name where another listens.
+func (cluster *testCluster) startWithSeed(name, other string) *Node {
+	cluster.t.Helper()
+	settings := cluster.settings(name)
+	settings.SeedPeers = []string{cluster.nodes[other].settings.PeerAddress}
+	return cluster.startWithSettings(settings)
 }
 
-func (in *installation) startWith(settings fleet.Instance) *Node {
-	in.t.Helper()
+func (cluster *testCluster) startWithSettings(settings fleet.Instance) *Node {
+	cluster.t.Helper()
 	name := settings.Name
 	out := io.Discard
 	if os.Getenv("SEDGEHATCH_TEST_LOG") != "" {
@@ -146,34 +146,34 @@
 	}
 	n, err := New(settings, slog.New(slog.NewJSONHandler(out, nil)).With(slog.String("instance", name)))
 	if err != nil {
-		in.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	n.peerListener = standin.NewBlackholeListener(n.peerListener)
-	in.nodes[name] = n
+	cluster.nodes[name] = n
 	n.Run()
 	return n
 }
 
-// silencePeers makes the open connections between instances go silent for good;
+// blackholePeerConnections makes the open connections between instances go silent for good;
 // new ones work.
-func (in *installation) silencePeers() {
-	for _, n := range in.nodes {
+func (cluster *testCluster) blackholePeerConnections() {
+	for _, n := range cluster.nodes {
 		n.peerListener.(*standin.BlackholeListener).BlackholeOpen()
 	}
 }
 
 // kill ends an instance at once.
-func (in *installation) kill(name string) {
-	in.nodes[name].Close()
-	delete(in.nodes, name)
+func (cluster *testCluster) kill(name string) {
+	cluster.nodes[name].Close()
+	delete(cluster.nodes, name)
 }
 
 // owner returns the name of the instance that owns a group.
-func (in *installation) owner(group string) string {
-	in.t.Helper()
+func (cluster *testCluster) owner(group string) string {
+	cluster.t.Helper()
 	name := ""
-	in.until("group "+group+" has an owner", func() bool {
-		for _, n := range in.nodes {
+	cluster.waitUntil("group "+group+" has an owner", func() bool {
+		for _, n := range cluster.nodes {
 			n.mu.Lock()
 			owns := n.groups[group] != nil
 			n.mu.Unlock()
@@ -188,44 +188,44 @@
 }
 
 // other returns an instance that is not the one given.
-func (in *installation) other(than string) string {
-	for name := range in.nodes {
+func (cluster *testCluster) other(than string) string {
+	for name := range cluster.nodes {
 		if name != than {
 			return name
 		}
 	}
-	in.t.Fatal("there is only one instance")
+	cluster.t.Fatal("there is only one instance")
 	return ""
 }
 
-func (in *installation) until(what string, true_ func() bool) {
-	in.t.Helper()
-	deadline := time.Now().Add(patience)
-	for !true_() {
+func (cluster *testCluster) waitUntil(what string, condition func() bool) {
+	cluster.t.Helper()
+	deadline := time.Now().Add(waitLimit)
+	for !condition() {
 		if time.Now().After(deadline) {
 			more := ""
-			if in.describe != nil {
-				more = "\n" + in.describe()
+			if cluster.describe != nil {
+				more = "\n" + cluster.describe()
 			}
-			in.t.Fatalf("it never became true that %s%s", what, more)
+			cluster.t.Fatalf("it never became true that %s%s", what, more)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func (in *installation) status(method, address, path string) int {
-	status, _ := in.call(method, address, path, nil)
+func (cluster *testCluster) status(method, address, path string) int {
+	status, _ := cluster.call(method, address, path, nil)
 	return status
 }
 
 // call makes one call and returns its status, 0 without an answer.
-func (in *installation) call(method, address, path string, body []byte) (int, string) {
+func (cluster *testCluster) call(method, address, path string, body []byte) (int, string) {
 	req, err := standin.NewRequest(context.Background(), method, address, "desk.example", path, body, 8*time.Second)
 	if err != nil {
-		in.t.Error(err)
+		cluster.t.Error(err)
 		return 0, ""
 	}
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitLimit}
 	res, err := client.Do(req)
 	if err != nil {
 		return 0, ""
@@ -238,11 +238,11 @@
 	return res.StatusCode, string(raw)
 }
 
-func (in *installation) newID() string {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.nextJob++
-	return fmt.Sprintf("%016x", in.nextJob)
+func (cluster *testCluster) newJobID() string {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.nextJob++
+	return fmt.Sprintf("%016x", cluster.nextJob)
 }
 
 func jobBody(tasks, ms int) []byte {
@@ -250,42 +250,42 @@
 }
 
 // submit hands a job to an instance and returns the answer.
-func (in *installation) submit(name, id string, tasks, ms int) (int, string) {
-	return in.call("POST", in.nodes[name].settings.CustomerAddress, "/checks/"+id, jobBody(tasks, ms))
+func (cluster *testCluster) submit(name, id string, tasks, ms int) (int, string) {
+	return cluster.call("POST", cluster.nodes[name].settings.CustomerAddress, "/checks/"+id, jobBody(tasks, ms))
 }
 
 // background submits a job and returns a channel with the status.
-func (in *installation) background(name, id string, tasks, ms int) <-chan int {
+func (cluster *testCluster) background(name, id string, tasks, ms int) <-chan int {
 	answer := make(chan int, 1)
-	address := in.nodes[name].settings.CustomerAddress
+	address := cluster.nodes[name].settings.CustomerAddress
 	go func() {
-		status, _ := in.call("POST", address, "/checks/"+id, jobBody(tasks, ms))
+		status, _ := cluster.call("POST", address, "/checks/"+id, jobBody(tasks, ms))
 		answer <- status
 	}()
 	return answer
 }
 
-func (in *installation) want(name string, tasks, ms int) {
-	in.t.Helper()
-	if status, body := in.submit(name, in.newID(), tasks, ms); status != http.StatusOK || body != `{"State":"completed"}` {
-		in.t.Fatalf("%s answered %d %q", name, status, body)
+func (cluster *testCluster) mustComplete(name string, tasks, ms int) {
+	cluster.t.Helper()
+	if status, body := cluster.submit(name, cluster.newJobID(), tasks, ms); status != http.StatusOK || body != `{"State":"completed"}` {
+		cluster.t.Fatalf("%s answered %d %q", name, status, body)
 	}
 }
 
 // TestCalm serves jobs of both zones, also one that is wider than its own zone.
 func TestCalm(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	for name := range in.nodes {
-		in.want(name, 1, 20)
-		in.want(name, 6, 20)
-		in.want(name, 20, 10)
+	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
+	for name := range cluster.nodes {
+		cluster.mustComplete(name, 1, 20)
+		cluster.mustComplete(name, 6, 20)
+		cluster.mustComplete(name, 20, 10)
 	}
 }
 
 // TestAnswers checks what is not a job, and what is not offered.
 func TestAnswers(t *testing.T) {
-	in := newInstallation(t, []string{"a"}, 1, "a-1")
-	address := in.nodes["a-1"].settings.CustomerAddress
+	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
+	address := cluster.nodes["a-1"].settings.CustomerAddress
 	kept := standin.Job{Tasks: 1, MilliCPU: 100, TaskDuration: time.Millisecond, Durable: true}.Body()
 	huge := standin.Job{Tasks: 1, MilliCPU: 99000, TaskDuration: 10 * time.Millisecond}.Body()
 	for _, c := range []struct {
@@ -306,7 +306,7 @@
 		{"GET", "/none/", nil, 404, ""},
 		{"PUT", "/checks/0000000000000004", nil, 405, ""},
 	} {
-		if status, answer := in.call(c.method, address, c.path, c.body); status != c.status || answer != c.answer {
+		if status, answer := cluster.call(c.method, address, c.path, c.body); status != c.status || answer != c.answer {
 			t.Errorf("%s %s: %d %q, want %d %q", c.method, c.path, status, answer, c.status, c.answer)
 		}
 	}
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -8,9 +8,9 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// startingFleet returns the instances of a fleet that have just started and read the list of
+// newStartingFleet returns the instances of a fleet that have just started and read the list of
 // all. Each availability zone has five large ones.
-func startingFleet(zones, instances int) []*Node {
+func newStartingFleet(zones, instances int) []*Node {
 	known := map[string]membership.Listing{}
 	for i := range instances {
 		zone := fmt.Sprintf("%c", 'a'+i%zones)
@@ -23,7 +23,7 @@
 	}
 	var fleet []*Node
 	for name, l := range known {
-		n := bareNode(name, l.Zone)
+		n := newIdleNode(name, l.Zone)
 		n.settings.CPUShare = l.CPUShare
 		for i := range zones {
 			n.groupCounts[fmt.Sprintf("%c", 'a'+i)] = 4
@@ -42,7 +42,7 @@
 	const zones, largeOfZone = 6, 5
 	for _, instances := range []int{100, 300, 1000} {
 		readers, rare := 0, 0
-		for _, n := range startingFleet(zones, instances) {
+		for _, n := range newStartingFleet(zones, instances) {
 			n.startedAt = clock.Now()
 			if n.upstreamFollowMode() != followNothing {
 				readers++
@@ -63,7 +63,7 @@
 // TestReadersWithoutList: an instance whose store does not answer reads the upstreams once it
 // has waited for the list of instances.
 func TestReadersWithoutList(t *testing.T) {
-	n := bareNode("a-1", "a")
+	n := newIdleNode("a-1", "a")
 	n.awaitPeerList()
 	if n.upstreamFollowMode() != followContinuously {
 		t.Error("it does not read the upstreams")
@@ -73,18 +73,18 @@
 // TestSpokesWatchRarely: an instance that hears several hubs leaves its watches open for
 // long, one that hears few does not.
 func TestSpokesWatchRarely(t *testing.T) {
-	in, hubs, spokes := largeInstallation(t)
-	spoke := in.nodes[spokes[0]]
-	in.until("the spoke hears hubs", func() bool {
+	cluster, hubs, spokes := newLargeTestCluster(t)
+	spoke := cluster.nodes[spokes[0]]
+	cluster.waitUntil("the spoke hears hubs", func() bool {
 		return spoke.peerWatchWait() == spokeWatchWait && spoke.configWatchWait() == spokeWatchWait
 	})
-	if hub := in.nodes[hubs[0]]; hub.peerWatchWait() != hubPeerWatchWait {
+	if hub := cluster.nodes[hubs[0]]; hub.peerWatchWait() != hubPeerWatchWait {
 		t.Error("a hub watches the list of instances rarely")
 	}
 	for _, name := range hubs[2:] {
-		in.kill(name)
+		cluster.kill(name)
 	}
-	in.until("it watches closely", func() bool {
+	cluster.waitUntil("it watches closely", func() bool {
 		return spoke.configWatchWait() == shortConfigWatchWait || spoke.upstreamFollowMode() != followNothing
 	})
 }
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -14,42 +14,45 @@
 // installation).
 func TestRestartOfAll(t *testing.T) {
 	names := []string{"a-1", "a-2", "a-3", "a-4", "b-1", "b-2", "b-3"}
-	in := newInstallation(t, []string{"a", "b"}, 3, names...)
+	cluster := newTestCluster(t, []string{"a", "b"}, 3, names...)
 	for _, name := range names {
-		in.background(name, in.newID(), 2, 300)
+		cluster.background(name, cluster.newJobID(), 2, 300)
 	}
-	in.until("work is under way", func() bool { return in.running() > 0 })
+	cluster.waitUntil("work is under way", func() bool { return cluster.runningTasks() > 0 })
 	for _, name := range names {
-		in.kill(name)
+		cluster.kill(name)
 	}
-	in.store.SetFault(standin.NoFault, 400*time.Millisecond)
+	cluster.store.SetFault(standin.NoFault, 400*time.Millisecond)
 	for _, name := range names {
-		in.start(name)
+		cluster.start(name)
 	}
 	for _, name := range names {
-		in.until(name+" is ready", func() bool {
-			return in.status("GET", in.nodes[name].settings.ReadinessAddress, "/readiness") == http.StatusOK
+		cluster.waitUntil(name+" is ready", func() bool {
+			return cluster.status("GET", cluster.nodes[name].settings.ReadinessAddress, "/readiness") == http.StatusOK
+		})
+		cluster.waitUntil(name+" serves", func() bool {
+			status, _ := cluster.submit(name, cluster.newJobID(), 1, 10)
+			return status == http.StatusOK
 		})
-		in.until(name+" serves", func() bool { status, _ := in.submit(name, in.newID(), 1, 10); return status == http.StatusOK })
 	}
 	for _, group := range []string{"a/0", "b/0"} {
-		in.until(group+" has one owner", func() bool { return len(in.owners(group)) == 1 })
+		cluster.waitUntil(group+" has one owner", func() bool { return len(cluster.owners(group)) == 1 })
 	}
 }
 
-// running returns how many tasks run.
-func (in *installation) running() int {
+// runningTasks returns how many tasks run.
+func (cluster *testCluster) runningTasks() int {
 	count := 0
-	for _, u := range in.upstreams {
+	for _, u := range cluster.upstreams {
 		u.WithModel(func(c *standin.UpstreamModel) { count += len(c.Running()) })
 	}
 	return count
 }
 
 // owners returns the instances that own a group.
-func (in *installation) owners(group string) []string {
+func (cluster *testCluster) owners(group string) []string {
 	var owners []string
-	for name, n := range in.nodes {
+	for name, n := range cluster.nodes {
 		n.mu.Lock()
 		if n.groups[group] != nil {
 			owners = append(owners, name)
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -7,8 +7,8 @@
 )
 
 // tokenOf returns the fencing token of a group's owner.
-func (in *installation) tokenOf(group string) uint64 {
-	n := in.nodes[in.owner(group)]
+func (cluster *testCluster) tokenOf(group string) uint64 {
+	n := cluster.nodes[cluster.owner(group)]
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if g := n.groups[group]; g != nil {
@@ -21,34 +21,34 @@
 // while new ones work. No peer is taken for lost, no group changes hands, and a
 // job whose answer was under way there is answered soon.
 func TestPeerConnectionsGoSilent(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	owner := in.owner("a/0")
-	token, away := in.tokenOf("a/0"), in.tokenOf("b/0")
+	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
+	owner := cluster.owner("a/0")
+	token, away := cluster.tokenOf("a/0"), cluster.tokenOf("b/0")
 	coordinator := "a-1"
 	if owner == coordinator {
 		coordinator = "a-2"
 	}
-	id := in.newID()
+	id := cluster.newJobID()
 	began := time.Now()
-	lost := in.background(coordinator, id, 2, 5000)
-	in.until("the job runs", func() bool { return in.ledger.IsRunning(id) })
-	in.silencePeers()
+	lost := cluster.background(coordinator, id, 2, 5000)
+	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
+	cluster.blackholePeerConnections()
 	if status := <-lost; status != http.StatusGatewayTimeout {
 		t.Errorf("a job over a silent connection was answered %d", status)
 	}
 	if took := time.Since(began); took > 4*time.Second {
 		t.Errorf("a job over a silent connection was answered after %v", took)
 	}
-	in.until("its tasks are stopped", func() bool { return !in.ledger.IsRunning(id) })
-	for name := range in.nodes {
-		in.until(name+" hears every owner", func() bool {
-			loads := in.nodes[name].router.Loads()
+	cluster.waitUntil("its tasks are stopped", func() bool { return !cluster.runs.IsRunning(id) })
+	for name := range cluster.nodes {
+		cluster.waitUntil(name+" hears every owner", func() bool {
+			loads := cluster.nodes[name].router.Loads()
 			return len(loads) == 2 && loads[0].Age < maxLoadAge && loads[1].Age < maxLoadAge
 		})
-		in.want(name, 2, 20)
-		in.want(name, 6, 20)
+		cluster.mustComplete(name, 2, 20)
+		cluster.mustComplete(name, 6, 20)
 	}
-	if in.tokenOf("a/0") != token || in.tokenOf("b/0") != away {
+	if cluster.tokenOf("a/0") != token || cluster.tokenOf("b/0") != away {
 		t.Error("a group has changed hands")
 	}
 }
@@ -56,11 +56,11 @@
 // TestStoreConnectionsGoSilent: a new version is in force soon though every open
 // connection to the store has gone silent.
 func TestStoreConnectionsGoSilent(t *testing.T) {
-	in := newInstallation(t, []string{"a"}, 2, "a-1")
-	in.store.BlackholeOpen()
-	in.configure(2, "/checks/", "/more/")
+	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
+	cluster.store.BlackholeOpen()
+	cluster.configure(2, "/checks/", "/more/")
 	began := time.Now()
-	in.until("the next version is in force", func() bool { return in.nodes["a-1"].config.Load().Version == 2 })
+	cluster.waitUntil("the next version is in force", func() bool { return cluster.nodes["a-1"].config.Load().Version == 2 })
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("it took %v", took)
 	}
@@ -69,21 +69,21 @@
 // TestUpstreamConnectionsGoSilent: jobs go on though every open connection to an
 // upstream has gone silent.
 func TestUpstreamConnectionsGoSilent(t *testing.T) {
-	in := newInstallation(t, []string{"a"}, 1, "a-1")
+	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	for range 3 {
-		in.want("a-1", 2, 20)
+		cluster.mustComplete("a-1", 2, 20)
 	}
 	for range 3 {
-		in.upstreams[0].BlackholeOpen()
-		in.want("a-1", 2, 20)
+		cluster.upstreams[0].BlackholeOpen()
+		cluster.mustComplete("a-1", 2, 20)
 	}
 }
 
 // TestZoneCutHeals: instances that took each other for lost find each other once
 // they can be reached again.
 func TestZoneCutHeals(t *testing.T) {
-	in := newInstallation(t, []string{"a", "b"}, 2, "a-1", "b-1")
-	a, b := in.nodes["a-1"], in.nodes["b-1"]
+	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "b-1")
+	a, b := cluster.nodes["a-1"], cluster.nodes["b-1"]
 	lost := func(n *Node, peer string) {
 		n.mu.Lock()
 		p := n.lastHeartbeat[peer]
@@ -94,12 +94,12 @@
 		n.mu.Lock()
 		n.peers.Tick(n.uptimeMs() + time.Hour.Milliseconds())
 		n.mu.Unlock()
-		n.mesh.Sever(in.nodes[peer].self)
+		n.mesh.Sever(cluster.nodes[peer].self)
 	}
 	lost(a, "b-1")
 	lost(b, "a-1")
 	for _, n := range []*Node{a, b} {
-		in.until(n.settings.Name+" hears every owner", func() bool { return len(n.router.Loads()) == 2 })
+		cluster.waitUntil(n.settings.Name+" hears every owner", func() bool { return len(n.router.Loads()) == 2 })
 	}
-	in.until("they are neighbours", func() bool { return a.isNeighbour("b-1") && b.isNeighbour("a-1") })
+	cluster.waitUntil("they are neighbours", func() bool { return a.isNeighbour("b-1") && b.isNeighbour("a-1") })
 }
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -15,14 +15,14 @@
 // TestStopWithoutSuccessor stops the only instance of an availability zone: it
 // goes on serving with its upstreams until another has started and takes them.
 func TestStopWithoutSuccessor(t *testing.T) {
-	in := newInstallation(t, []string{"a"}, 2, "a-1")
-	n := in.nodes["a-1"]
+	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
+	n := cluster.nodes["a-1"]
 	n.settings.Timing.Grace = time.Minute // the test may be slow, and groups are kept for a part of it
 	stopped := make(chan bool, 1)
 	go func() { stopped <- n.Stop() }()
-	in.until("it is stopping", n.leaving.Load)
+	cluster.waitUntil("it is stopping", n.leaving.Load)
 	for range 5 {
-		in.want("a-1", 2, 10)
+		cluster.mustComplete("a-1", 2, 10)
 	}
 	n.mu.Lock()
 	g := n.groups["a/0"]
@@ -30,14 +30,17 @@
 	if g == nil || g.handingOver {
 		t.Fatal("it has let go of its group with nobody there to take it")
 	}
-	in.start("a-2")
-	in.until("the next instance owns the group", func() bool {
-		next := in.nodes["a-2"]
+	cluster.start("a-2")
+	cluster.waitUntil("the next instance owns the group", func() bool {
+		next := cluster.nodes["a-2"]
 		next.mu.Lock()
 		defer next.mu.Unlock()
 		return next.groups["a/0"] != nil
 	})
-	in.until("it serves", func() bool { status, _ := in.submit("a-2", in.newID(), 2, 10); return status == http.StatusOK })
+	cluster.waitUntil("it serves", func() bool {
+		status, _ := cluster.submit("a-2", cluster.newJobID(), 2, 10)
+		return status == http.StatusOK
+	})
 	if !<-stopped {
 		t.Error("the stop ended undrained")
 	}
@@ -46,8 +49,8 @@
 // TestStopHandsOverInTime: without a successor groups are let go early enough for
 // what runs to end.
 func TestStopHandsOverInTime(t *testing.T) {
-	in := newInstallation(t, []string{"a"}, 1, "a-1")
-	n := in.nodes["a-1"]
+	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
+	n := cluster.nodes["a-1"]
 	limit := n.settings.Timing.Grace - graceMargin
 	handing := func(took time.Duration) bool {
 		n.handOverForShutdown(took, limit)
@@ -97,8 +100,8 @@
 	}
 }
 
-// bareNode returns an instance that has just begun and knows nobody. It does not run.
-func bareNode(name, zone string) *Node {
+// newIdleNode returns an instance that has just begun and knows nobody. It does not run.
+func newIdleNode(name, zone string) *Node {
 	n := &Node{
 		peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{},
 		refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{}, groupCounts: map[string]int{}, startedAt: clock.Now(), log: slog.New(slog.DiscardHandler),
@@ -112,7 +115,7 @@
 // TestSettledOnceListed: peers of which the list has just told have to be heard
 // before a group is taken, from the moment on that the list counts.
 func TestSettledOnceListed(t *testing.T) {
-	n := bareNode("a-2", "a")
+	n := newIdleNode("a-2", "a")
 	n.setPeerList(map[string]membership.Listing{"a-1": {Instance: "a-1", Zone: "a", Address: "there"}})
 	if n.membershipSettled() {
 		t.Error("it takes groups without having heard the peer that it has read of")
--- /dev/null
+++ b/node/upstreamrequest_test.go
@@ -0,0 +1,37 @@
+package node
+
+import (
+	"net/http"
+	"testing"
+
+	"github.com/sedgehatch/sedgehatch/platform/standin"
+)
+
+// TestReplacedWithoutStore: the store does not answer while all instances of an availability
+// zone are replaced in turn, each by a planned stop. A new one learns the upstreams from one
+// that has read them, and the zone is served all the while.
+func TestReplacedWithoutStore(t *testing.T) {
+	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
+	cluster.store.SetFault(standin.ConnectionReset, 0)
+	for _, name := range []string{"a-1", "a-2"} {
+		other := map[string]string{"a-1": "a-2", "a-2": "a-1"}[name]
+		old := cluster.nodes[name]
+		delete(cluster.nodes, name)
+		stopped := make(chan struct{})
+		go func() { old.Stop(); old.Close(); close(stopped) }()
+		cluster.waitUntil(other+" serves alone", func() bool {
+			status, _ := cluster.submit(other, cluster.newJobID(), 1, 10)
+			return status == http.StatusOK
+		})
+		<-stopped
+		cluster.startWithSeed(name, other)
+		cluster.waitUntil(name+" knows the upstreams", func() bool { return cluster.nodes[name].directory.Synced() })
+		cluster.waitUntil(name+" serves", func() bool {
+			status, _ := cluster.submit(name, cluster.newJobID(), 2, 10)
+			return status == http.StatusOK
+		})
+	}
+	if cluster.store.Calls("kv-range") == 0 {
+		t.Error("the store was not asked")
+	}
+}
