--- a/node/log.go
+++ b/node/log.go
@@ -147,8 +147,8 @@
 	return append(attrs, slog.Int("one_of", sample), slog.Bool(logging.RoutineKey, true))
 }
 
-// logAnswer writes the answer to a customer: of those in time one in sampleOne.
-func (n *Node) logAnswer(r ingress.Record) {
+// logResponse writes the answer to a customer: of those in time one in sampleOne.
+func (n *Node) logResponse(r ingress.Record) {
 	e, sample := event.JobAnswered, 0
 	switch {
 	case r.Verdict != ingress.Completed:
@@ -156,7 +156,7 @@
 	case r.Late:
 		e = event.JobLate
 	default:
-		if n.onTimeAnswers.Add(1)%sampleInterval != 0 {
+		if n.onTimeResponses.Add(1)%sampleInterval != 0 {
 			return
 		}
 		sample = sampleInterval
--- a/node/main.go
+++ b/node/main.go
@@ -15,22 +15,24 @@
 	"github.com/sedgehatch/sedgehatch/platform"
 )
 
-// The exit codes of the daemon.
+// The exit codes of the daemon on the platform.
 const (
 	ExitOK              = 0
-	ExitFailed          = 1 // it could not start
-	ExitInvalidSettings = 2 // the settings are wrong
-	ExitUndrained       = 3 // a planned stop ended with work in flight
+	ExitFailed          = 1 // the daemon could not start
+	ExitInvalidSettings = 2 // the settings file is invalid
+	ExitUndrained       = 3 // a planned shutdown ended with work in flight
 )
 
-// logFlushTimeout bounds how long the end waits for the last lines of the log.
+// logFlushTimeout bounds how long the process waits at its end for buffered log lines to
+// be written.
 const logFlushTimeout = 200 * time.Millisecond
 
-// Main runs one instance with the platform's settings file until a signal. With
-// checkOnly it only checks the file. It returns the exit code of the process.
+// Main loads the platform's settings file and runs one instance until SIGTERM or SIGINT.
+// SIGHUP makes it read the file again. With checkOnly, Main only validates the file. It
+// returns the exit code of the process.
 func Main(checkOnly bool, out io.Writer) int {
 	path := os.Getenv(platform.SettingsVariable)
-	in, problems := platform.LoadSettings(path)
+	settings, problems := platform.LoadSettings(path)
 	for _, p := range problems {
 		fmt.Fprintf(out, "sedgehatchd: %s: %s\n", failure.FieldOf(p), failure.Text(p))
 	}
@@ -38,13 +40,13 @@
 		return ExitInvalidSettings
 	}
 	if checkOnly {
-		fmt.Fprintf(out, "sedgehatchd: %q is right\n", path)
+		fmt.Fprintf(out, "sedgehatchd: settings file %q is valid\n", path)
 		return ExitOK
 	}
 	sink := logging.NewSink(os.Stdout, logging.DefaultBuffer)
 	defer sink.Close(logFlushTimeout)
-	log := slog.New(sink.Handler(slog.LevelInfo)).With(slog.String("instance", in.Name))
-	n, err := New(in, log)
+	log := slog.New(sink.Handler(slog.LevelInfo)).With(slog.String("instance", settings.Name))
+	n, err := New(settings, log)
 	if err != nil {
 		fmt.Fprintf(out, "sedgehatchd: %s: %s\n", failure.FieldOf(err), failure.Text(err))
 		return ExitFailed
@@ -65,14 +67,15 @@
 	return ExitOK
 }
 
-// reload reads the settings again. What they tell of listeners and zones holds
-// for the life of the process; a change there is only told.
+// reload reads the settings file again. It applies nothing: it logs whether the file is
+// valid, and whether the addresses of the listeners or the zone have changed, which take
+// effect only after a restart.
 func (n *Node) reload(path string) {
-	in, problems := platform.LoadSettings(path)
+	settings, problems := platform.LoadSettings(path)
 	if len(problems) > 0 {
 		event.SettingsFileBad.Log(n.log, slog.String("field", failure.FieldOf(problems[0])), slog.String("error", failure.Text(problems[0])))
 		return
 	}
-	changed := in.CustomerAddress != n.settings.CustomerAddress || in.PeerAddress != n.settings.PeerAddress || in.Zone != n.settings.Zone
+	changed := settings.CustomerAddress != n.settings.CustomerAddress || settings.PeerAddress != n.settings.PeerAddress || settings.Zone != n.settings.Zone
 	event.Reloaded.Log(n.log, slog.Bool("needs_restart", changed))
 }
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -146,7 +146,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	joining := clock.Since(n.lastTakenAt) < joinPeriod
-	far := clock.Since(n.lastFarHeartbeat) >= farHeartbeatInterval || joining || n.leaving.Load()
+	far := clock.Since(n.lastFarHeartbeat) >= farHeartbeatInterval || joining || n.shuttingDown.Load()
 	if far {
 		n.lastFarHeartbeat = clock.Now()
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,7 @@
-// Package node puts an instance on the users' platform together: customers come
-// in through ingress, owned groups of upstreams run in owner, peers are reached
-// by the inner protocol, and the platform's store is followed.
+// Package node assembles an instance that runs on the users' platform. Package ingress
+// serves its customers, package owner runs the groups of upstreams that it owns, package
+// inner carries its messages to other instances, its peers, and it watches the keys of the
+// platform's store.
 package node
 
 import (
@@ -38,83 +39,86 @@
 	"github.com/valyala/fasthttp"
 )
 
-// fleetName keeps instances of other products from joining.
+// fleetName identifies the fleet in the handshake between instances, so that instances of
+// other products are rejected.
 const fleetName = "sedgehatch"
 
-// Node is one instance.
+// Node is one instance of sedgehatch.
 type Node struct {
 	settings               fleet.Instance
 	self                   fate.Incarnation
 	log                    *slog.Logger
-	onTimeAnswers          atomic.Uint64 // to jobs that were complete in time
+	onTimeResponses        atomic.Uint64 // number of completed jobs answered within their objective; selects samples for the log
 	decisions              *decisionLog
 	metrics                *metrics.Set
 	store                  *platform.Store
 	upstreamClient         *platform.UpstreamClient
 	mesh                   *inner.Mesh
-	directory              *directory.Directory // of upstreams; its lock is taken last
+	directory              *directory.Directory // of upstreams and zones; its lock is taken after all others
 	refusals               entryRefusals
 	router                 *router
 	ingress                *ingress.Coordinator
 	server                 *ingress.Server
 	config                 atomic.Pointer[fleet.Config]
-	leaving                atomic.Bool
-	customerListenerFailed atomic.Bool               // customers cannot be served: their listener ended with an error
-	drainDeadline          atomic.Pointer[time.Time] // of jobs in a planned stop; nil without one
+	shuttingDown           atomic.Bool
+	customerListenerFailed atomic.Bool               // the server for customers has ended with an error
+	drainDeadline          atomic.Pointer[time.Time] // when a planned shutdown ends; nil while none is under way
 	startedAt              time.Time
 	ctx                    context.Context
 	cancel                 context.CancelFunc
 	goroutines             sync.WaitGroup
-	conns                  connset.Set   // of customers and of the platform's questions
-	peerListener           net.Listener  // of peers
-	customerListener       net.Listener  // of customers
-	readinessListener      net.Listener  // of the platform's question
-	metricsListener        net.Listener  // of metrics
-	logSink                *logging.Sink // of the log; nil where it is written otherwise
+	conns                  connset.Set   // of customers, readiness probes and metrics scrapes
+	peerListener           net.Listener  // for connections of peers
+	customerListener       net.Listener  // for connections of customers
+	readinessListener      net.Listener  // for readiness probes of the platform
+	metricsListener        net.Listener  // for metrics scrapes
+	logSink                *logging.Sink // writes the log; nil if the log is written by other means
 
-	peerListReady chan struct{} // closed once the instances have been read
+	peerListReady chan struct{} // closed once the list of instances has been read for the first time
 
-	updateMu sync.Mutex // held while groups are given their upstreams; taken before mu
+	updateMu sync.Mutex // held while the owned groups get their upstreams; locked before mu
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	peers         *membership.Table
-	lastHeartbeat map[string]*inner.Presence // by instance
+	lastHeartbeat map[string]*inner.Presence // by name of the instance
 	groups        map[string]*ownedGroup
-	highestToken  uint64                 // fencing token heard of
-	dialing       map[string]bool        // instances that are being connected to
-	dialOutcomes  map[string]dialOutcome // of the addresses of peers
-	refusedAt     map[string]time.Time   // when a connection to an instance was refused last
-	// registeredZones holds the zones of the instances that the store lists now.
+	highestToken  uint64                 // highest fencing token seen on any instance
+	dialing       map[string]bool        // instances that a connection is being opened to
+	dialOutcomes  map[string]dialOutcome // result of the last dial, by address of the peer
+	refusedAt     map[string]time.Time   // when an instance last refused a connection, by name
+	// registeredZones holds the zone of each instance that the store lists, by name.
 	registeredZones map[string]string
-	peerListRead    bool // the instances have been read once; listed is closed then
-	// emptySince holds since when a zone has no instance, and orphanRetryAt when
-	// its groups may be tried again.
+	peerListRead    bool // the list of instances has been read at least once; peerListReady is then closed
+	// emptySince holds since when a zone has had no instance. orphanRetryAt holds when
+	// this instance may try again to take the groups of such a zone. Both are by zone.
 	emptySince, orphanRetryAt map[string]time.Time
-	isolatedSince             time.Time // since when no peer is heard
-	// groupCounts is how many groups each availability zone has.
+	isolatedSince             time.Time // since when no peer has been alive; zero while one is
+	// groupCounts holds the number of groups of each availability zone.
 	groupCounts map[string]int
-	// lastUpstreamCount is how many upstreams the own zone had when that changed last.
+	// lastUpstreamCount is the number of upstreams in the own zone, and
+	// upstreamCountChangedAt is when it last changed.
 	lastUpstreamCount      int
 	upstreamCountChangedAt time.Time
 	configRequests         configRequests
-	// upstreamRequests counts the peers that were asked for upstreams.
+	// upstreamRequests counts the requests to peers for the list of upstreams. It
+	// selects which peer is asked next.
 	upstreamRequests     int
-	creatingGroupCount   bool      // the number of groups is being written
-	lastFarHeartbeat     time.Time // when far neighbours heard last
-	lastRelay            time.Time // when spokes heard last of owners in other zones
+	creatingGroupCount   bool      // a goroutine is writing the own zone's number of groups to the store
+	lastFarHeartbeat     time.Time // when the last heartbeats were sent to far neighbours
+	lastRelay            time.Time // when owners in other zones were last relayed to the spokes
 	neighbours           *membership.Neighbours
-	neighboursIfAllAlive *membership.Neighbours // as around, if nobody were lost
-	neighbourInputs      neighbourInputs        // what both follow from
-	finalHeartbeatSent   map[string]bool        // instances that were told that neither needs the other
-	lastTakenAt          time.Time              // when the last group was taken
-	suspendedTotal       time.Duration          // of this machine, as noticed last
-	incrementDoublings   uint                   // how often a token had to be raised beyond the time
+	neighboursIfAllAlive *membership.Neighbours // what neighbours would be if all known instances were alive
+	neighbourInputs      neighbourInputs        // what neighbours and neighboursIfAllAlive were computed from
+	finalHeartbeatSent   map[string]bool        // peers that were sent a last heartbeat because neither side needs the other
+	lastTakenAt          time.Time              // when this instance last took a group
+	suspendedTotal       time.Duration          // total suspension of the machine that was last detected
+	incrementDoublings   uint                   // how often tokenIncrement is doubled for the next raise of highestToken
 }
 
-// New makes an instance and its listeners. Run starts it.
-func New(in fleet.Instance, log *slog.Logger) (*Node, error) {
+// New returns an instance with open listeners. Run starts it.
+func New(settings fleet.Instance, log *slog.Logger) (*Node, error) {
 	injector := do.New()
-	do.ProvideValue(injector, in)
+	do.ProvideValue(injector, settings)
 	do.ProvideValue(injector, log)
 	do.ProvideValue(injector, metrics.NewSet())
 	do.Provide(injector, newStore)
@@ -127,16 +131,16 @@
 	return platform.NewStore(do.MustInvoke[fleet.Instance](i).StoreAddress, func(kind string, status int, took time.Duration) {
 		counters.CountSent("store_" + kind)
 		counters.Add("store_"+kind+"_"+strconv.Itoa(status), 1)
-		if kind != "watch" { // which waits for changes
+		if kind != "watch" { // a watch is a long poll: its latency says nothing
 			counters.Latencies.Observe("store_"+kind, took)
 		}
 	}), nil
 }
 
 func newNode(i do.Injector) (*Node, error) {
-	in := do.MustInvoke[fleet.Instance](i)
+	settings := do.MustInvoke[fleet.Instance](i)
 	n := &Node{
-		settings: in, self: fate.Incarnation(in.Name + "." + uuid.NewString()[:8]), log: do.MustInvoke[*slog.Logger](i),
+		settings: settings, self: fate.Incarnation(settings.Name + "." + uuid.NewString()[:8]), log: do.MustInvoke[*slog.Logger](i),
 		metrics: do.MustInvoke[*metrics.Set](i), store: do.MustInvoke[*platform.Store](i), upstreamClient: platform.NewUpstreamClient(), directory: directory.New(),
 		startedAt: clock.Now(), peerListReady: make(chan struct{}),
 		peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{}, finalHeartbeatSent: map[string]bool{}, lastHeartbeat: map[string]*inner.Presence{},
@@ -148,22 +152,23 @@
 		return nil, err
 	}
 	n.router = newRouter(n)
-	n.ingress = ingress.NewCoordinator(in.Zone, n.router)
+	n.ingress = ingress.NewCoordinator(settings.Zone, n.router)
 	n.server = ingress.NewServer(n.ingress, n.config.Load, n.shutdownStatus, n)
 	n.mesh = inner.NewMesh(inner.Config{
-		Fleet: fleetName, Self: n.self, Region: in.Region, Zone: in.Zone, Address: n.settings.PeerAddress,
+		Fleet: fleetName, Self: n.self, Region: settings.Region, Zone: settings.Zone, Address: n.settings.PeerAddress,
 		Directory: n, Handler: n, Met: n.handleHello, Dial: n.dial, DialTimeout: dialTimeout, Count: n.metrics.CountSent, QueueOnly: true,
 		Shared: true, Silence: n.silenceLimit, Clock: n.clockMs,
 	})
 	return n, nil
 }
 
-// listen opens the listeners. Port 0 picks one, for tests.
+// listen opens the listeners and stores their actual addresses in the settings: tests ask
+// for port 0, which selects a free port.
 func (n *Node) listen() error {
 	for _, l := range []struct {
-		field   string
-		address *string
-		into    *net.Listener
+		field    string
+		address  *string
+		listener *net.Listener
 	}{
 		{"peer address", &n.settings.PeerAddress, &n.peerListener},
 		{"customer address", &n.settings.CustomerAddress, &n.customerListener},
@@ -171,19 +176,19 @@
 		{"metrics address", &n.settings.MetricsAddress, &n.metricsListener},
 	} {
 		var err error
-		if *l.into, err = net.Listen("tcp4", *l.address); err != nil {
+		if *l.listener, err = net.Listen("tcp4", *l.address); err != nil {
 			return failure.Field(failure.InvalidInput, l.field, "cannot listen: %v", err)
 		}
-		*l.address = (*l.into).Addr().String()
+		*l.address = (*l.listener).Addr().String()
 	}
 	return nil
 }
 
-// Close ends the instance at once: what is open is cut off.
+// Close ends the instance at once: it closes all connections and abandons open jobs.
 func (n *Node) Close() {
 	n.cancel()
 	for _, l := range []net.Listener{n.customerListener, n.readinessListener, n.metricsListener, n.peerListener} {
-		_ = l.Close() // a second close changes nothing
+		_ = l.Close() // closing twice is harmless
 	}
 	n.conns.Close()
 	n.store.Close()
@@ -218,23 +223,25 @@
 		slog.String("customers", n.settings.CustomerAddress), slog.Bool("first_start", n.settings.FirstStart))
 }
 
-// serveCustomers serves until the instance ends. An instance that cannot is not ready.
+// serveCustomers serves customers until the instance ends. If that fails, the instance
+// reports that it is not ready.
 func (n *Node) serveCustomers() error {
 	err := n.server.Serve(n.conns.Listener(n.customerListener))
 	n.customerListenerFailed.Store(err != nil)
 	return err
 }
 
-func (n *Node) serve(what string, serve func() error) {
+// serve runs a server in the background and logs the error if it ends before the instance
+// does.
+func (n *Node) serve(listener string, serve func() error) {
 	n.goroutines.Go(func() {
 		if err := serve(); err != nil && !errors.Is(err, net.ErrClosed) && n.ctx.Err() == nil {
-			event.ServeFailed.Log(n.log, slog.String("listener", what), slog.String("error", err.Error()))
+			event.ServeFailed.Log(n.log, slog.String("listener", listener), slog.String("error", err.Error()))
 		}
 	})
 }
 
-// serveMetrics answers with the counters and histograms of this instance, and
-// what it knows of groups.
+// serveMetrics responds with the gauges, counters and histograms of this instance.
 func (n *Node) serveMetrics(ctx *fasthttp.RequestCtx) {
 	ctx.SetContentType("text/plain; charset=utf-8")
 	n.writeGauges(ctx)
@@ -243,7 +250,8 @@
 	}
 }
 
-// writeGauges writes the state of this instance.
+// writeGauges writes the gauges that describe the current state of this instance and of the
+// groups that it can offer jobs to.
 func (n *Node) writeGauges(w io.Writer) {
 	version := uint64(0)
 	if c := n.config.Load(); c != nil {
@@ -269,8 +277,8 @@
 	}
 }
 
-// writeTrafficGauges writes what this instance has sent and read, by whom it speaks to, and
-// what the calls to its upstreams wait for.
+// writeTrafficGauges writes the bytes that this instance has received and sent, by kind of
+// remote party, and the delays of the calls to the upstreams that it owns.
 func (n *Node) writeTrafficGauges(w io.Writer) {
 	for _, l := range []struct {
 		with  string
@@ -281,13 +289,14 @@
 	}
 	fmt.Fprintf(w, "sedgehatch_bytes{with=\"peers\",way=\"out\"} %d\nsedgehatch_link_bytes_per_s %.0f\n", n.mesh.Sent(), n.settings.LinkRate)
 	for _, g := range n.ownedGroups() {
-		waits := g.CallDelays()
+		delays := g.CallDelays()
 		fmt.Fprintf(w, "sedgehatch_group_overdue_ms{group=%q} %d\nsedgehatch_group_link_wait_ms{group=%q} %d\n",
-			g.Name, waits.OverdueAfter.Milliseconds(), g.Name, waits.LinkWait.Milliseconds())
+			g.Name, delays.OverdueAfter.Milliseconds(), g.Name, delays.LinkWait.Milliseconds())
 	}
 }
 
-// serveReadiness answers whether customers should be sent here.
+// serveReadiness responds 200 if the platform should send customers to this instance, and
+// 503 otherwise.
 func (n *Node) serveReadiness(ctx *fasthttp.RequestCtx) {
 	if n.isReady() {
 		ctx.SetStatusCode(fasthttp.StatusOK)
@@ -297,26 +306,26 @@
 }
 
 func (n *Node) isReady() bool {
-	return !n.leaving.Load() && !n.customerListenerFailed.Load() && n.config.Load() != nil && len(n.router.Loads()) > 0
+	return !n.shuttingDown.Load() && !n.customerListenerFailed.Load() && n.config.Load() != nil && len(n.router.Loads()) > 0
 }
 
 // shutdownStatus implements ingress.ShutdownStatus.
-func (n *Node) shutdownStatus() (left time.Duration, stopping bool) {
-	ends := n.drainDeadline.Load()
-	if ends == nil {
+func (n *Node) shutdownStatus() (remaining time.Duration, shuttingDown bool) {
+	deadline := n.drainDeadline.Load()
+	if deadline == nil {
 		return 0, false
 	}
-	return clock.Until(*ends), true
+	return clock.Until(*deadline), true
 }
 
-// Stop is a planned stop: customers are sent elsewhere, owned groups go to
-// others, and what is open is finished. It reports false where the grace ended
-// first.
+// Stop carries out a planned shutdown: the instance reports that it is not ready, hands its
+// groups over to other instances and finishes the open jobs. It returns false if the grace
+// period ended first.
 func (n *Node) Stop() bool {
 	began := clock.Now()
 	limit := n.settings.Timing.Grace - graceMargin
 	n.drainDeadline.Store(lo.ToPtr(began.Add(limit)))
-	n.leaving.Store(true)
+	n.shuttingDown.Store(true)
 	event.NodeDraining.Log(n.log, slog.Int("jobs", n.ingress.OpenJobs()))
 	n.handOverForShutdown(0, limit)
 	n.tick()
@@ -326,11 +335,11 @@
 		n.handOverForShutdown(clock.Since(began), limit)
 		n.releaseAndNotifyPeers()
 		n.mu.Lock()
-		owns := len(n.groups)
+		owned := len(n.groups)
 		n.mu.Unlock()
-		drained = n.ingress.OpenJobs() == 0 && owns == 0 && clock.Since(began) >= minDrainTime
+		drained = n.ingress.OpenJobs() == 0 && owned == 0 && clock.Since(began) >= minDrainTime
 	}
-	n.drainDeadline.Store(&began) // no job is taken any more
+	n.drainDeadline.Store(&began) // from now on no job is accepted
 	jobs := n.ingress.OpenJobs()
 	n.ingress.Abandon()
 	time.Sleep(responseFlushTime)
@@ -346,8 +355,8 @@
 	return n.peers.Address(instance)
 }
 
-// handleHello takes what a peer says of itself when a connection opens. One that is not
-// heard yet is answered with a connection the other way.
+// handleHello records the address and zone that a peer sends when a connection opens, and
+// sends the peer a heartbeat.
 func (n *Node) handleHello(h *inner.Hello) {
 	name := fate.Incarnation(h.GetIncarnation()).Instance()
 	n.mu.Lock()
@@ -370,7 +379,7 @@
 		n.metrics.Add(kind+"_"+failure.Code(err), 1)
 		return
 	}
-	if kind != "hold" { // which waits for as long as it is told to
+	if kind != "hold" { // a hold is a long poll: its latency says nothing
 		n.metrics.Latencies.Observe("upstream_"+kind, took)
 	}
 }
@@ -387,5 +396,5 @@
 		n.metrics.Add("answer_"+r.Route+"_late", 1)
 	}
 	n.metrics.Latencies.Observe("request_"+string(r.Verdict), r.Took)
-	n.logAnswer(r)
+	n.logResponse(r)
 }
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -105,7 +105,7 @@
 // handOverToBetterOwner begins to hand one group over to an instance that is much larger, or
 // that owns fewer, if it should own it.
 func (n *Node) handOverToBetterOwner() {
-	if n.leaving.Load() {
+	if n.shuttingDown.Load() {
 		return
 	}
 	n.mu.Lock()
@@ -223,7 +223,7 @@
 // takeFreeGroups takes the groups that nobody owns and that this instance should own:
 // of its own availability zone, and of those without any instance.
 func (n *Node) takeFreeGroups() {
-	if n.leaving.Load() || n.ctx.Err() != nil {
+	if n.shuttingDown.Load() || n.ctx.Err() != nil {
 		return
 	}
 	n.mu.Lock()
--- a/node/peers.go
+++ b/node/peers.go
@@ -53,7 +53,7 @@
 	n.mu.Lock()
 	groups := n.ownedGroupsLocked()
 	p := &inner.Presence{
-		Leaving: n.leaving.Load(), HighestToken: n.highestToken, Share: n.settings.CPUShare,
+		Leaving: n.shuttingDown.Load(), HighestToken: n.highestToken, Share: n.settings.CPUShare,
 		GroupCounts: lo.MapValues(n.groupCounts, func(count int, _ string) uint32 { return uint32(count) }),
 	}
 	n.mu.Unlock()
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -20,7 +20,7 @@
 	n.settings.Timing.Grace = time.Minute // the test may be slow, and groups are kept for a part of it
 	stopped := make(chan bool, 1)
 	go func() { stopped <- n.Stop() }()
-	cluster.waitUntil("it is stopping", n.leaving.Load)
+	cluster.waitUntil("it is stopping", n.shuttingDown.Load)
 	for range 5 {
 		cluster.mustComplete("a-1", 2, 10)
 	}
