--- a/node/configrequest.go
+++ b/node/configrequest.go
@@ -10,25 +10,28 @@
 )
 
 const (
-	// configStoreWait is how long an instance that hears of a newer configuration
-	// waits for the store to tell it: a watch does within milliseconds.
+	// configStoreWait is how long an instance that learns of a newer configuration waits
+	// for it to arrive from the store, which a watch delivers within milliseconds.
 	configStoreWait = 200 * time.Millisecond
-	// configRequestInterval is how long a peer has to answer before another is asked. A
-	// configuration of 1,400 routes is some 300 kB: .1 s of a link of 25 Mbit/s.
+	// configRequestInterval is how long a peer has to respond before another is asked. A
+	// configuration of 1,400 routes has some 300 kB, which take 0.1 s on a link of
+	// 25 Mbit/s.
 	configRequestInterval = 500 * time.Millisecond
 )
 
-// configRequests decides when to ask a peer for a newer configuration: one at a time.
-// Every neighbour tells of it at about the same moment; in a fleet of 147 a hub has
-// 70, and 70 answers of 300 kB would fill its memory, and the links, for seconds.
+// configRequests decides when to request a newer configuration from a peer, so that only one
+// request is open at a time. All neighbours announce a new version at about the same time. In
+// a fleet of 147 instances a hub has 70 neighbours, and 70 responses of 300 kB would fill its
+// memory and the links for seconds.
 type configRequests struct {
-	newest      uint64    // the newest that was heard of
-	newestSince time.Time // when it was
-	requestedAt time.Time // when a peer was asked last
+	newest      uint64    // newest version that a peer has announced
+	newestSince time.Time // when newest was first announced
+	requestedAt time.Time // when the last request was sent
 }
 
-// due takes that a peer has a newer configuration than this instance, and reports
-// whether to ask it now. An instance that has none yet does not wait for the store.
+// due records that a peer has a newer configuration than this instance, and reports whether
+// to request it from that peer now. An instance without any configuration does not wait for
+// the store first.
 func (c *configRequests) due(now time.Time, version uint64, noConfig bool) bool {
 	if version > c.newest {
 		c.newest, c.newestSince = version, now
@@ -40,7 +43,8 @@
 	return true
 }
 
-// handleConfigVersion takes the version of the configuration that a peer has in force.
+// handleConfigVersion takes the version of the configuration that a peer uses, and requests
+// the configuration if it is newer and a request is due.
 func (n *Node) handleConfigVersion(link inner.Link, version uint64) {
 	config := n.config.Load()
 	if version == 0 || config != nil && version <= config.Version {
--- a/node/follow.go
+++ b/node/follow.go
@@ -12,33 +12,35 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// storeFollower keeps a copy of the store's keys below a prefix.
+// storeFollower passes on the store's keys below a prefix, and their changes.
 type storeFollower struct {
 	prefix string
-	// watchWait is how long the store may hold a watch back that has nothing to tell.
+	// watchWait returns how long the store may keep a watch open before it responds
+	// without changes.
 	watchWait func() time.Duration
-	// readPause is the pause after each answer: more changes are read together then.
+	// readPause returns the pause after each response of the store. A longer pause reads
+	// more changes with one call.
 	readPause func() time.Duration
-	// mode tells how closely the keys have to be followed now; nil is closely, always.
+	// mode returns how closely the keys have to be followed at the moment. If it is nil,
+	// they are followed continuously.
 	mode func() followMode
-	// replace takes all keys as they were at a revision, update those that changed.
+	// replace is called with all keys as of a revision, update with changed keys.
 	replace func(items []platform.Item, revision uint64)
 	update  func(items []platform.Item)
-	// onReadFailure is called where the store does not answer before all keys have been read; it
-	// may be nil.
+	// onReadFailure is called when a read of all keys fails. It may be nil.
 	onReadFailure func()
 }
 
-// followMode is how closely keys of the store have to be followed.
+// followMode is how closely the keys of a storeFollower are followed.
 type followMode int
 
 const (
-	followContinuously followMode = iota
-	followPeriodically            // it is enough to read them all from time to time
-	followNothing
+	followContinuously followMode = iota // read all keys once and watch for changes
+	followPeriodically                   // read all keys every fullReadInterval
+	followNothing                        // read nothing until the mode changes
 )
 
-// currentMode returns how closely the keys have to be followed currentMode.
+// currentMode returns how closely the keys have to be followed at the moment.
 func (f *storeFollower) currentMode() followMode {
 	if f.mode == nil {
 		return followContinuously
@@ -46,76 +48,79 @@
 	return f.mode()
 }
 
-// follow runs f until the instance stops. The store may be away for long: what
-// is known stays.
+// follow runs f until the instance ends. The store may be unavailable for a long time: it is
+// retried, and f keeps what it has read.
 func (n *Node) follow(f storeFollower) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = minRetryPause, maxRetryPause
-	revision, known, lost := uint64(0), false, time.Time{}
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval = minRetryPause, maxRetryPause
+	revision, synced, failingSince := uint64(0), false, time.Time{}
 	for n.ctx.Err() == nil {
 		if f.currentMode() == followNothing {
-			known = false
+			synced = false
 			n.sleep(modePollInterval)
 			continue
 		}
-		items, next, err := n.read(f, known, revision)
+		items, next, err := n.read(f, synced, revision)
 		if err == nil {
 			revision = next
-			if !lost.IsZero() {
-				event.StoreBack.Log(n.log, slog.String("prefix", f.prefix), slog.Duration("away", clock.Since(lost)))
-				lost = time.Time{}
+			if !failingSince.IsZero() {
+				event.StoreBack.Log(n.log, slog.String("prefix", f.prefix), slog.Duration("away", clock.Since(failingSince)))
+				failingSince = time.Time{}
 			}
-			pause.Reset()
-			if !known {
+			retry.Reset()
+			if !synced {
 				f.replace(items, revision)
 			} else if len(items) > 0 {
 				f.update(items)
 			}
-			known = !n.waitForNextFullRead(f)
-			if known {
+			synced = !n.waitForNextFullRead(f)
+			if synced {
 				n.sleep(f.readPause())
 			}
 			continue
 		}
-		known = known && !failure.Is(err, failure.Gone) // its history is gone: read all again
-		if lost.IsZero() {
-			lost = clock.Now()
+		synced = synced && !failure.Is(err, failure.Gone) // the store has dropped its history: read all keys again
+		if failingSince.IsZero() {
+			failingSince = clock.Now()
 			event.StoreLost.Log(n.log, slog.String("prefix", f.prefix), slog.String("error", err.Error()))
 		}
-		if !known && f.onReadFailure != nil {
+		if !synced && f.onReadFailure != nil {
 			f.onReadFailure()
 		}
-		n.sleep(pause.NextBackOff())
+		n.sleep(retry.NextBackOff())
 	}
 }
 
-// waitForNextFullRead pauses while the keys are only needed roughly, up to roughRest, and
-// reports whether they have to be read again in whole.
+// waitForNextFullRead waits while the mode of f is followPeriodically, for fullReadInterval
+// at most. It reports whether it has waited: changes were missed, and all keys have to be
+// read again.
 func (n *Node) waitForNextFullRead(f storeFollower) bool {
-	began, rested := clock.Now(), false
+	began, paused := clock.Now(), false
 	for f.currentMode() == followPeriodically && n.ctx.Err() == nil {
 		if clock.Since(began) >= fullReadInterval {
 			return true
 		}
 		n.sleep(modePollInterval)
-		rested = true
+		paused = true
 	}
-	return rested
+	return paused
 }
 
+// constant returns a function that always returns d.
 func constant(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
 func noPause() time.Duration { return 0 }
 
-// read reads all keys of a follower, or what has changed since a revision.
-func (n *Node) read(f storeFollower, known bool, revision uint64) ([]platform.Item, uint64, error) {
-	if known {
+// read returns all keys of f or, if f is synced, the changes since a revision. It also returns
+// the revision that was read.
+func (n *Node) read(f storeFollower, synced bool, revision uint64) ([]platform.Item, uint64, error) {
+	if synced {
 		return n.store.Watch(f.prefix, revision, f.watchWait())
 	}
 	return n.store.Range(f.prefix)
 }
 
-// sleep waits, unless the instance stops.
+// sleep waits for d, or until the instance ends.
 func (n *Node) sleep(d time.Duration) {
 	select {
 	case <-n.ctx.Done():
--- a/node/groups.go
+++ b/node/groups.go
@@ -76,9 +76,9 @@
 // groupMembers returns the upstreams of a group that this instance may own: while
 // a peer hands the group over, those that it has let go. The lock is held.
 func (n *Node) groupMembers(group string) []fleet.Upstream {
-	_, leaving := n.claimOf(group, true)
+	_, handoverClaim := n.claimOf(group, true)
 	return n.directory.Select(func(u fleet.Upstream) bool {
-		return n.groupOf(u) == group && (leaving == nil || slices.Contains(leaving.GetReleased(), u.ID))
+		return n.groupOf(u) == group && (handoverClaim == nil || slices.Contains(handoverClaim.GetReleased(), u.ID))
 	})
 }
 
@@ -100,20 +100,20 @@
 
 // claimOf returns the live peer that owns a group, with the highest token, if
 // any does: one that keeps it, or one that hands it over. The lock is held.
-func (n *Node) claimOf(group string, leaving bool) (string, *inner.Claim) {
+func (n *Node) claimOf(group string, handingOver bool) (string, *inner.Claim) {
 	var best *inner.Claim
-	name := ""
+	owner := ""
 	for instance, p := range n.lastHeartbeat {
 		if state := n.peers.State(instance); state == membership.Dead || state == membership.Listed {
 			continue
 		}
 		for _, c := range p.GetClaims() {
-			if c.GetGroup() == group && c.GetLeaving() == leaving && (best == nil || c.GetToken() > best.GetToken()) {
-				best, name = c, instance
+			if c.GetGroup() == group && c.GetLeaving() == handingOver && (best == nil || c.GetToken() > best.GetToken()) {
+				best, owner = c, instance
 			}
 		}
 	}
-	return name, best
+	return owner, best
 }
 
 const (
@@ -172,8 +172,8 @@
 // setGroupCount learns the number of groups of an availability zone.
 func (n *Node) setGroupCount(zone string, groups int) {
 	n.mu.Lock()
-	known := n.groupCounts[zone] > 0
-	if !known && groups > 0 {
+	alreadySet := n.groupCounts[zone] > 0
+	if !alreadySet && groups > 0 {
 		n.groupCounts[zone] = groups
 	}
 	n.mu.Unlock()
--- a/node/lease.go
+++ b/node/lease.go
@@ -11,68 +11,74 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// Owners work for coordinators under leases (schedule, coordinator.go). An owner tells its
-// steady clock with each heartbeat. A coordinator looks after its customers and then
-// repeats the time on the connections that it has offers on. Offers carry the time as
-// well, set back by how long ago their customer was there.
+// An owner runs the tasks of a coordinator under a lease (see coordinator.go in package
+// schedule). The owner's heartbeats carry the time of its monotonic clock. The coordinator
+// ends the jobs whose customers have disconnected, and then returns that time in a renewal
+// on each connection on which it has open offers: it proves that the coordinator was alive
+// after the owner sent the heartbeat. Offers carry a time of the owner's clock too, the
+// latest one known less the time since the customer was last known to be connected.
 
-// clockOffset is what the steady clock shows at the start of an instance, so that 0, a
-// time that is not known, is long ago at any later time. It is far above every lease.
+// clockOffset is the reading of the clock in heartbeats when an instance starts. It is far
+// longer than any lease, so that 0, which stands for an unknown time, is always too long ago
+// to keep a lease alive.
 const clockOffset = time.Hour
 
-// clockMs is the steady clock that peers are told.
+// clockMs returns the time of the monotonic clock that heartbeats carry.
 func (n *Node) clockMs() uint64 {
 	return uint64((clockOffset + clock.Since(n.startedAt)).Milliseconds())
 }
 
-// timeOfClock is when the own steady clock showed a time.
+// timeOfClock returns the local time at which clockMs returned ms.
 func (n *Node) timeOfClock(ms uint64) time.Time {
 	return n.startedAt.Add(time.Duration(ms)*time.Millisecond - clockOffset)
 }
 
-// aliveOnPeerClock returns the time of a peer's clock at which a customer was certainly there: the
-// peer's clock showed heardMs or more when it was heard, and the customer was there at a
-// time before now. It is 0 where the clock is not known.
-func aliveOnPeerClock(heardMs uint64, there time.Time) uint64 {
-	ago := uint64(clock.Since(there).Milliseconds()) + 1
-	if ago >= heardMs {
+// aliveOnPeerClock converts aliveAt, when a customer was last known to be connected, to the
+// clock of a peer. The peer's clock has reached peerClockMs by now, so that the result is
+// never too late. It is 0 if the peer's clock is not known.
+func aliveOnPeerClock(peerClockMs uint64, aliveAt time.Time) uint64 {
+	ageMs := uint64(clock.Since(aliveAt).Milliseconds()) + 1
+	if ageMs >= peerClockMs {
 		return 0
 	}
-	return heardMs - ago
+	return peerClockMs - ageMs
 }
 
-// recordPeerClock takes the time that a peer told.
+// recordPeerClock records the time that a peer has sent of its clock.
 func (r *router) recordPeerClock(peer fate.Incarnation, ms uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.peerClocks[peer] = max(r.peerClocks[peer], ms)
 }
 
-// leaseRenewInterval is how often a coordinator renews its leases at most: near neighbours speak
-// twice as often. With heartbeats each 250 ms between others a lease is .25 s old when it
-// is renewed, half of what it lasts for starts.
+// leaseRenewInterval is the minimum time between two renewals of a lease. Near neighbours
+// send heartbeats more often than that. Others send one every 250 ms, so that a lease is
+// renewed at an age of 250 ms, half of the age up to which tasks may start under it.
 const leaseRenewInterval = 150 * time.Millisecond
 
-// renewalDue reports whether offers on a connection are open whose lease is to be renewed
-// now.
+// renewalDue reports whether there are open offers on a connection and their lease is due
+// for renewal.
 func (r *router) renewalDue(link inner.Link) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return clock.Since(r.leasesRenewedAt[link.Number()]) >= leaseRenewInterval && r.hasOpenOffers(link)
 }
 
-// hasOpenOffers reports whether an offer on a connection is open. The lock is held.
+// hasOpenOffers reports whether there are open offers on a connection. r.mu is held.
 func (r *router) hasOpenOffers(link inner.Link) bool {
-	for _, sent := range r.openOffers {
-		if sent.link != nil && sent.link.Number() == link.Number() {
+	for _, offer := range r.openOffers {
+		if offer.link != nil && offer.link.Number() == link.Number() {
 			return true
 		}
 	}
 	return false
 }
 
-// handlePeerClock takes the time that a peer told on a connection. If this instance has offers
-// there, it renews the lease of those, once it has looked after the customers of all.
+// handlePeerClock records the time that a peer has sent of its clock. If this instance has
+// open offers on the connection and their lease is due, it renews the lease with that time.
+// First it ends the jobs whose customers have disconnected. It does not renew while
+// decisions on jobs are still being sent: a renewal ahead of a withdrawal would vouch for a
+// customer that has disconnected.
 func (r *router) handlePeerClock(link inner.Link, from fate.Incarnation, clockMs uint64) {
 	r.recordPeerClock(from, clockMs)
 	if !r.renewalDue(link) || !r.node.ingress.EndDisconnected() {
@@ -88,7 +94,7 @@
 	}
 }
 
-// handleRenewal renews the lease of the coordinator behind a connection.
+// handleRenewal renews the lease of the coordinator at the other end of a connection.
 func (r *router) handleRenewal(link inner.Link, from fate.Incarnation, m *inner.Renewal) {
 	alive := r.node.timeOfClock(m.GetClockMs())
 	for _, g := range r.node.ownedGroups() {
@@ -96,7 +102,8 @@
 	}
 }
 
-// renewOwnLeases renews the leases of this instance with the groups that it owns itself.
+// renewOwnLeases renews the leases under which groups that this instance owns run tasks for
+// its own customers.
 func (n *Node) renewOwnLeases() {
 	self := string(n.self)
 	groups := slices.DeleteFunc(n.ownedGroups(), func(g *ownedGroup) bool { return !g.HasLeasedJobs(self) })
--- a/node/log.go
+++ b/node/log.go
@@ -12,7 +12,7 @@
 	"github.com/sedgehatch/sedgehatch/schedule"
 )
 
-// decisionEvents is the log event of each kind of decision.
+// decisionEvents maps each kind of decision to its log event.
 var decisionEvents = map[schedule.DecisionKind]event.Event{
 	schedule.DecidedStart:      event.TaskStarted,
 	schedule.DecidedRetry:      event.TaskRetried,
@@ -29,22 +29,23 @@
 }
 
 const (
-	// sampleInterval of so many jobs that went well is told in full.
+	// sampleInterval is the sampling rate of the log: of the offers and responses that
+	// ended normally, one in sampleInterval is logged.
 	sampleInterval = 50
-	// maxPendingPerJob bounds the decisions that are held for one job, and heldJobs
-	// the jobs for which any are held.
+	// maxPendingPerJob bounds the decisions that are buffered for one job, and
+	// maxPendingJobs the number of jobs with buffered decisions.
 	maxPendingPerJob = 48
 	maxPendingJobs   = 4096
 )
 
-// decisionLog writes what pools decide. What touches a job is held until its
-// offer has ended: all of it is written if that went badly, else of one job in
-// sampleOne.
+// decisionLog logs the decisions of schedule.Pool. Decisions about a job are buffered until
+// its offer ends. They are all logged if the offer did not end normally, and otherwise for
+// one offer in sampleInterval.
 type decisionLog struct {
 	log          *slog.Logger
 	mu           sync.Mutex
 	pending      map[string][]pendingDecision
-	normalOffers int // offers that went well
+	normalOffers int // number of offers that ended normally
 }
 
 type pendingDecision struct {
@@ -59,53 +60,53 @@
 }
 
 func (l *decisionLog) record(group string, token uint64, d schedule.Decision) {
-	h := pendingDecision{clock.Now(), group, token, d}
+	p := pendingDecision{clock.Now(), group, token, d}
 	if d.Job == "" {
-		l.write(h, 0)
+		l.write(p, 0)
 		return
 	}
-	held, sample := l.buffer(h)
-	for _, h := range held {
-		l.write(h, sample)
+	lines, sample := l.buffer(p)
+	for _, p := range lines {
+		l.write(p, sample)
 	}
 }
 
-// buffer keeps a decision on a job and returns what is to be written now, with the
-// size of the sample that it stands for, 0 for none.
-func (l *decisionLog) buffer(h pendingDecision) (write []pendingDecision, sample int) {
+// buffer adds a decision about a job to the buffer, and returns the decisions to be logged
+// now. If they are a sample, it also returns how many offers they stand for, otherwise 0.
+func (l *decisionLog) buffer(p pendingDecision) (write []pendingDecision, sample int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held, known := l.pending[h.Job]
-	if !known && len(l.pending) >= maxPendingJobs {
-		return []pendingDecision{h}, 0
+	pending, found := l.pending[p.Job]
+	if !found && len(l.pending) >= maxPendingJobs {
+		return []pendingDecision{p}, 0
 	}
-	if len(held) == maxPendingPerJob {
-		write, held = held, nil // too many to go well
+	if len(pending) == maxPendingPerJob {
+		write, pending = pending, nil // the job needs so many decisions that they are worth logging
 	}
-	held = append(held, h)
-	l.pending[h.Job] = held
-	if h.Kind != schedule.DecidedResult {
+	pending = append(pending, p)
+	l.pending[p.Job] = pending
+	if p.Kind != schedule.DecidedResult {
 		return write, 0
 	}
-	delete(l.pending, h.Job)
-	if !endedNormally(held) {
-		return append(write, held...), 0
+	delete(l.pending, p.Job)
+	if !endedNormally(pending) {
+		return append(write, pending...), 0
 	}
 	l.normalOffers++
 	if l.normalOffers%sampleInterval != 0 {
 		return write, 0
 	}
-	return append(write, held...), sampleInterval
+	return append(write, pending...), sampleInterval
 }
 
-// endedNormally reports whether an offer needs no explanation.
-func endedNormally(held []pendingDecision) bool {
-	for _, h := range held {
-		switch h.Kind {
+// endedNormally reports whether an offer was completed in time, without a retry or a stop.
+func endedNormally(decisions []pendingDecision) bool {
+	for _, p := range decisions {
+		switch p.Kind {
 		case schedule.DecidedRetry, schedule.DecidedStop:
 			return false
 		case schedule.DecidedResult:
-			if h.Late || h.Reason != string(schedule.Completed) {
+			if p.Late || p.Reason != string(schedule.Completed) {
 				return false
 			}
 		}
@@ -113,33 +114,34 @@
 	return true
 }
 
-func (l *decisionLog) write(h pendingDecision, sample int) {
-	attrs := []slog.Attr{slog.String("group", h.group), slog.Uint64("token", h.token)}
-	if h.Job == "" {
-		attrs = append(attrs, slog.Int("tasks", h.Task))
+func (l *decisionLog) write(p pendingDecision, sample int) {
+	attrs := []slog.Attr{slog.String("group", p.group), slog.Uint64("token", p.token)}
+	if p.Job == "" {
+		attrs = append(attrs, slog.Int("tasks", p.Task))
 	} else {
-		attrs = append(attrs, slog.Time("decided", h.at), slog.String("job", h.Job), slog.Int("task", h.Task))
+		attrs = append(attrs, slog.Time("decided", p.at), slog.String("job", p.Job), slog.Int("task", p.Task))
 	}
-	if h.Coordinator != "" {
-		attrs = append(attrs, slog.String("coordinator", h.Coordinator))
+	if p.Coordinator != "" {
+		attrs = append(attrs, slog.String("coordinator", p.Coordinator))
 	}
-	if h.Run > 0 {
-		attrs = append(attrs, slog.Int("run", int(h.Run)))
+	if p.Run > 0 {
+		attrs = append(attrs, slog.Int("run", int(p.Run)))
 	}
-	if h.Upstream != "" {
-		attrs = append(attrs, slog.String("upstream", h.Upstream), slog.Int64("room", h.FreeMilliCPU))
+	if p.Upstream != "" {
+		attrs = append(attrs, slog.String("upstream", p.Upstream), slog.Int64("room", p.FreeMilliCPU))
 	}
-	if h.Reason != "" {
-		attrs = append(attrs, slog.String("reason", h.Reason))
+	if p.Reason != "" {
+		attrs = append(attrs, slog.String("reason", p.Reason))
 	}
-	attrs = append(attrs, slog.Int("queued", h.Queued), slog.Duration("age", h.Age))
-	if h.Kind == schedule.DecidedResult {
-		attrs = append(attrs, slog.Bool("late", h.Late))
+	attrs = append(attrs, slog.Int("queued", p.Queued), slog.Duration("age", p.Age))
+	if p.Kind == schedule.DecidedResult {
+		attrs = append(attrs, slog.Bool("late", p.Late))
 	}
-	decisionEvents[h.Kind].Log(l.log, markSampled(attrs, sample)...)
+	decisionEvents[p.Kind].Log(l.log, markSampled(attrs, sample)...)
 }
 
-// markSampled marks a line that stands for others like it.
+// markSampled adds the size of the sample to the attributes of a sampled line, if it is one,
+// and marks the line as routine.
 func markSampled(attrs []slog.Attr, sample int) []slog.Attr {
 	if sample == 0 {
 		return attrs
@@ -147,7 +149,8 @@
 	return append(attrs, slog.Int("one_of", sample), slog.Bool(logging.RoutineKey, true))
 }
 
-// logResponse writes the answer to a customer: of those in time one in sampleOne.
+// logResponse logs the response to a customer. Of the jobs that were completed in time it
+// logs one in sampleInterval.
 func (n *Node) logResponse(r ingress.Record) {
 	e, sample := event.JobAnswered, 0
 	switch {
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -12,100 +12,104 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// updateNeighbours works out anew whom this instance exchanges heartbeats with.
+// updateNeighbours updates the set of instances that this one exchanges heartbeats with.
 func (n *Node) updateNeighbours() {
-	used := n.router.activeOwners()
+	activeOwners := n.router.activeOwners()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.updateNeighboursLocked(used)
+	n.updateNeighboursLocked(activeOwners)
 }
 
-// neighbourInputs is what the neighbours of this instance follow from.
+// neighbourInputs is the data that the neighbours of this instance are computed from.
 type neighbourInputs struct {
-	all          []membership.Member
-	running      []membership.Member
-	groupCounts  map[string]int  // of each availability zone
-	activeOwners map[string]bool // owners that work for customers of this instance
+	all          []membership.Member // instances whose zone is known
+	running      []membership.Member // those of all that are not known to be down
+	groupCounts  map[string]int      // number of groups by availability zone
+	activeOwners map[string]bool     // instances that own tasks of jobs coordinated here
 }
 
-func (b neighbourInputs) equal(o neighbourInputs) bool {
-	return slices.Equal(b.all, o.all) && slices.Equal(b.running, o.running) && maps.Equal(b.groupCounts, o.groupCounts) && maps.Equal(b.activeOwners, o.activeOwners)
+func (in neighbourInputs) equal(other neighbourInputs) bool {
+	return slices.Equal(in.all, other.all) && slices.Equal(in.running, other.running) && maps.Equal(in.groupCounts, other.groupCounts) && maps.Equal(in.activeOwners, other.activeOwners)
 }
 
-// collectNeighbourInputs returns what is known now. The lock is held.
-func (n *Node) collectNeighbourInputs(used map[string]bool) neighbourInputs {
-	b := neighbourInputs{activeOwners: used, groupCounts: n.groupCounts}
-	b.all = make([]membership.Member, 0, n.peers.Len())
-	b.running = make([]membership.Member, 0, n.peers.Len())
+// collectNeighbourInputs returns the current inputs. n.mu is held.
+func (n *Node) collectNeighbourInputs(activeOwners map[string]bool) neighbourInputs {
+	in := neighbourInputs{activeOwners: activeOwners, groupCounts: n.groupCounts}
+	in.all = make([]membership.Member, 0, n.peers.Len())
+	in.running = make([]membership.Member, 0, n.peers.Len())
 	for p := range n.peers.All() {
 		if p.Zone == "" {
-			continue // only its address is known
+			continue // a seed, of which only the address is known
 		}
 		m := membership.Member{Name: p.Instance, Zone: p.Zone, CPUShare: p.CPUShare}
-		b.all = append(b.all, m)
+		in.all = append(in.all, m)
 		if !n.isDown(m.Name) {
-			b.running = append(b.running, m)
+			in.running = append(in.running, m)
 		}
 	}
-	return b
+	return in
 }
 
-// updateNeighboursLocked takes the neighbours that follow from the known instances and the
-// owners in use, if those have changed: each beat asks, and they seldom do. The lock is
-// held.
-func (n *Node) updateNeighboursLocked(used map[string]bool) {
-	basis := n.collectNeighbourInputs(used)
-	if basis.equal(n.neighbourInputs) {
+// updateNeighboursLocked computes the neighbours from the known instances and the active
+// owners. It does nothing if the inputs are unchanged, which is the usual case in a tick.
+// n.mu is held.
+func (n *Node) updateNeighboursLocked(activeOwners map[string]bool) {
+	inputs := n.collectNeighbourInputs(activeOwners)
+	if inputs.equal(n.neighbourInputs) {
 		return
 	}
-	basis.groupCounts = maps.Clone(basis.groupCounts)
-	n.neighbourInputs = basis
+	inputs.groupCounts = maps.Clone(inputs.groupCounts)
+	n.neighbourInputs = inputs
 	self := membership.Member{Name: n.settings.Name, Zone: n.settings.Zone, CPUShare: n.settings.CPUShare}
-	sought := membership.NeighboursOf(self, basis.all, basis.groupCounts)
-	around := sought
-	if len(basis.running) < len(basis.all) {
-		around = membership.NeighboursOf(self, basis.running, basis.groupCounts)
+	ifAllAlive := membership.NeighboursOf(self, inputs.all, inputs.groupCounts)
+	neighbours := ifAllAlive
+	if len(inputs.running) < len(inputs.all) {
+		neighbours = membership.NeighboursOf(self, inputs.running, inputs.groupCounts)
 	}
-	for name := range used {
-		if !around.Has(name) {
-			around.Far[name] = true // in sought too, where the two are one: no harm
+	for name := range activeOwners {
+		if !neighbours.Has(name) {
+			neighbours.Far[name] = true // also changes ifAllAlive if both share the map, which is harmless
 		}
 	}
-	if around.IsHub != n.neighbours.IsHub || around.HubCount != n.neighbours.HubCount {
-		event.NeighboursChanged.Log(n.log, slog.Bool("hub", around.IsHub), slog.Int("hubs", around.HubCount),
-			slog.Int("near", len(around.Near)), slog.Int("far", len(around.Far)), slog.Int("known", len(basis.all)))
+	if neighbours.IsHub != n.neighbours.IsHub || neighbours.HubCount != n.neighbours.HubCount {
+		event.NeighboursChanged.Log(n.log, slog.Bool("hub", neighbours.IsHub), slog.Int("hubs", neighbours.HubCount),
+			slog.Int("near", len(neighbours.Near)), slog.Int("far", len(neighbours.Far)), slog.Int("known", len(inputs.all)))
 	}
-	n.neighboursIfAllAlive, n.neighbours = &sought, &around
+	n.neighboursIfAllAlive, n.neighbours = &ifAllAlive, &neighbours
 	n.peers.SetNeighbours(n.neighbours)
 }
 
-// isDown reports whether an instance is lost, or does not run. The lock is held.
+// isDown reports whether an instance is dead, or is listed but has recently refused a
+// connection. n.mu is held.
 func (n *Node) isDown(instance string) bool {
 	state := n.peers.State(instance)
 	return state == membership.Dead || state == membership.Listed && n.refusedRecently(instance)
 }
 
-// isNeighbour reports whether this instance needs to hear another.
+// isNeighbour reports whether this instance needs the heartbeats of another.
 func (n *Node) isNeighbour(instance string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.neighbours.Has(instance)
 }
 
-// silenceLimit is how long a connection to an instance may be silent.
+// silenceLimit returns how long a connection to an instance may be silent before it counts
+// as broken.
 func (n *Node) silenceLimit(instance string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.peers.DeadAfter(instance)
 }
 
-// heartbeatVariant is what differs between the heartbeats of one beat.
+// heartbeatVariant holds what differs between the heartbeats that are sent to several peers
+// at the same time.
 type heartbeatVariant struct {
-	unwanted bool // this instance does not need to hear the receiver
-	relayed  bool // the receiver hears of owners in other zones from here
+	unwanted bool // this instance does not need heartbeats of the receiver
+	relayed  bool // includes the owners in other zones, for a spoke
 }
 
-// heartbeatFrames encodes the heartbeats of one beat, each when it is first needed.
+// heartbeatFrames encodes the heartbeats of one tick. Each variant is encoded once, when it
+// is first needed.
 type heartbeatFrames struct {
 	heartbeat *inner.Presence
 	relayed   []*inner.RemoteOwner
@@ -116,17 +120,18 @@
 	return &heartbeatFrames{heartbeat: n.heartbeat(), relayed: n.ownersToRelay(), encoded: map[heartbeatVariant]inner.Encoded{}}
 }
 
-func (b *heartbeatFrames) encode(a heartbeatVariant) (inner.Encoded, error) {
-	if e, done := b.encoded[a]; done {
+// encode returns the encoded heartbeat of a variant.
+func (f *heartbeatFrames) encode(v heartbeatVariant) (inner.Encoded, error) {
+	if e, found := f.encoded[v]; found {
 		return e, nil
 	}
-	b.heartbeat.Unwanted = a.unwanted
-	b.heartbeat.Relayed = nil
-	if a.relayed {
-		b.heartbeat.Relayed = b.relayed
+	f.heartbeat.Unwanted = v.unwanted
+	f.heartbeat.Relayed = nil
+	if v.relayed {
+		f.heartbeat.Relayed = f.relayed
 	}
-	e, err := inner.Encode(heartbeatFrame(b.heartbeat))
-	b.encoded[a] = e
+	e, err := inner.Encode(heartbeatFrame(f.heartbeat))
+	f.encoded[v] = e
 	return e, err
 }
 
@@ -134,90 +139,91 @@
 	return &inner.Frame{Body: &inner.Frame_Presence{Presence: p}}
 }
 
-// heartbeatFor is a heartbeat for one instance outside of the beat.
+// heartbeatFor returns a heartbeat for one instance, to be sent outside of a tick.
 func (n *Node) heartbeatFor(instance string) *inner.Frame {
 	p := n.heartbeat()
 	p.Unwanted = !n.isNeighbour(instance)
 	return heartbeatFrame(p)
 }
 
-// farHeartbeatDue tells whether far neighbours hear from this instance in this beat.
+// farHeartbeatDue reports whether this tick sends heartbeats to far neighbours as well, and
+// if so, records the time.
 func (n *Node) farHeartbeatDue() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	joining := clock.Since(n.lastTakenAt) < joinPeriod
-	far := clock.Since(n.lastFarHeartbeat) >= farHeartbeatInterval || joining || n.shuttingDown.Load()
-	if far {
+	due := clock.Since(n.lastFarHeartbeat) >= farHeartbeatInterval || joining || n.shuttingDown.Load()
+	if due {
 		n.lastFarHeartbeat = clock.Now()
 	}
-	return far
+	return due
 }
 
-// sendHeartbeats sends the presence of this instance to all neighbours that are due,
-// and looks for those that are not heard.
+// sendHeartbeats sends heartbeats to the peers that are due, contacts the neighbours that
+// have not sent any, and contacts the seed peers if no peer is known.
 func (n *Node) sendHeartbeats() {
-	far := n.farHeartbeatDue()
+	includeFar := n.farHeartbeatDue()
 	n.mu.Lock()
-	around, alone := n.neighbours, n.peers.Len() == 0
-	due, missed := n.heartbeatTargets(far)
+	neighbours, noPeers := n.neighbours, n.peers.Len() == 0
+	due, silent := n.heartbeatTargets(includeFar)
 	n.mu.Unlock()
-	beat := n.newHeartbeatFrames()
+	frames := n.newHeartbeatFrames()
 	for _, p := range due {
-		n.sendHeartbeat(beat, around, p)
+		n.sendHeartbeat(frames, neighbours, p)
 	}
-	for _, name := range missed {
+	for _, name := range silent {
 		n.contactPeer(name)
 	}
-	if alone && clock.Since(n.startedAt) > seedDelay {
+	if noPeers && clock.Since(n.startedAt) > seedDelay {
 		n.contactSeeds()
 	}
 }
 
-// heartbeatTargets returns the peers that are due to hear from this instance, with or
-// without far ones, and the names of the neighbours that are not heard. The lock is
-// held.
-func (n *Node) heartbeatTargets(far bool) (due []membership.Peer, missed []string) {
+// heartbeatTargets returns the peers that are due for a heartbeat, far ones only if
+// includeFar is set, and the names of the neighbours from which no heartbeats arrive. n.mu
+// is held.
+func (n *Node) heartbeatTargets(includeFar bool) (due []membership.Peer, silent []string) {
 	for p := range n.peers.All() {
 		switch p.State {
 		case membership.Alive, membership.Suspect, membership.Leaving:
-			if far || n.neighbours.Near[p.Instance] {
+			if includeFar || n.neighbours.Near[p.Instance] {
 				due = append(due, p)
 			}
 		default:
 			if n.neighbours.Has(p.Instance) || n.neighboursIfAllAlive.Has(p.Instance) {
-				missed = append(missed, p.Instance)
+				silent = append(silent, p.Instance)
 			}
 		}
 	}
-	return due, missed
+	return due, silent
 }
 
-// sendHeartbeat sends a heartbeat to a peer that either side needs, and a last one
-// once neither does.
-func (n *Node) sendHeartbeat(beat *heartbeatFrames, around *membership.Neighbours, p membership.Peer) {
-	wanted := around.Has(p.Instance)
+// sendHeartbeat sends a heartbeat to a peer if either side needs the heartbeats of the
+// other. Once neither side does, it sends a last one that says so.
+func (n *Node) sendHeartbeat(frames *heartbeatFrames, neighbours *membership.Neighbours, p membership.Peer) {
+	wanted := neighbours.Has(p.Instance)
 	n.mu.Lock()
-	last := !wanted && p.Heartbeat.Unwanted
-	told := n.finalHeartbeatSent[p.Instance]
-	if last {
+	final := !wanted && p.Heartbeat.Unwanted
+	finalSent := n.finalHeartbeatSent[p.Instance]
+	if final {
 		n.finalHeartbeatSent[p.Instance] = true
 	} else {
 		delete(n.finalHeartbeatSent, p.Instance)
 	}
 	n.mu.Unlock()
-	if last && told {
+	if final && finalSent {
 		return
 	}
-	e, err := beat.encode(heartbeatVariant{unwanted: !wanted, relayed: around.Spokes[p.Instance] && len(beat.relayed) > 0})
+	e, err := frames.encode(heartbeatVariant{unwanted: !wanted, relayed: neighbours.Spokes[p.Instance] && len(frames.relayed) > 0})
 	if err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "presence"), slog.String("error", err.Error()))
 		return
 	}
-	_ = n.mesh.Beat(p.Incarnation, e) // silence is noticed at the other end
+	_ = n.mesh.Beat(p.Incarnation, e) // the receiver notices missing heartbeats
 }
 
-// hubPeers returns the peers of the own availability zone that are hubs.
-// The lock is held.
+// hubPeers returns the other hubs of the own availability zone if this instance is a hub,
+// and none if it is a spoke. n.mu is held.
 func (n *Node) hubPeers() []membership.Peer {
 	return n.peers.Filter(func(p membership.Peer) bool { return n.neighbours.Near[p.Instance] })
 }
--- a/node/operators.go
+++ b/node/operators.go
@@ -36,8 +36,8 @@
 // zoneStatesFromStore returns what some keys say of the evacuation of availability zones.
 func zoneStatesFromStore(items []platform.Item) []directory.ZoneState {
 	return lo.FilterMap(items, func(i platform.Item, _ int) (directory.ZoneState, bool) {
-		zone, is := platform.EvacuatedZone(i.Key)
-		return directory.ZoneState{Zone: zone, Evacuated: !i.Deleted, Revision: i.Revision}, is
+		zone, isZone := platform.EvacuatedZone(i.Key)
+		return directory.ZoneState{Zone: zone, Evacuated: !i.Deleted, Revision: i.Revision}, isZone
 	})
 }
 
--- a/node/orphans.go
+++ b/node/orphans.go
@@ -84,14 +84,14 @@
 	var dropped []*ownedGroup
 	n.mu.Lock()
 	for _, g := range n.ownedGroupsLocked() {
-		fenced, joined := g.FencedAt()
-		tried := clock.Since(g.takenAt) >= orphanTrialTime
-		if g.handingOver || !n.isForeign(g.Name) || fenced.IsZero() && (joined || !tried) {
+		fenced, accepted := g.FencedAt()
+		trialOver := clock.Since(g.takenAt) >= orphanTrialTime
+		if g.handingOver || !n.isForeign(g.Name) || fenced.IsZero() && (accepted || !trialOver) {
 			continue
 		}
 		n.orphanRetryAt[zoneOfGroup(g.Name)] = clock.Now().Add(orphanRetryDelay)
 		event.GroupLost.Log(n.log, slog.String("group", g.Name), slog.Uint64("token", g.Token), slog.Bool("fenced", !fenced.IsZero()),
-			slog.Bool("joined", joined), slog.String("to", "unknown"))
+			slog.Bool("joined", accepted), slog.String("to", "unknown"))
 		delete(n.groups, g.Name)
 		dropped = append(dropped, g)
 	}
@@ -113,8 +113,8 @@
 		if zone == n.settings.Zone {
 			continue
 		}
-		home := n.liveCandidates(n.livePeersIn(zone))
-		owners[group] = membership.Assign(groupNames(zone, n.groupCounts[zone]), home)[group]
+		candidates := n.liveCandidates(n.livePeersIn(zone))
+		owners[group] = membership.Assign(groupNames(zone, n.groupCounts[zone]), candidates)[group]
 	}
 	return owners
 }
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -64,13 +64,13 @@
 	var dropped []*ownedGroup
 	n.mu.Lock()
 	for _, g := range n.ownedGroupsLocked() {
-		since, joined := g.FencedAt()
+		fencedAt, accepted := g.FencedAt()
 		wait := staleFenceDelay
-		if joined {
+		if accepted {
 			wait = n.settings.Timing.MinOwnershipInterval + fenceMargin
 			n.incrementDoublings = 0
 		}
-		if since.IsZero() || clock.Since(since) < wait {
+		if fencedAt.IsZero() || clock.Since(fencedAt) < wait {
 			continue
 		}
 		n.highestToken += tokenIncrement << n.incrementDoublings
@@ -113,7 +113,7 @@
 		n.mu.Unlock()
 		return
 	}
-	var given *ownedGroup
+	var handedOver *ownedGroup
 	owners := n.assignedOwners()
 	for _, g := range n.ownedGroupsLocked() {
 		if g.handingOver {
@@ -121,17 +121,17 @@
 			return // one at a time
 		}
 		to := owners[g.Name]
-		if given == nil && to != "" && to != n.settings.Name && clock.Since(g.takenAt) > minOwnershipTime && (n.isForeign(g.Name) || n.isBetterOwner(to, owners)) {
-			given = g
+		if handedOver == nil && to != "" && to != n.settings.Name && clock.Since(g.takenAt) > minOwnershipTime && (n.isForeign(g.Name) || n.isBetterOwner(to, owners)) {
+			handedOver = g
 		}
 	}
-	if given != nil {
-		given.handingOver = true
-		event.GroupHanded.Log(n.log, slog.String("group", given.Name), slog.Uint64("token", given.Token), slog.String("to", owners[given.Name]))
+	if handedOver != nil {
+		handedOver.handingOver = true
+		event.GroupHanded.Log(n.log, slog.String("group", handedOver.Name), slog.Uint64("token", handedOver.Token), slog.String("to", owners[handedOver.Name]))
 	}
 	n.mu.Unlock()
-	if given != nil {
-		given.Drain()
+	if handedOver != nil {
+		handedOver.Drain()
 	}
 }
 
@@ -141,14 +141,14 @@
 	if !n.neighbours.IsHub || n.lastHeartbeat[peer].GetShare() >= muchLargerFactor*n.settings.CPUShare {
 		return true
 	}
-	fair := 0
+	assigned := 0
 	for _, o := range owners {
 		if o == n.settings.Name {
-			fair++
+			assigned++
 		}
 	}
 	// It must leave the two more even than they are.
-	return len(n.groups) > fair && len(n.lastHeartbeat[peer].GetClaims())+1 < len(n.groups)
+	return len(n.groups) > assigned && len(n.lastHeartbeat[peer].GetClaims())+1 < len(n.groups)
 }
 
 // keepGroupsFraction is the part of a planned stop in which groups are kept while no
@@ -158,23 +158,23 @@
 
 // handOverForShutdown begins to hand over the groups in a planned stop that lasts until
 // limit at most and has taken a while.
-func (n *Node) handOverForShutdown(took, limit time.Duration) {
-	var given []*ownedGroup
+func (n *Node) handOverForShutdown(elapsed, limit time.Duration) {
+	var handedOver []*ownedGroup
 	n.mu.Lock()
-	late := took > time.Duration(keepGroupsFraction*float64(limit))
+	late := elapsed > time.Duration(keepGroupsFraction*float64(limit))
 	for _, g := range n.ownedGroupsLocked() {
 		if g.handingOver || !late && !n.isForeign(g.Name) && !n.hasSuccessor() {
 			continue
 		}
 		g.handingOver = true
-		given = append(given, g)
-		event.GroupHanded.Log(n.log, slog.String("group", g.Name), slog.Uint64("token", g.Token), slog.String("to", ""), slog.Duration("stopping_for", took))
+		handedOver = append(handedOver, g)
+		event.GroupHanded.Log(n.log, slog.String("group", g.Name), slog.Uint64("token", g.Token), slog.String("to", ""), slog.Duration("stopping_for", elapsed))
 	}
 	n.mu.Unlock()
-	for _, g := range given {
+	for _, g := range handedOver {
 		g.Drain()
 	}
-	if len(given) > 0 {
+	if len(handedOver) > 0 {
 		n.sendHeartbeats()
 	}
 }
@@ -300,17 +300,17 @@
 // likely itself that is cut off, and a takeover would take the upstreams from
 // an owner that works. The lock is held.
 func (n *Node) isIsolated() bool {
-	listed := false
+	peerListed := false
 	for p := range n.peers.All() {
 		switch {
 		case p.State == membership.Alive || p.State == membership.Suspect || p.State == membership.Leaving:
 			n.isolatedSince = time.Time{}
 			return false
 		case p.Zone == n.settings.Zone && n.registeredZones[p.Instance] != "" && !n.refusedRecently(p.Instance):
-			listed = true
+			peerListed = true
 		}
 	}
-	if !listed || clock.Since(n.startedAt) < isolationTimeout {
+	if !peerListed || clock.Since(n.startedAt) < isolationTimeout {
 		return false // after a restart of all, the list is older than the loss
 	}
 	if n.isolatedSince.IsZero() {
--- a/node/peers.go
+++ b/node/peers.go
@@ -17,8 +17,7 @@
 	"github.com/samber/lo"
 )
 
-// heartbeatLoop tells peers of this instance, and lets time pass for what it believes
-// of them.
+// heartbeatLoop runs tick at the heartbeat interval until the instance ends.
 func (n *Node) heartbeatLoop() {
 	for n.ctx.Err() == nil {
 		n.mu.Lock()
@@ -33,6 +32,9 @@
 	}
 }
 
+// tick does the periodic work of the instance: it renews its own leases, updates the states
+// of its peers and the groups that it owns, and sends heartbeats. It also runs out of turn
+// when peers should learn of a change at once.
 func (n *Node) tick() {
 	n.detectSuspension()
 	n.renewOwnLeases()
@@ -45,10 +47,11 @@
 	n.sendHeartbeats()
 }
 
-// uptimeMs is a steady clock, in milliseconds.
+// uptimeMs returns the time since the instance started, in milliseconds, on a monotonic
+// clock.
 func (n *Node) uptimeMs() int64 { return clock.Since(n.startedAt).Milliseconds() }
 
-// heartbeat is what peers hear of this instance.
+// heartbeat returns a heartbeat message with the current state of this instance.
 func (n *Node) heartbeat() *inner.Presence {
 	n.mu.Lock()
 	groups := n.ownedGroupsLocked()
@@ -75,21 +78,21 @@
 	return p
 }
 
-// contactPeer connects to an instance that is not heard, once at a time, and
-// tells it of this one.
+// contactPeer sends a heartbeat to an instance in the background, and opens a connection to
+// it if there is none. It does nothing while an earlier attempt is under way.
 func (n *Node) contactPeer(instance string) {
 	n.mu.Lock()
-	busy := n.dialing[instance]
+	alreadyDialing := n.dialing[instance]
 	n.dialing[instance] = true
 	n.mu.Unlock()
-	if busy {
+	if alreadyDialing {
 		return
 	}
 	go func() {
 		if n.settings.Name > instance {
-			n.sleep(dialYieldDelay) // seeds, which have an address for a name, sort first
+			n.sleep(dialYieldDelay) // the name of a seed is its address, so it sorts before this one
 		}
-		err := n.mesh.Send(fate.Incarnation(instance), n.heartbeatFor(instance)) // it is tried again with the next beat
+		err := n.mesh.Send(fate.Incarnation(instance), n.heartbeatFor(instance)) // the next tick tries again
 		n.recordRefusal(instance, err)
 		n.mu.Lock()
 		delete(n.dialing, instance)
@@ -97,7 +100,7 @@
 	}()
 }
 
-// contactSeeds looks for peers where the settings say that some were.
+// contactSeeds contacts the seed peers of the settings, whose addresses may be stale.
 func (n *Node) contactSeeds() {
 	for _, seed := range n.settings.SeedPeers {
 		if seed != n.settings.PeerAddress {
@@ -106,16 +109,16 @@
 	}
 }
 
-// dialOutcome is how opening a connection to a peer ended last.
+// dialOutcome is the result of the last attempt to open a connection to a peer.
 type dialOutcome int
 
 const (
-	dialPending  dialOutcome = iota // not tried yet, or under way
-	dialAccepted                    // it runs, also while it is too busy to say anything
+	dialPending  dialOutcome = iota // no attempt yet, or the first one is under way
+	dialAccepted                    // the peer runs, although it may be too busy to send heartbeats
 	dialFailed
 )
 
-// dial opens a connection to a peer, and notes whether it was accepted.
+// dial opens a connection to a peer and records whether the peer accepted it.
 func (n *Node) dial(ctx context.Context, address string) (net.Conn, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -129,24 +132,25 @@
 	return conn, err
 }
 
-// reconnect opens another connection to a peer that is not heard any more: it may be
-// the connection that has gone silent, and not the peer.
+// reconnect opens another connection to a peer whose heartbeats have stopped: the connection
+// may have failed silently while the peer still runs.
 func (n *Node) reconnect(instance string) {
 	n.recordRefusal(instance, n.mesh.Renew(instance, n.heartbeatFor(instance)))
 }
 
-// refusalValidity is how long an instance that refused a connection counts as not
-// running, unless it is heard or refuses another.
+// refusalValidity is how long an instance that refused a connection is considered not
+// running. A further refusal extends that, and any other result of an attempt ends it.
 const refusalValidity = time.Second
 
-// refusedRecently reports whether nothing listens where an instance should. The lock is
-// held.
+// refusedRecently reports whether an instance has refused a connection within
+// refusalValidity, so that it is considered not running. n.mu is held.
 func (n *Node) refusedRecently(instance string) bool {
-	at, refused := n.refusedAt[instance]
-	return refused && clock.Since(at) < refusalValidity
+	at, found := n.refusedAt[instance]
+	return found && clock.Since(at) < refusalValidity
 }
 
-// recordRefusal notes that nothing listens where an instance should: it does not run.
+// recordRefusal takes the result of contacting an instance. It records when the connection
+// was refused, because nothing listens at the address, and clears the record otherwise.
 func (n *Node) recordRefusal(instance string, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -157,7 +161,7 @@
 	delete(n.refusedAt, instance)
 }
 
-// Frame implements inner.Handler; LinkFrame takes all frames.
+// Frame implements inner.Handler. It is never called, since LinkFrame handles all frames.
 func (n *Node) Frame(fate.Incarnation, *inner.Frame, func(*inner.Frame)) {}
 
 // LinkFrame implements inner.LinkHandler.
@@ -182,6 +186,7 @@
 	}
 }
 
+// sendConfig sends a peer the configuration in force, if there is one.
 func (n *Node) sendConfig(to inner.Link) {
 	config := n.config.Load()
 	if config == nil {
@@ -194,8 +199,8 @@
 	}
 }
 
-// LinkClosed implements inner.LinkHandler. What came on the connection is
-// dropped; whether the peer is gone is found out at once.
+// LinkClosed implements inner.LinkHandler. It withdraws the offers that arrived on the
+// connection, and checks at once whether a neighbour still runs.
 func (n *Node) LinkClosed(link inner.Link, from fate.Incarnation) {
 	n.router.handleLinkClosed(link, from)
 	if n.ctx.Err() != nil || !n.isNeighbour(from.Instance()) {
@@ -204,8 +209,8 @@
 	go n.probe(from)
 }
 
-// probe connects to a peer whose connection broke: a refusal is proof that it
-// does not run any more.
+// probe connects to a peer after a connection to it broke. A refused connection proves that
+// the peer does not run any more, so that it is dead without waiting for a timeout.
 func (n *Node) probe(peer fate.Incarnation) {
 	_, err := n.mesh.Connect(peer.Instance())
 	if !failure.Is(err, failure.Gone) {
@@ -220,12 +225,13 @@
 	}
 }
 
-// handleHeartbeat takes the heartbeat of a peer.
+// handleHeartbeat applies the heartbeat of a peer: its state, its claims on groups, and what
+// it reports of upstreams, zones, other owners and the configuration.
 func (n *Node) handleHeartbeat(link inner.Link, from fate.Incarnation, p *inner.Presence) {
 	n.mu.Lock()
-	load := membership.Heartbeat{Leaving: p.GetLeaving(), Revision: p.GetConfigVersion(), Unwanted: p.GetUnwanted()}
-	changes := n.peers.RecordHeartbeat(from, load, n.uptimeMs())
-	before := n.lastHeartbeat[from.Instance()]
+	heartbeat := membership.Heartbeat{Leaving: p.GetLeaving(), Revision: p.GetConfigVersion(), Unwanted: p.GetUnwanted()}
+	changes := n.peers.RecordHeartbeat(from, heartbeat, n.uptimeMs())
+	previous := n.lastHeartbeat[from.Instance()]
 	n.lastHeartbeat[from.Instance()] = p
 	n.highestToken = max(n.highestToken, p.GetHighestToken())
 	for zone, count := range p.GetGroupCounts() {
@@ -234,8 +240,8 @@
 		}
 	}
 	n.mu.Unlock()
-	leaving := n.directory.MarkDraining(clock.Now(), incarnationsFromProto(p.GetDraining()))
-	n.logDrains(leaving, from.Instance())
+	draining := n.directory.MarkDraining(clock.Now(), incarnationsFromProto(p.GetDraining()))
+	n.logDrains(draining, from.Instance())
 	resized := n.directory.ApplyCapacityReports(clock.Now(), capacityReportsFromProto(p.GetRooms()))
 	n.applyPeerZones(from.Instance(), p)
 	n.router.handlePeerClock(link, from, p.GetClockMs())
@@ -243,35 +249,37 @@
 	n.router.handleRelayedOwners(p.GetRelayed())
 	n.applyPeerChanges(changes)
 	if len(changes) > 0 {
-		// It is answered where it spoke: a connection the other way may
-		// take long to open, and it should not take itself for alone.
+		// The reply goes on the same connection: one in the other direction may
+		// take long to open, and until then the peer could consider itself isolated.
 		n.replyWithHeartbeat(link, from.Instance())
 	}
-	if len(leaving) > 0 || resized {
+	if len(draining) > 0 || resized {
 		n.updateGroups()
 	}
 	n.handleConfigVersion(link, p.GetConfigVersion())
-	if claimsChanged(before.GetClaims(), p.GetClaims()) {
+	if claimsChanged(previous.GetClaims(), p.GetClaims()) {
 		n.reconcileGroups()
 		n.updateGroups()
 	}
 }
 
-// replyWithHeartbeat tells a peer of this instance on a connection of its own.
+// replyWithHeartbeat sends a heartbeat on the connection on which one was received.
 func (n *Node) replyWithHeartbeat(link inner.Link, peer string) {
 	if err := link.Send(n.heartbeatFor(peer)); err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "presence"), slog.String("error", err.Error()))
 	}
 }
 
-// claimsChanged reports whether groups, or upstreams of them, changed hands.
-func claimsChanged(before, now []*inner.Claim) bool {
-	return !slices.EqualFunc(before, now, func(a, b *inner.Claim) bool {
+// claimsChanged reports whether the claimed groups, their tokens or the upstreams released
+// in a handover differ between two heartbeats of a peer.
+func claimsChanged(previous, current []*inner.Claim) bool {
+	return !slices.EqualFunc(previous, current, func(a, b *inner.Claim) bool {
 		return a.GetGroup() == b.GetGroup() && a.GetToken() == b.GetToken() && a.GetLeaving() == b.GetLeaving() && len(a.GetReleased()) == len(b.GetReleased())
 	})
 }
 
-// applyPeerChanges tells of peers that came or went.
+// applyPeerChanges logs changed states of peers, and closes the connections to peers that
+// are dead or no longer needed.
 func (n *Node) applyPeerChanges(changes []membership.Change) {
 	for _, c := range changes {
 		attrs := []slog.Attr{
@@ -283,7 +291,7 @@
 			event.PeerLost.Log(n.log, attrs...)
 			n.router.forgetPeer(c.Peer.Incarnation)
 			n.mesh.Sever(c.Peer.Incarnation)
-		case membership.Listed: // neither side needs the other any more
+		case membership.Listed: // neither side needs heartbeats of the other any more
 			n.mesh.Sever(c.Peer.Incarnation)
 		case membership.Suspect:
 			go n.reconnect(c.Peer.Instance)
--- a/node/registration.go
+++ b/node/registration.go
@@ -17,10 +17,10 @@
 )
 
 func (n *Node) followPeers() {
-	known := map[string]membership.Listing{}
+	listings := map[string]membership.Listing{}
 	update := func(items []platform.Item) {
 		for _, item := range items {
-			if zone, isCount := strings.CutPrefix(item.Key, platform.GroupCountPrefix); isCount {
+			if zone, isGroupCount := strings.CutPrefix(item.Key, platform.GroupCountPrefix); isGroupCount {
 				n.readGroupCount(zone, item)
 				continue
 			}
@@ -29,21 +29,21 @@
 				continue
 			}
 			if item.Deleted {
-				delete(known, name)
+				delete(listings, name)
 				continue
 			}
-			e, err := platform.ParseInstance(item.Value)
+			entry, err := platform.ParseInstance(item.Value)
 			if n.refusals.record(n, item.Key, err) {
-				delete(known, name)
+				delete(listings, name)
 				continue
 			}
-			known[name] = membership.Listing{Instance: name, Address: e.Address, Region: e.Region, Zone: e.Zone, CPUShare: e.Share}
+			listings[name] = membership.Listing{Instance: name, Address: entry.Address, Region: entry.Region, Zone: entry.Zone, CPUShare: entry.Share}
 		}
-		n.applyPeerList(known)
+		n.applyPeerList(listings)
 	}
 	n.follow(storeFollower{
 		prefix: platform.SedgehatchPrefix, watchWait: n.peerWatchWait, readPause: n.peerReadPause,
-		replace: func(items []platform.Item, _ uint64) { clear(known); update(items) },
+		replace: func(items []platform.Item, _ uint64) { clear(listings); update(items) },
 		update:  update,
 	})
 }
@@ -71,31 +71,31 @@
 	return groups, nil
 }
 
-func (n *Node) applyPeerList(known map[string]membership.Listing) {
-	n.setPeerList(known)
+func (n *Node) applyPeerList(listings map[string]membership.Listing) {
+	n.setPeerList(listings)
 	n.tick() // new peers hear of this instance at once
 }
 
 // setPeerList takes the list of instances. Whom of them this instance has to hear
 // before it takes a group is worked out under the same lock: in between, it would
 // take the groups of peers that it has just read of and has not heard yet.
-func (n *Node) setPeerList(known map[string]membership.Listing) {
-	list := make([]membership.Listing, 0, len(known))
-	for name, l := range known {
+func (n *Node) setPeerList(listings map[string]membership.Listing) {
+	list := make([]membership.Listing, 0, len(listings))
+	for name, l := range listings {
 		if name != n.settings.Name {
 			list = append(list, l)
 		}
 	}
-	used := n.router.activeOwners()
+	activeOwners := n.router.activeOwners()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.peerListRead {
 		n.peerListRead = true
 		close(n.peerListReady)
 	}
-	n.registeredZones = lo.MapValues(known, func(l membership.Listing, _ string) string { return l.Zone })
+	n.registeredZones = lo.MapValues(listings, func(l membership.Listing, _ string) string { return l.Zone })
 	n.peers.SetListed(list)
-	n.updateNeighboursLocked(used)
+	n.updateNeighboursLocked(activeOwners)
 }
 
 // keepRegistered keeps this instance's entry in the store.
@@ -113,11 +113,11 @@
 			lease = 0
 			continue
 		}
-		wait := registrationRenewInterval
+		pause := registrationRenewInterval
 		if lease == 0 {
-			wait = minRetryPause + rand.N(maxRetryPause)
+			pause = minRetryPause + rand.N(maxRetryPause)
 		}
-		n.sleep(wait)
+		n.sleep(pause)
 	}
 }
 
