--- a/node/groups.go
+++ b/node/groups.go
@@ -24,20 +24,21 @@
 type ownedGroup struct {
 	*owner.Group
 	takenAt time.Time
-	// handingOver is set while the group goes to a better owner. The upstreams
-	// that were let go already are in released.
+	// handingOver is set while the group is being handed over to another instance,
+	// one upstream at a time. released holds the ids of the upstreams that this
+	// instance has released so far.
 	handingOver bool
 	released    []string
 }
 
-// groupName names one group of an availability zone.
+// groupName returns the name of a group of an availability zone.
 func groupName(zone string, index int) string { return zone + "/" + strconv.Itoa(index) }
 
 // zoneOfGroup returns the availability zone of a group.
 func zoneOfGroup(group string) string { return group[:strings.LastIndexByte(group, '/')] }
 
-// groupOf returns the group of an upstream, "" before the number of groups of
-// its availability zone is known. The lock is held.
+// groupOf returns the group of an upstream, or "" if the number of groups of its
+// availability zone is not known yet. n.mu is held.
 func (n *Node) groupOf(u fleet.Upstream) string {
 	count := n.groupCounts[u.Zone]
 	if count == 0 {
@@ -46,7 +47,7 @@
 	return groupName(u.Zone, membership.GroupIndex(u.ID, count))
 }
 
-// groupNames names the groups of a zone.
+// groupNames returns the names of all groups of a zone.
 func groupNames(zone string, count int) []string {
 	var groups []string
 	for i := range count {
@@ -55,26 +56,27 @@
 	return groups
 }
 
-// ownZoneGroups returns the groups of the own availability zone. The lock is held.
+// ownZoneGroups returns the names of the groups of this instance's zone. n.mu is held.
 func (n *Node) ownZoneGroups() []string {
 	return groupNames(n.settings.Zone, n.groupCounts[n.settings.Zone])
 }
 
-// ownedGroupsLocked returns the groups that this instance owns, by name. The lock is
+// ownedGroupsLocked returns the groups that this instance owns, ordered by name. n.mu is
 // held.
 func (n *Node) ownedGroupsLocked() []*ownedGroup {
 	return slices.SortedFunc(maps.Values(n.groups), func(a, b *ownedGroup) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// ownedGroups is ownedGroups, without the lock.
+// ownedGroups returns the groups that this instance owns, ordered by name.
 func (n *Node) ownedGroups() []*ownedGroup {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ownedGroupsLocked()
 }
 
-// groupMembers returns the upstreams of a group that this instance may own: while
-// a peer hands the group over, those that it has let go. The lock is held.
+// groupMembers returns the upstreams of a group that this instance may own. While a peer
+// hands the group over, these are only the upstreams that the peer has released. n.mu is
+// held.
 func (n *Node) groupMembers(group string) []fleet.Upstream {
 	_, handoverClaim := n.claimOf(group, true)
 	return n.directory.Select(func(u fleet.Upstream) bool {
@@ -82,8 +84,8 @@
 	})
 }
 
-// updateGroups gives each owned group its upstreams. One update is carried out
-// after the other, so that none is overtaken by an older one.
+// updateGroups sets the upstreams of each owned group. updateMu serializes the updates, so
+// that an older list never replaces a newer one.
 func (n *Node) updateGroups() {
 	n.updateMu.Lock()
 	defer n.updateMu.Unlock()
@@ -98,35 +100,39 @@
 	}
 }
 
-// claimOf returns the live peer that owns a group, with the highest token, if
-// any does: one that keeps it, or one that hands it over. The lock is held.
+// claimOf returns the peer that claims a group, and its claim, or nil if there is none. It
+// considers only claims that are being handed over, or only claims that are not. If several
+// peers claim the group, the highest token wins. Claims of dead peers do not count. n.mu is
+// held.
 func (n *Node) claimOf(group string, handingOver bool) (string, *inner.Claim) {
 	var best *inner.Claim
-	owner := ""
+	claimant := ""
 	for instance, p := range n.lastHeartbeat {
 		if state := n.peers.State(instance); state == membership.Dead || state == membership.Listed {
 			continue
 		}
 		for _, c := range p.GetClaims() {
 			if c.GetGroup() == group && c.GetLeaving() == handingOver && (best == nil || c.GetToken() > best.GetToken()) {
-				best, owner = c, instance
+				best, claimant = c, instance
 			}
 		}
 	}
-	return owner, best
+	return claimant, best
 }
 
 const (
-	// countSettleTime is how long the number of a zone's upstreams must stand still
-	// at the first start before it counts: they enter themselves over more than
-	// one heartbeat, which takes 1.5 s.
+	// countSettleTime is how long the number of a zone's upstreams must be unchanged at
+	// the first start of the system before the number of groups is derived from it. The
+	// upstreams register over more than one of their heartbeat intervals of 1.5 s.
 	countSettleTime = 2 * time.Second
-	// countTimeout is when it counts in any case, from the start of the instance.
+	// countTimeout is the age of the instance from which on the number of upstreams is
+	// used even if it still changes.
 	countTimeout = 7 * time.Second
 )
 
-// upstreamCountSettled reports whether the number of upstreams of the own zone can be trusted:
-// always but at the first start of the whole system. The lock is held.
+// upstreamCountSettled reports whether the number of upstreams of the own zone is final
+// enough to derive the number of groups from it. It only waits at the first start of the
+// whole system, while upstreams are still registering. n.mu is held.
 func (n *Node) upstreamCountSettled(count int, now time.Time) bool {
 	if !n.settings.FirstStart || now.Sub(n.startedAt) >= countTimeout {
 		return true
@@ -137,8 +143,9 @@
 	return now.Sub(n.upstreamCountChangedAt) >= countSettleTime
 }
 
-// ensureGroupCount settles how many groups the own availability zone has, once and
-// for all instances, through the store.
+// ensureGroupCount determines the number of groups of the own zone if it is not known yet,
+// and writes it to the store in the background. The first instance that does so sets the
+// number for all instances.
 func (n *Node) ensureGroupCount() {
 	n.mu.Lock()
 	if n.groupCounts[n.settings.Zone] > 0 || n.creatingGroupCount || !n.directory.Synced() {
@@ -156,11 +163,13 @@
 	go n.createGroupCount(membership.GroupCount(count, instances, n.settings.LinkRate))
 }
 
+// createGroupCount writes the number of groups of the own zone to the store, unless it is
+// there already.
 func (n *Node) createGroupCount(groups int) {
 	err := n.store.Create(platform.GroupCountPrefix+n.settings.Zone, []byte(strconv.Itoa(groups)))
 	if err == nil {
 		n.setGroupCount(n.settings.Zone, groups)
-	} else if !failure.Is(err, failure.Conflict) { // where it is there already, the watch tells
+	} else if !failure.Is(err, failure.Conflict) { // an existing number arrives through the watch
 		event.RegisterFailed.Log(n.log, slog.String("what", "number of groups"), slog.String("error", err.Error()))
 	}
 	n.sleep(minRetryPause)
@@ -169,7 +178,8 @@
 	n.mu.Unlock()
 }
 
-// setGroupCount learns the number of groups of an availability zone.
+// setGroupCount sets the number of groups of an availability zone, unless it is known: the
+// number never changes.
 func (n *Node) setGroupCount(zone string, groups int) {
 	n.mu.Lock()
 	alreadySet := n.groupCounts[zone] > 0
--- a/node/orphans.go
+++ b/node/orphans.go
@@ -9,26 +9,29 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// The upstreams of an availability zone that has lost all its instances are
-// owned from other zones until one is there again.
+// A zone without any instance is called orphaned here, and so are its groups. They are
+// owned by instances of other zones until the zone has an instance again. A group of
+// another zone is called foreign.
 
 const (
-	// orphanDelay is how long a zone must have no instance, beyond the time in
-	// which its entries in the store lapse: a restart takes less.
+	// orphanDelay is how long a zone must have had no instance, counted from when the
+	// entries of its instances in the store have expired, before its groups may be
+	// taken. A restart of an instance takes less.
 	orphanDelay = 2 * time.Second
-	// orphanTrialTime is how long the upstreams of such a zone have to accept this
-	// instance: the whole zone may be cut off, with owners of its own.
+	// orphanTrialTime is how long this instance waits until an upstream of an orphaned
+	// zone accepts it as the owner. If none does, the whole zone may be partitioned from
+	// this instance and still have owners of its own.
 	orphanTrialTime = 5 * time.Second
-	// orphanRetryDelay is how long they are left alone after that, or after another
-	// owner has fenced this instance there.
+	// orphanRetryDelay is the pause before the next attempt to own the groups of a zone
+	// whose upstreams did not accept this instance, or where a higher token has fenced it.
 	orphanRetryDelay = 15 * time.Second
 )
 
-// zoneHasInstance reports whether an availability zone has an instance, as far as this
-// one can tell. The lock is held.
+// zoneHasInstance reports whether an availability zone has an instance that is listed in the
+// store or sends heartbeats. It is true while the list has not been read. n.mu is held.
 func (n *Node) zoneHasInstance(zone string) bool {
 	if !n.peerListRead {
-		return true // the store has not told yet
+		return true // not known yet
 	}
 	for _, z := range n.registeredZones {
 		if z == zone {
@@ -38,15 +41,15 @@
 	return len(n.livePeersIn(zone)) > 0
 }
 
-// livePeersIn returns the instances of a zone that are heard. The lock is held.
+// livePeersIn returns the peers of a zone from which heartbeats arrive. n.mu is held.
 func (n *Node) livePeersIn(zone string) []membership.Peer {
 	return n.peers.Filter(func(p membership.Peer) bool {
 		return p.Zone == zone && p.State != membership.Dead && p.State != membership.Listed
 	})
 }
 
-// orphanedGroups returns the groups of zones that have had no instance for a while.
-// The lock is held.
+// orphanedGroups returns the groups of all zones that have been orphaned for orphanDelay and
+// in which no failed attempt is too recent. n.mu is held.
 func (n *Node) orphanedGroups() []string {
 	var groups []string
 	for zone, count := range n.groupCounts {
@@ -65,8 +68,8 @@
 	return groups
 }
 
-// foreignCandidates returns the instances of all zones that may own orphaned
-// groups. The lock is held.
+// foreignCandidates returns the instances that may own orphaned groups: this one and the
+// live hubs of all zones. n.mu is held.
 func (n *Node) foreignCandidates() []membership.Candidate {
 	list := []membership.Candidate{{Name: n.settings.Name, CPUShare: n.settings.CPUShare}}
 	hubs := n.peers.Filter(func(p membership.Peer) bool {
@@ -78,8 +81,8 @@
 // isForeign reports whether a group belongs to another zone.
 func (n *Node) isForeign(group string) bool { return zoneOfGroup(group) != n.settings.Zone }
 
-// dropRejectedForeignGroups gives up the groups of other zones whose upstreams do not accept
-// this instance.
+// dropRejectedForeignGroups gives up the foreign groups whose upstreams have not accepted
+// this instance within orphanTrialTime, or follow a higher token.
 func (n *Node) dropRejectedForeignGroups() {
 	var dropped []*ownedGroup
 	n.mu.Lock()
@@ -101,8 +104,9 @@
 	}
 }
 
-// assignedOwners returns the owner that each owned group should have: of foreign groups
-// an instance of their own zone, once there is one. The lock is held.
+// assignedOwners returns the instance that should own each group of the own zone and each
+// group that this instance owns. A foreign group should be owned by an instance of its own
+// zone, if there is one. n.mu is held.
 func (n *Node) assignedOwners() map[string]string {
 	owners := membership.Assign(n.ownZoneGroups(), n.ownZoneCandidates())
 	if owners == nil {
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -14,52 +14,54 @@
 	"github.com/samber/lo"
 )
 
-// reconcileGroups takes and gives up groups as peers come and go.
+// reconcileGroups gives up, hands over and takes groups according to the current state of the
+// peers.
 func (n *Node) reconcileGroups() {
 	n.ensureGroupCount()
 	n.dropSupersededGroups()
 	n.dropRejectedForeignGroups()
 	n.dropFencedGroups()
 	n.handOverToBetterOwner()
-	n.releaseDrained() // the beat that follows tells peers
+	n.releaseDrained() // the caller's next heartbeat lists the released upstreams
 	n.takeFreeGroups()
 }
 
-// dropSupersededGroups gives up groups that a peer owns under a higher token: upstreams
-// do not listen to this instance any more.
+// dropSupersededGroups gives up the groups that a peer claims under a higher token: their
+// upstreams reject orders of this instance.
 func (n *Node) dropSupersededGroups() {
-	var yielded []*ownedGroup
+	var superseded []*ownedGroup
 	n.mu.Lock()
 	for name, g := range n.groups {
 		if g.handingOver {
-			continue // another takes what this instance has let go
+			continue // the next owner takes the upstreams that this instance has released
 		}
 		peer, claim := n.claimOf(name, false)
 		if claim.GetToken() > g.Token {
 			event.GroupLost.Log(n.log, slog.String("group", name), slog.Uint64("token", g.Token),
 				slog.Uint64("higher_token", claim.GetToken()), slog.String("to", peer))
 			delete(n.groups, name)
-			yielded = append(yielded, g)
+			superseded = append(superseded, g)
 		}
 	}
 	n.mu.Unlock()
-	for _, g := range yielded {
+	for _, g := range superseded {
 		g.Close()
 	}
 }
 
 const (
-	// fenceMargin is added to the time in which two holders must not take
-	// turns.
+	// fenceMargin is added to MinOwnershipInterval, within which the ownership of an
+	// upstream must not alternate between two instances.
 	fenceMargin = 200 * time.Millisecond
-	// staleFenceDelay is how soon a group is taken again whose upstreams never
-	// accepted the token: they remember that of an owner that is gone.
+	// staleFenceDelay is the delay after which a group whose upstreams never accepted
+	// the token of this instance may be taken again. Such upstreams remember a higher
+	// token of an owner that does not exist any more.
 	staleFenceDelay = 100 * time.Millisecond
 )
 
-// dropFencedGroups gives up groups whose upstreams follow a higher token that no peer
-// claims. They may be taken again, under a token above it, once two holders
-// cannot be taking turns.
+// dropFencedGroups gives up the groups that a higher token has fenced, after a wait that keeps
+// their ownership from alternating between two instances. It raises highestToken, so that a
+// group that no peer claims is taken again under a higher token.
 func (n *Node) dropFencedGroups() {
 	var dropped []*ownedGroup
 	n.mu.Lock()
@@ -86,24 +88,26 @@
 }
 
 const (
-	// tokenIncrement raises the next token by a second: the owner that this
-	// instance was fenced by may have a clock that is ahead. It doubles each
-	// time, at most maxLeaps times.
+	// tokenIncrement raises the next token by one second, because the clock of the owner
+	// that has fenced this instance may be ahead. The increment is doubled each time, up
+	// to maxIncrementDoublings times.
 	tokenIncrement        = 1000 << membership.TokenNameBits
 	maxIncrementDoublings = 8
 )
 
 const (
-	// minOwnershipTime is how long a group is kept at least: two holders must
-	// not take turns, and each change costs some room for a moment.
+	// minOwnershipTime is how long this instance owns a group before it hands it over to
+	// a better owner. Ownership must not alternate between two instances, and each
+	// handover makes some capacity unavailable for a moment.
 	minOwnershipTime = 5 * time.Second
-	// muchLargerFactor is how many times the share of a processor another owner
-	// must have to be worth a change.
+	// muchLargerFactor is how many times the CPU share of this instance a peer must have
+	// for a handover to be worth it because of its size.
 	muchLargerFactor = 2
 )
 
-// handOverToBetterOwner begins to hand one group over to an instance that is much larger, or
-// that owns fewer, if it should own it.
+// handOverToBetterOwner starts to hand over a group that another instance should own, if that
+// instance is much larger or owns fewer groups, or if the group is foreign. Only one group is
+// handed over at a time.
 func (n *Node) handOverToBetterOwner() {
 	if n.shuttingDown.Load() {
 		return
@@ -135,8 +139,9 @@
 	}
 }
 
-// isBetterOwner reports whether handing a group to a peer is worth the change. The
-// lock is held.
+// isBetterOwner reports whether handing over a group to a peer is worth its cost: the peer is
+// much larger, this instance is no hub any more, or the handover evens out the number of
+// groups. owners holds the assigned owner of each group. n.mu is held.
 func (n *Node) isBetterOwner(peer string, owners map[string]string) bool {
 	if !n.neighbours.IsHub || n.lastHeartbeat[peer].GetShare() >= muchLargerFactor*n.settings.CPUShare {
 		return true
@@ -147,23 +152,23 @@
 			assigned++
 		}
 	}
-	// It must leave the two more even than they are.
+	// The handover must make the numbers of groups of the two instances more even.
 	return len(n.groups) > assigned && len(n.lastHeartbeat[peer].GetClaims())+1 < len(n.groups)
 }
 
-// keepGroupsFraction is the part of a planned stop in which groups are kept while no
-// other instance of the availability zone can take them: their upstreams would
-// stand idle until one has started. The rest is left for what runs to end.
+// keepGroupsFraction is the fraction of a planned shutdown during which groups are kept if no
+// other instance of the zone can take them. Their upstreams would be idle until another
+// instance has started. The rest of the time is left for running tasks to end.
 const keepGroupsFraction = 0.4
 
-// handOverForShutdown begins to hand over the groups in a planned stop that lasts until
-// limit at most and has taken a while.
+// handOverForShutdown starts to hand over the groups in a planned shutdown, of which elapsed
+// has passed and which may take up to limit.
 func (n *Node) handOverForShutdown(elapsed, limit time.Duration) {
 	var handedOver []*ownedGroup
 	n.mu.Lock()
-	late := elapsed > time.Duration(keepGroupsFraction*float64(limit))
+	noMoreWaiting := elapsed > time.Duration(keepGroupsFraction*float64(limit))
 	for _, g := range n.ownedGroupsLocked() {
-		if g.handingOver || !late && !n.isForeign(g.Name) && !n.hasSuccessor() {
+		if g.handingOver || !noMoreWaiting && !n.isForeign(g.Name) && !n.hasSuccessor() {
 			continue
 		}
 		g.handingOver = true
@@ -179,28 +184,29 @@
 	}
 }
 
-// hasSuccessor reports whether another instance may own the groups of this
-// availability zone. The lock is held.
+// hasSuccessor reports whether another live instance may own the groups of this zone. n.mu
+// is held.
 func (n *Node) hasSuccessor() bool {
 	return slices.ContainsFunc(n.ownZoneCandidates(), func(c membership.Candidate) bool { return c.Name != n.settings.Name })
 }
 
-// releaseAndNotifyPeers lets go of upstreams in a planned stop, and tells peers at once.
+// releaseAndNotifyPeers releases drained upstreams and, if there are any, sends heartbeats at
+// once, so that the next owner can take them.
 func (n *Node) releaseAndNotifyPeers() {
 	if n.releaseDrained() > 0 {
 		n.sendHeartbeats()
 	}
 }
 
-// releaseDrained lets go of drained upstreams and groups, and returns how many
-// upstreams it let go.
+// releaseDrained releases the upstreams on which nothing runs in groups that are being handed
+// over, and gives up the groups that are idle. It returns the number of released upstreams.
 func (n *Node) releaseDrained() int {
 	count := 0
 	for _, g := range n.ownedGroups() {
 		n.mu.Lock()
-		handing := g.handingOver
+		handingOver := g.handingOver
 		n.mu.Unlock()
-		if !handing {
+		if !handingOver {
 			continue
 		}
 		released := g.Release()
@@ -220,8 +226,8 @@
 	return count
 }
 
-// takeFreeGroups takes the groups that nobody owns and that this instance should own:
-// of its own availability zone, and of those without any instance.
+// takeFreeGroups takes the groups that no instance owns and that are assigned to this one,
+// from its own zone and from orphaned zones.
 func (n *Node) takeFreeGroups() {
 	if n.shuttingDown.Load() || n.ctx.Err() != nil {
 		return
@@ -241,8 +247,8 @@
 	}
 }
 
-// takeAssignedGroups takes the free groups whose owner should be this instance, and reports
-// whether there are any. The lock is held.
+// takeAssignedGroups takes the free groups that owners assigns to this instance, and reports
+// whether there were any. n.mu is held.
 func (n *Node) takeAssignedGroups(owners map[string]string) bool {
 	taken := false
 	for group, name := range owners {
@@ -254,21 +260,21 @@
 	return taken
 }
 
-// takeGroup begins to own a group. The lock is held.
+// takeGroup makes this instance the owner of a group, under a new token. n.mu is held.
 func (n *Node) takeGroup(group string) {
 	n.highestToken = membership.NextToken(clock.WallClock().UnixMilli(), n.highestToken, string(n.self))
 	cfg := schedule.ConfigForMaxLease(n.settings.Timing.MaxTaskLease)
 	cfg.RemoteFactor = n.settings.Timing.RemoteFactor
-	cfg.LinkRate = n.settings.LinkRate // counted in full by each group of an owner of several
+	cfg.LinkRate = n.settings.LinkRate // each group of this instance assumes the full rate
 	n.groups[group] = &ownedGroup{Group: owner.NewGroup(group, cfg, n.highestToken, n.upstreamClient, n), takenAt: clock.Now()}
 	n.lastTakenAt = clock.Now()
 	event.GroupTaken.Log(n.log, slog.String("group", group), slog.Uint64("token", n.highestToken),
 		slog.Int("upstreams", len(n.groupMembers(group))), slog.Int("candidates", len(n.ownZoneCandidates())))
 }
 
-// membershipSettled reports whether this instance has heard enough to take a group: from
-// every instance of its availability zone that is listed and runs. One that
-// accepts no connection does not. The lock is held.
+// membershipSettled reports whether this instance knows enough about its peers to take a
+// group. It has to receive a heartbeat from every listed hub of its zone first, except from
+// those that do not accept connections. After busySettleTime it stops waiting. n.mu is held.
 func (n *Node) membershipSettled() bool {
 	age := clock.Since(n.startedAt)
 	if age >= busySettleTime {
@@ -282,7 +288,8 @@
 	return n.peerListRead && (age >= settleTime || n.peers.Len() > 0)
 }
 
-// canTakeGroup reports whether a group is free. The lock is held.
+// canTakeGroup reports whether a group has upstreams and no owner, as far as this instance
+// can know. n.mu is held.
 func (n *Node) canTakeGroup(group string) bool {
 	if n.groups[group] != nil || !n.directory.Ready() || len(n.groupMembers(group)) == 0 {
 		return false
@@ -291,14 +298,14 @@
 	return claim == nil
 }
 
-// isolationTimeout bounds how long an isolated instance leaves its availability
-// zone to peers that it cannot hear.
+// isolationTimeout is how long an isolated instance refrains from taking groups, which its
+// unreachable peers may own.
 const isolationTimeout = 6 * time.Second
 
-// isIsolated reports whether this instance hears no peer at all while the store
-// lists some of its availability zone that do not refuse connections: it is
-// likely itself that is cut off, and a takeover would take the upstreams from
-// an owner that works. The lock is held.
+// isIsolated reports whether no peer sends heartbeats to this instance although the store
+// lists some of its zone that do not refuse connections. Most likely this instance is
+// partitioned from them, and would take upstreams away from a working owner. The result
+// is false again after isolationTimeout. n.mu is held.
 func (n *Node) isIsolated() bool {
 	peerListed := false
 	for p := range n.peers.All() {
@@ -311,7 +318,7 @@
 		}
 	}
 	if !peerListed || clock.Since(n.startedAt) < isolationTimeout {
-		return false // after a restart of all, the list is older than the loss
+		return false // the list may still name instances lost before a restart of the whole fleet
 	}
 	if n.isolatedSince.IsZero() {
 		n.isolatedSince = clock.Now()
@@ -319,8 +326,8 @@
 	return clock.Since(n.isolatedSince) < isolationTimeout
 }
 
-// ownZoneCandidates returns the instances of the own availability zone that may own
-// groups: its hubs. The lock is held.
+// ownZoneCandidates returns the live hubs of the own zone, which may own its groups. n.mu is
+// held.
 func (n *Node) ownZoneCandidates() []membership.Candidate {
 	var list []membership.Candidate
 	if n.neighbours.IsHub {
@@ -329,7 +336,7 @@
 	return append(list, n.liveCandidates(n.hubPeers())...)
 }
 
-// liveCandidates returns those of some peers that live. The lock is held.
+// liveCandidates returns the peers that are alive, as candidates to own groups. n.mu is held.
 func (n *Node) liveCandidates(peers []membership.Peer) []membership.Candidate {
 	return lo.FilterMap(peers, func(p membership.Peer, _ int) (membership.Candidate, bool) {
 		return membership.Candidate{Name: p.Instance, CPUShare: n.lastHeartbeat[p.Instance].GetShare()}, p.State == membership.Alive
