--- a/node/convert.go
+++ b/node/convert.go
@@ -14,7 +14,7 @@
 	"github.com/samber/lo"
 )
 
-// claimToProto words the ownership of a group, and its load.
+// claimToProto returns the claim of the owner of a group, with the load of the group.
 func claimToProto(g *owner.Group, l schedule.Load) *inner.Claim {
 	return &inner.Claim{Group: g.Name, Token: g.Token, Free: uint32(max(l.Free, 0)), Waiting: uint32(l.Waiting), Capacity: l.Capacity, Closed: l.Closed}
 }
@@ -29,8 +29,8 @@
 	return lo.Map(list, func(v int, _ int) uint32 { return uint32(v) })
 }
 
-func incarnationsToProto(lives []fleet.UpstreamIncarnation) []*inner.UpstreamLife {
-	return lo.Map(lives, func(l fleet.UpstreamIncarnation, _ int) *inner.UpstreamLife {
+func incarnationsToProto(incarnations []fleet.UpstreamIncarnation) []*inner.UpstreamLife {
+	return lo.Map(incarnations, func(l fleet.UpstreamIncarnation, _ int) *inner.UpstreamLife {
 		return &inner.UpstreamLife{Id: l.ID, Born: l.StartedUnixMs}
 	})
 }
@@ -49,15 +49,14 @@
 	}
 }
 
-func capacityReportsToProto(rooms []directory.CapacityReport) []*inner.UpstreamRoom {
-	return lo.Map(rooms, func(r directory.CapacityReport, _ int) *inner.UpstreamRoom { return capacityReportToProto(r) })
+func capacityReportsToProto(reports []directory.CapacityReport) []*inner.UpstreamRoom {
+	return lo.Map(reports, func(r directory.CapacityReport, _ int) *inner.UpstreamRoom { return capacityReportToProto(r) })
 }
 
 func capacityReportsFromProto(list []*inner.UpstreamRoom) []directory.CapacityReport {
 	return lo.Map(list, func(r *inner.UpstreamRoom, _ int) directory.CapacityReport { return capacityReportFromProto(r) })
 }
 
-// upstreamToProto words what is known of an upstream.
 func upstreamToProto(u fleet.Upstream) *inner.Upstream {
 	return &inner.Upstream{
 		Room:    capacityReportToProto(directory.CapacityReport{Incarnation: u.Incarnation(), Sequence: u.Sequence, Capacity: u.Capacity}),
@@ -67,9 +66,9 @@
 }
 
 func upstreamFromProto(m *inner.Upstream) fleet.Upstream {
-	room := capacityReportFromProto(m.GetRoom())
+	report := capacityReportFromProto(m.GetRoom())
 	return fleet.Upstream{
-		ID: room.Incarnation.ID, StartedUnixMs: room.Incarnation.StartedUnixMs, Sequence: room.Sequence, Capacity: room.Capacity,
+		ID: report.Incarnation.ID, StartedUnixMs: report.Incarnation.StartedUnixMs, Sequence: report.Sequence, Capacity: report.Capacity,
 		Service: m.GetService(), Address: m.GetAddress(), Zone: m.GetZone(), Rack: m.GetRack(), Draining: m.GetDraining(),
 		LargestCapacity: fleet.Resources{MilliCPU: m.GetLargestMilliCpu(), MemoryMB: m.GetLargestMemoryMb(), GPUs: m.GetLargestGpus()},
 	}
@@ -81,11 +80,11 @@
 	})
 }
 
-// taskHistoryToProto words what tasks that go elsewhere take along, by task.
-func taskHistoryToProto(past map[int]schedule.TaskHistory) []*inner.TaskPast {
+// taskHistoryToProto returns the histories of tasks, ordered by task.
+func taskHistoryToProto(history map[int]schedule.TaskHistory) []*inner.TaskPast {
 	var list []*inner.TaskPast
-	for _, task := range slices.Sorted(maps.Keys(past)) {
-		list = append(list, &inner.TaskPast{Task: uint32(task), Number: past[task].LastRun, Failed: uint32(past[task].FailedRuns), Crashed: uint32(past[task].Crashes)})
+	for _, task := range slices.Sorted(maps.Keys(history)) {
+		list = append(list, &inner.TaskPast{Task: uint32(task), Number: history[task].LastRun, Failed: uint32(history[task].FailedRuns), Crashed: uint32(history[task].Crashes)})
 	}
 	return list
 }
@@ -94,11 +93,11 @@
 	if len(list) == 0 {
 		return nil
 	}
-	past := make(map[int]schedule.TaskHistory, len(list))
+	history := make(map[int]schedule.TaskHistory, len(list))
 	for _, t := range list {
-		past[int(t.GetTask())] = schedule.TaskHistory{LastRun: t.GetNumber(), FailedRuns: int(t.GetFailed()), Crashes: int(t.GetCrashed())}
+		history[int(t.GetTask())] = schedule.TaskHistory{LastRun: t.GetNumber(), FailedRuns: int(t.GetFailed()), Crashes: int(t.GetCrashed())}
 	}
-	return past
+	return history
 }
 
 func offerReturnedFrame(g *owner.Group, r schedule.Result, l schedule.Load) *inner.Frame {
@@ -115,8 +114,8 @@
 	}}}
 }
 
-// offerToProto words an offer whose customer was there at a time of the receiver's clock, in
-// milliseconds.
+// offerToProto returns the message for an offer. aliveMs is when the customer was last known
+// to be connected, in milliseconds of the receiver's clock.
 func offerToProto(group string, o schedule.Offer, aliveMs uint64) *inner.Offer {
 	return &inner.Offer{
 		Group: group, Job: o.Key.ID, Part: uint32(o.Key.Part), Service: o.Service, Route: o.Route, Spec: o.Spec,
@@ -128,7 +127,8 @@
 	}
 }
 
-// offerFromProto reads an offer, but for whose it is and when its customer was there.
+// offerFromProto returns the offer in a message, without Key.Coordinator and AliveAt, which
+// the caller sets.
 func offerFromProto(m *inner.Offer) schedule.Offer {
 	return schedule.Offer{
 		Key:     schedule.JobKey{ID: m.GetJob(), Part: int(m.GetPart())},
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -127,7 +127,7 @@
 func TestInUse(t *testing.T) {
 	r := newRouter(nil)
 	now := clock.Now()
-	r.openOffers[offerKey{group: "b/0"}] = &sentOffer{peer: "long"}
+	r.openOffers[offerKey{group: "b/0"}] = &openOffer{peer: "long"}
 	r.lastOfferAt["long"] = now.Add(-2 * activeOwnerPeriod)
 	r.lastOfferAt["lately"] = now.Add(-activeOwnerPeriod / 2)
 	r.lastOfferAt["before"] = now.Add(-2 * activeOwnerPeriod)
--- a/node/node.go
+++ b/node/node.go
@@ -55,7 +55,7 @@
 	upstreamClient         *platform.UpstreamClient
 	mesh                   *inner.Mesh
 	directory              *directory.Directory // of upstreams and zones; its lock is taken after all others
-	refusals               entryRefusals
+	invalidEntries         invalidEntries
 	router                 *router
 	ingress                *ingress.Coordinator
 	server                 *ingress.Server
--- a/node/operators.go
+++ b/node/operators.go
@@ -15,10 +15,10 @@
 	"github.com/samber/lo"
 )
 
-// What operators want stands in the store: the configuration, and the availability
-// zones that are evacuated. One watch tells of both.
+// Operators write the configuration and the evacuations of availability zones to the store,
+// below one prefix, so that one watch covers both.
 
-// followOperators keeps up with both until the instance stops.
+// followOperators follows the configuration and the evacuations until the instance ends.
 func (n *Node) followOperators() {
 	n.follow(storeFollower{
 		prefix: platform.OperatorPrefix, watchWait: n.configWatchWait, readPause: noPause,
@@ -33,7 +33,8 @@
 	})
 }
 
-// zoneStatesFromStore returns what some keys say of the evacuation of availability zones.
+// zoneStatesFromStore returns the states of availability zones that are among some keys of
+// the store.
 func zoneStatesFromStore(items []platform.Item) []directory.ZoneState {
 	return lo.FilterMap(items, func(i platform.Item, _ int) (directory.ZoneState, bool) {
 		zone, isZone := platform.EvacuatedZone(i.Key)
@@ -41,8 +42,8 @@
 	})
 }
 
-// applyZoneChanges acts on evacuations that began or were taken back: owned groups start
-// nothing more in those zones, or may again, and peers hear of it at once.
+// applyZoneChanges applies evacuations that have begun or ended. Owned groups stop or resume
+// starting tasks in those zones, and peers are notified at once.
 func (n *Node) applyZoneChanges(changed []directory.ZoneState, from string) {
 	for _, s := range changed {
 		e := event.ZoneReturned
@@ -58,7 +59,8 @@
 	n.tick()
 }
 
-// applyPeerZones takes what a peer knows of evacuated zones.
+// applyPeerZones applies the evacuations in the heartbeat of a peer, if it knows any state
+// from the store.
 func (n *Node) applyPeerZones(from string, p *inner.Presence) {
 	if p.GetZonesRevision() == 0 {
 		return
@@ -72,7 +74,7 @@
 	})
 }
 
-// addZoneStates words what this instance knows of evacuated zones.
+// addZoneStates adds the known evacuations to a heartbeat.
 func (n *Node) addZoneStates(p *inner.Presence) {
 	var states []directory.ZoneState
 	states, p.ZonesRevision = n.directory.Zones()
@@ -81,8 +83,8 @@
 	}
 }
 
-// writeZoneGauges writes which zones are evacuated, and the revision of the store at which
-// all evacuations were listed last.
+// writeZoneGauges writes the gauges of the evacuated zones, and the revision of the store at
+// which the full list of evacuations was last read.
 func (n *Node) writeZoneGauges(w io.Writer) {
 	states, revision := n.directory.Zones()
 	fmt.Fprintf(w, "sedgehatch_zones_revision %d\n", revision)
@@ -95,7 +97,7 @@
 	}
 }
 
-// applyConfigItem puts the configuration in force that is among some keys.
+// applyConfigItem applies the configuration if it is among some keys of the store.
 func (n *Node) applyConfigItem(items []platform.Item) {
 	for _, item := range items {
 		if item.Key == platform.ConfigKey && !item.Deleted {
@@ -104,9 +106,10 @@
 	}
 }
 
-// configWatchWait bounds a watch on the configuration. An answer that is lost is noticed
-// that late by those who watch closely; the others hear of a new version with the next
-// heartbeat of these. One that hears few of them watches closely itself.
+// configWatchWait returns how long the store may keep a watch on the configuration open. If a
+// response is lost, a new version is noticed only after that time, so that the first hubs of
+// a zone use a short one. The other instances learn of a new version from the heartbeats of
+// those. An instance that receives heartbeats from too few hubs uses the short time too.
 func (n *Node) configWatchWait() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,7 +123,7 @@
 	}
 }
 
-// peerWatchWait bounds a watch on the list of instances.
+// peerWatchWait returns how long the store may keep a watch on the list of instances open.
 func (n *Node) peerWatchWait() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -130,7 +133,7 @@
 	return spokeWatchWait
 }
 
-// countLiveHubs counts the other hubs of the own availability zone that live. The lock is
+// countLiveHubs returns the number of other hubs of the own zone that are alive. n.mu is
 // held.
 func (n *Node) countLiveHubs() int {
 	return len(n.peers.Filter(func(p membership.Peer) bool {
@@ -139,7 +142,7 @@
 	}))
 }
 
-// applyConfig puts a configuration in force, unless it is not newer.
+// applyConfig applies a configuration if it is valid and newer than the current one.
 func (n *Node) applyConfig(raw []byte, from string) {
 	config, err := platform.ParseConfig(raw)
 	if err != nil {
@@ -158,5 +161,5 @@
 	event.ConfigApplied.Log(n.log, slog.Uint64("version", config.Version), slog.String("from", from), slog.Int("routes", len(config.Routes)))
 	n.directory.SetServices(config.Services)
 	n.updateGroups()
-	n.tick() // peers hear of it at once
+	n.tick() // notifies peers at once
 }
--- a/node/registration.go
+++ b/node/registration.go
@@ -16,6 +16,8 @@
 	"github.com/samber/lo"
 )
 
+// followPeers follows the keys that instances write to the store, which are the entries of the
+// instances and the number of groups of each zone, until the instance ends.
 func (n *Node) followPeers() {
 	listings := map[string]membership.Listing{}
 	update := func(items []platform.Item) {
@@ -33,7 +35,7 @@
 				continue
 			}
 			entry, err := platform.ParseInstance(item.Value)
-			if n.refusals.record(n, item.Key, err) {
+			if n.invalidEntries.record(n, item.Key, err) {
 				delete(listings, name)
 				continue
 			}
@@ -48,37 +50,39 @@
 	})
 }
 
+// readGroupCount applies a store key with the number of groups of a zone.
 func (n *Node) readGroupCount(zone string, item platform.Item) {
 	if item.Deleted {
-		return // it holds for the life of the system
+		return // the number never changes, so it is kept
 	}
 	groups, err := parseGroupCount(string(item.Value))
-	if !n.refusals.record(n, item.Key, err) {
+	if !n.invalidEntries.record(n, item.Key, err) {
 		n.setGroupCount(zone, groups)
 	}
 }
 
-// maxGroupsPerZone bounds the groups of one availability zone: some times those of the
-// largest that is planned for, which has 460 upstreams.
+// maxGroupsPerZone is the maximum number of groups of an availability zone. It is several
+// times what the largest planned zone needs, which has 460 upstreams.
 const maxGroupsPerZone = 256
 
-// parseGroupCount reads the number of groups of an availability zone.
+// parseGroupCount parses and validates the number of groups of an availability zone.
 func parseGroupCount(text string) (int, error) {
 	groups, err := strconv.Atoi(text)
 	if err != nil || groups < 1 || groups > maxGroupsPerZone {
-		return 0, failure.Field(failure.Protocol, "groups", "%q is no number from 1 to %d", text, maxGroupsPerZone)
+		return 0, failure.Field(failure.Protocol, "groups", "%q is not a number from 1 to %d", text, maxGroupsPerZone)
 	}
 	return groups, nil
 }
 
+// applyPeerList takes the list of instances and sends heartbeats to new ones at once.
 func (n *Node) applyPeerList(listings map[string]membership.Listing) {
 	n.setPeerList(listings)
-	n.tick() // new peers hear of this instance at once
+	n.tick()
 }
 
-// setPeerList takes the list of instances. Whom of them this instance has to hear
-// before it takes a group is worked out under the same lock: in between, it would
-// take the groups of peers that it has just read of and has not heard yet.
+// setPeerList takes the list of instances, and updates the neighbours under the same lock.
+// Between two locks, this instance could take the groups of peers that it has just read of
+// and that it should wait for, because it did not consider them neighbours yet.
 func (n *Node) setPeerList(listings map[string]membership.Listing) {
 	list := make([]membership.Listing, 0, len(listings))
 	for name, l := range listings {
@@ -98,11 +102,12 @@
 	n.updateNeighboursLocked(activeOwners)
 }
 
-// keepRegistered keeps this instance's entry in the store.
+// keepRegistered keeps the entry of this instance in the store until the instance ends: it
+// renews the lease of the entry, and creates the entry again if the lease has expired.
 func (n *Node) keepRegistered() {
 	value, err := platform.EncodeInstance(fleet.InstanceEntry{Address: n.settings.PeerAddress, Region: n.settings.Region, Zone: n.settings.Zone, Share: n.settings.CPUShare})
 	if err != nil {
-		event.ServeFailed.Log(n.log, slog.String("error", err.Error())) // cannot happen: plain fields
+		event.ServeFailed.Log(n.log, slog.String("error", err.Error())) // cannot happen: all fields can be encoded
 		return
 	}
 	lease := uint64(0)
@@ -121,7 +126,8 @@
 	}
 }
 
-// createRegistration returns the lease of the new entry, or 0.
+// createRegistration writes the entry of this instance to the store. It returns the lease of
+// the entry, or 0 if the store failed.
 func (n *Node) createRegistration(value []byte) uint64 {
 	lease, err := n.store.Grant(max(registrationTTL, n.settings.MinLeaseTTL))
 	if err == nil {
@@ -134,10 +140,11 @@
 	return lease
 }
 
-// readPausePerPeer is how long the list of peers rests for each of them: each change
-// is read by all.
+// readPausePerPeer is the pause between reads of the list of instances, for each instance on
+// it. Every change is read by all instances, so that the load grows with their number.
 const readPausePerPeer = time.Millisecond
 
+// peerReadPause returns the pause between reads of the list of instances.
 func (n *Node) peerReadPause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/relay.go
+++ b/node/relay.go
@@ -10,15 +10,15 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// Hubs pass on what they hear of owners in other availability zones to the
-// instances of their own that hear none of them.
+// Spokes receive no heartbeats from other zones. The hubs of their zone relay to them which
+// instances own the groups of other zones, and the load of those groups.
 
-// ownersToRelay returns what this instance tells the spokes of its zone of owners in
-// others: each hub tells a part.
+// ownersToRelay returns the owners in other zones that this instance relays to the spokes of
+// its zone, or nil if no relay is due. Each hub relays a share of the owners.
 func (n *Node) ownersToRelay() []*inner.RemoteOwner {
 	n.mu.Lock()
-	around := n.neighbours
-	due := len(around.Spokes) > 0 && clock.Since(n.lastRelay) >= relayInterval
+	neighbours := n.neighbours
+	due := len(neighbours.Spokes) > 0 && clock.Since(n.lastRelay) >= relayInterval
 	if due {
 		n.lastRelay = clock.Now()
 	}
@@ -26,17 +26,17 @@
 	if !due {
 		return nil
 	}
-	var mine []*inner.RemoteOwner
+	var share []*inner.RemoteOwner
 	for i, o := range n.router.ownersInOtherZones() {
-		if i%around.HubCount == around.Rank {
-			mine = append(mine, o)
+		if i%neighbours.HubCount == neighbours.Rank {
+			share = append(share, o)
 		}
 	}
-	return mine
+	return share
 }
 
-// ownersInOtherZones returns what is known of owners in other availability zones at
-// first hand, by group.
+// ownersInOtherZones returns the owners in other zones that have sent heartbeats to this
+// instance themselves, ordered by group.
 func (r *router) ownersInOtherZones() []*inner.RemoteOwner {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,20 +56,21 @@
 	return list
 }
 
-// handleRelayedOwners takes what a hub passes on of owners in other availability zones. What
-// this instance heard itself lately goes before it.
+// handleRelayedOwners records the owners in other zones that a hub relays, unless a newer
+// report is known, and removes relayed owners that no hub has reported for
+// relayedOwnerExpiry.
 func (r *router) handleRelayedOwners(owners []*inner.RemoteOwner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range owners {
 		c := o.GetClaim()
-		heard := clock.Now().Add(-time.Duration(o.GetAgeMs()) * time.Millisecond)
+		reportedAt := clock.Now().Add(-time.Duration(o.GetAgeMs()) * time.Millisecond)
 		v := r.peerOwners[c.GetGroup()]
-		if v != nil && (v.token > c.GetToken() || v.reportedAt.After(heard)) {
+		if v != nil && (v.token > c.GetToken() || v.reportedAt.After(reportedAt)) {
 			continue
 		}
 		r.peerOwners[c.GetGroup()] = &peerOwner{
-			peer: fate.Incarnation(o.GetIncarnation()), token: c.GetToken(), load: ownerLoad(c.GetGroup(), loadFromProto(c)), reportedAt: heard, relayed: true,
+			peer: fate.Incarnation(o.GetIncarnation()), token: c.GetToken(), load: ownerLoad(c.GetGroup(), loadFromProto(c)), reportedAt: reportedAt, relayed: true,
 		}
 	}
 	for group, v := range r.peerOwners {
--- a/node/router.go
+++ b/node/router.go
@@ -18,54 +18,55 @@
 	"github.com/sedgehatch/sedgehatch/schedule"
 )
 
-// router passes offers between the coordinator of this instance and the owners
-// of groups, here and on peers.
+// router routes offers from the coordinator of this instance to the owners of groups, on this
+// instance or on a peer, and offers of peers to the groups that this instance owns.
 type router struct {
 	node *Node
 	mu   sync.Mutex
-	// peerOwners holds what is known of owners on peers, by group.
+	// peerOwners holds the owners on peers, by group.
 	peerOwners map[string]*peerOwner
-	// lastOfferAt holds when an offer was last sent to an instance.
+	// lastOfferAt holds when the last offer was sent to an instance, by name.
 	lastOfferAt map[string]time.Time
-	// openOffers holds the offers to peers that have not ended.
-	openOffers map[offerKey]*sentOffer
-	// leasesRenewedAt holds when the leases of the offers on a connection were leasesRenewedAt last, by
-	// its number.
+	// openOffers holds the offers that were sent to peers and have not ended.
+	openOffers map[offerKey]*openOffer
+	// leasesRenewedAt holds when the lease of the offers on a connection was last
+	// renewed, by number of the connection.
 	leasesRenewedAt map[uint64]time.Time
-	// peerClocks holds the latest time of its steady clock, in milliseconds, that each peer
-	// has told.
+	// peerClocks holds the latest time that each peer has sent of its monotonic clock, in
+	// milliseconds.
 	peerClocks map[fate.Incarnation]uint64
 }
 
-// sentOffer is an offer to a peer.
-type sentOffer struct {
+// openOffer is an offer that was sent to a peer and has not ended.
+type openOffer struct {
 	owner.OfferCallbacks
-	peer string     // the instance that it went to
-	link inner.Link // that it went on; nil while it is being sent
-	// withdrawn is set once the offer is not wanted any more, for a reason.
+	peer string     // name of the instance that the offer was sent to
+	link inner.Link // connection on which the offer was sent; nil while it is being sent
+	// withdrawn is set when the coordinator withdraws the offer, with the reason.
 	withdrawn bool
 	reason    string
 }
 
-// peerOwner is what is known of the owner of a group on a peer.
+// peerOwner is the last reported state of a group that a peer owns.
 type peerOwner struct {
 	peer       fate.Incarnation
 	token      uint64
 	load       ingress.OwnerLoad
 	reportedAt time.Time
-	// relayed is set where a hub has passed it on.
+	// relayed is set if a hub has relayed the report, and not set if the owner has sent
+	// it itself.
 	relayed bool
 }
 
-// isFresh reports whether the owner was heard of lately.
-func (v *peerOwner) isFresh() bool {
-	if v.relayed {
-		return clock.Since(v.reportedAt) < maxRelayedLoadAge
+// isFresh reports whether the last report of the owner is recent enough to rely on.
+func (o *peerOwner) isFresh() bool {
+	if o.relayed {
+		return clock.Since(o.reportedAt) < maxRelayedLoadAge
 	}
-	return clock.Since(v.reportedAt) < maxLoadAge
+	return clock.Since(o.reportedAt) < maxLoadAge
 }
 
-// offerKey names an offer to a peer.
+// offerKey identifies an offer to a peer.
 type offerKey struct {
 	group string
 	job   schedule.JobKey
@@ -73,23 +74,26 @@
 
 func newRouter(n *Node) *router {
 	return &router{
-		node: n, peerOwners: map[string]*peerOwner{}, lastOfferAt: map[string]time.Time{}, openOffers: map[offerKey]*sentOffer{},
+		node: n, peerOwners: map[string]*peerOwner{}, lastOfferAt: map[string]time.Time{}, openOffers: map[offerKey]*openOffer{},
 		leasesRenewedAt: map[uint64]time.Time{}, peerClocks: map[fate.Incarnation]uint64{},
 	}
 }
 
-// findGroup returns a findGroup that this instance owns, and whether it takes offers.
+// findGroup returns a group that this instance owns, nil if it does not own it, and whether
+// the group accepts offers. A group that is being handed over accepts none.
 func (r *router) findGroup(name string) (g *owner.Group, open bool) {
 	r.node.mu.Lock()
 	defer r.node.mu.Unlock()
-	h := r.node.groups[name]
-	if h == nil {
+	owned := r.node.groups[name]
+	if owned == nil {
 		return nil, false
 	}
-	return h.Group, !h.handingOver
+	return owned.Group, !owned.handingOver
 }
 
-// Loads implements ingress.Owners.
+// Loads implements ingress.Owners. It returns the loads of the groups that this instance
+// owns, and of those on peers with a fresh report. Stale reports are used only if there is
+// nothing else.
 func (r *router) Loads() []ingress.OwnerLoad {
 	r.node.mu.Lock()
 	own := slices.DeleteFunc(r.node.ownedGroupsLocked(), func(g *ownedGroup) bool { return g.handingOver })
@@ -123,7 +127,7 @@
 	return ingress.OwnerLoad{Group: group, Zone: zoneOfGroup(group), Free: l.Free, Waiting: l.Waiting, Capacity: l.Capacity, Closed: l.Closed}
 }
 
-// handleClaims takes what a peer says of the groups that it owns.
+// handleClaims updates the owners of groups from the claims in a heartbeat of a peer.
 func (r *router) handleClaims(from fate.Incarnation, p *inner.Presence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,7 +147,7 @@
 	}
 }
 
-// forgetPeer forgets a peer.
+// forgetPeer removes what is known of a peer that is dead.
 func (r *router) forgetPeer(peer fate.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,22 +159,23 @@
 	delete(r.peerClocks, peer)
 }
 
-// Offer implements ingress.Owners.
-func (r *router) Offer(group string, o schedule.Offer, answer owner.OfferCallbacks) error {
+// Offer implements ingress.Owners. It hands the offer to the group if this instance owns it,
+// and otherwise sends it to the owner.
+func (r *router) Offer(group string, o schedule.Offer, callbacks owner.OfferCallbacks) error {
 	if g, open := r.findGroup(group); open {
 		o.Key.Coordinator = string(r.node.self)
-		return g.Offer(o, answer)
+		return g.Offer(o, callbacks)
 	}
 	r.mu.Lock()
 	v := r.peerOwners[group]
 	if v == nil {
 		r.mu.Unlock()
-		return failure.Unreachable.New("no owner of group %s is known", group)
+		return failure.Unreachable.New("group %s has no known owner", group)
 	}
 	k := offerKey{group, o.Key}
 	peer := v.peer
-	sent := &sentOffer{OfferCallbacks: answer, peer: peer.Instance()}
-	r.openOffers[k] = sent
+	tracked := &openOffer{OfferCallbacks: callbacks, peer: peer.Instance()}
+	r.openOffers[k] = tracked
 	v.load.Free -= len(o.Tasks)
 	r.lastOfferAt[peer.Instance()] = clock.Now()
 	aliveMs := aliveOnPeerClock(r.peerClocks[peer], o.AliveAt)
@@ -182,8 +187,8 @@
 		return err
 	}
 	r.mu.Lock()
-	sent.link = link
-	withdrawn, reason := sent.withdrawn, sent.reason
+	tracked.link = link
+	withdrawn, reason := tracked.withdrawn, tracked.reason
 	r.mu.Unlock()
 	if withdrawn {
 		r.sendWithdrawal(link, k, reason)
@@ -191,37 +196,42 @@
 	return nil
 }
 
-// removeOffer removes an open offer, and returns nil where it is not open.
-func (r *router) removeOffer(k offerKey) *sentOffer {
+// removeOffer removes and returns an open offer. It returns nil if the offer is not open.
+func (r *router) removeOffer(k offerKey) *openOffer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sent := r.openOffers[k]
+	offer := r.openOffers[k]
 	delete(r.openOffers, k)
-	return sent
+	return offer
 }
 
-// handleOfferEnd takes the reply to an offer, or the loss of its connection.
+// handleOfferEnd takes the reply to an offer, or the error if the connection broke, and passes
+// the result to the coordinator.
 func (r *router) handleOfferEnd(k offerKey, f *inner.Frame, err error) {
-	answer := r.removeOffer(k)
-	if answer == nil {
+	offer := r.removeOffer(k)
+	if offer == nil {
 		return
 	}
 	switch {
 	case failure.Is(err, failure.Stopping):
-		answer.OfferEnded(schedule.Result{Key: k.job, Outcome: schedule.Completed}, schedule.Load{})
+		// The peer has rejected the offer and started nothing. A result without any
+		// done task makes the coordinator offer all tasks again.
+		offer.OfferEnded(schedule.Result{Key: k.job, Outcome: schedule.Completed}, schedule.Load{})
 	case err != nil:
 		event.OfferLost.Log(r.node.log, slog.String("job", k.job.ID), slog.String("group", k.group), slog.String("error", err.Error()))
-		answer.OfferEnded(schedule.Result{Key: k.job, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
+		offer.OfferEnded(schedule.Result{Key: k.job, Outcome: schedule.Unknown, Begun: true}, schedule.Load{})
 	default:
 		ended := f.GetOfferEnded()
 		r.updateLoad(ended.GetLoad())
-		answer.OfferEnded(schedule.Result{
+		offer.OfferEnded(schedule.Result{
 			Key: k.job, Outcome: schedule.Outcome(ended.GetOutcome()), Begun: ended.GetBegun(),
 			Done: toInts(ended.GetDone()), Returned: toInts(ended.GetReturned()), History: taskHistoryFromProto(ended.GetPast()),
 		}, loadFromProto(ended.GetLoad()))
 	}
 }
 
+// updateLoad updates the load of a group from a claim that came with a reply, if the claim is
+// made under the known token.
 func (r *router) updateLoad(c *inner.Claim) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,23 +241,24 @@
 	}
 }
 
-// handleReturned takes tasks back from an owner on a peer.
+// handleReturned passes tasks that an owner on a peer returns to the coordinator.
 func (r *router) handleReturned(m *inner.OfferReturned) {
 	r.updateLoad(m.GetLoad())
 	k := offerKey{m.GetGroup(), schedule.JobKey{ID: m.GetJob(), Part: int(m.GetPart())}}
 	r.mu.Lock()
-	answer := r.openOffers[k]
+	offer := r.openOffers[k]
 	r.mu.Unlock()
-	if answer != nil {
-		answer.TasksReturned(schedule.Result{Key: k.job, Returned: toInts(m.GetTasks()), History: taskHistoryFromProto(m.GetPast()), Begun: m.GetBegun()}, loadFromProto(m.GetLoad()))
+	if offer != nil {
+		offer.TasksReturned(schedule.Result{Key: k.job, Returned: toInts(m.GetTasks()), History: taskHistoryFromProto(m.GetPast()), Begun: m.GetBegun()}, loadFromProto(m.GetLoad()))
 	}
 }
 
-// Withdraw implements ingress.Owners.
+// Withdraw implements ingress.Owners. If the offer is still being sent, Offer sends the
+// withdrawal.
 func (r *router) Withdraw(group string, key schedule.JobKey, reason string) {
 	k := offerKey{group, key}
-	sent := r.removeOffer(k)
-	if sent == nil {
+	offer := r.removeOffer(k)
+	if offer == nil {
 		if g, _ := r.findGroup(group); g != nil {
 			key.Coordinator = string(r.node.self)
 			g.Withdraw(key, reason)
@@ -255,16 +266,16 @@
 		return
 	}
 	r.mu.Lock()
-	sent.withdrawn, sent.reason = true, reason
-	link := sent.link
+	offer.withdrawn, offer.reason = true, reason
+	link := offer.link
 	r.mu.Unlock()
 	if link != nil {
 		r.sendWithdrawal(link, k, reason)
 	}
 }
 
-// sendWithdrawal follows an offer on its connection. Once that is closed, its
-// owner has ended the offer by itself.
+// sendWithdrawal withdraws an offer on the connection on which it was sent. If the connection
+// is closed, the owner ends the offer without a withdrawal.
 func (r *router) sendWithdrawal(link inner.Link, k offerKey, reason string) {
 	frame := &inner.Frame{Body: &inner.Frame_OfferWithdrawn{OfferWithdrawn: &inner.OfferWithdrawn{
 		Group: k.group, Job: k.job.ID, Part: uint32(k.job.Part), Reason: reason,
@@ -274,12 +285,13 @@
 	}
 }
 
-// coordinatorName names the coordinator of the offers that come on a connection.
+// coordinatorName returns the name under which a group knows the coordinator of the offers on
+// a connection. It differs between the connections of one peer.
 func coordinatorName(link inner.Link, from fate.Incarnation) string {
 	return string(from) + "#" + strconv.FormatUint(link.Number(), 10)
 }
 
-// handleOffer takes the offer of a peer.
+// handleOffer hands the offer of a peer to the group, and replies when the offer ends.
 func (r *router) handleOffer(link inner.Link, from fate.Incarnation, m *inner.Offer, reply func(*inner.Frame)) {
 	g, _ := r.findGroup(m.GetGroup())
 	if g == nil {
@@ -291,7 +303,7 @@
 	o.AliveAt = r.node.timeOfClock(m.GetAliveMs())
 	err := g.Offer(o, owner.OfferCallbacks{
 		TasksReturned: func(res schedule.Result, l schedule.Load) {
-			_ = link.Send(offerReturnedFrame(g, res, l)) // a closed connection has ended the offer
+			_ = link.Send(offerReturnedFrame(g, res, l)) // if the connection is closed, the offer has been ended
 		},
 		OfferEnded: func(res schedule.Result, l schedule.Load) { reply(offerEndedFrame(g, res, l)) },
 	})
@@ -306,8 +318,8 @@
 	}
 }
 
-// handleLinkClosed ends the offers that came on a connection: their coordinator takes
-// them for lost, and its customers may send them again.
+// handleLinkClosed withdraws the offers that arrived on a connection: their coordinator
+// considers them lost, and its customers may submit the jobs again.
 func (r *router) handleLinkClosed(link inner.Link, from fate.Incarnation) {
 	coordinator := coordinatorName(link, from)
 	for _, g := range r.node.ownedGroups() {
@@ -318,21 +330,22 @@
 	r.mu.Unlock()
 }
 
-// activeOwners returns the instances that have an offer of this one, or had one lately:
-// both sides must notice soon when the other is lost.
+// activeOwners returns the instances that have an open offer of this one, or were sent one
+// within activeOwnerPeriod. They exchange heartbeats with this instance, because each side
+// must detect soon if the other is lost.
 func (r *router) activeOwners() map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	used := map[string]bool{}
-	for _, sent := range r.openOffers {
-		used[sent.peer] = true
+	active := map[string]bool{}
+	for _, offer := range r.openOffers {
+		active[offer.peer] = true
 	}
 	for instance, at := range r.lastOfferAt {
 		if clock.Since(at) > activeOwnerPeriod {
 			delete(r.lastOfferAt, instance)
 			continue
 		}
-		used[instance] = true
+		active[instance] = true
 	}
-	return used
+	return active
 }
--- a/node/suspension.go
+++ b/node/suspension.go
@@ -8,12 +8,13 @@
 	"github.com/sedgehatch/sedgehatch/event"
 )
 
-// minSuspension is what counts as a suspension of the machine: as long as one beat, so
-// that peers and owners may have missed one.
+// minSuspension is the shortest suspension of the machine that is acted on. It is as long as
+// the heartbeat interval, so that peers may have missed a heartbeat.
 const minSuspension = 100 * time.Millisecond
 
-// detectSuspension looks whether the machine was suspended since the last beat. All ages
-// count that time; timers do not, and fire late by it.
+// detectSuspension checks whether the machine was suspended since the last tick. Package clock
+// includes suspended time, but timers do not and fire late by it, so that jobs whose customers
+// have stopped waiting are ended here.
 func (n *Node) detectSuspension() {
 	total := clock.Suspended()
 	n.mu.Lock()
--- a/node/timing.go
+++ b/node/timing.go
@@ -6,129 +6,144 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// The timings of an instance, in one list: several of them have to fit together.
+// This file holds the timings of an instance in one place, because several of them depend on
+// each other.
 
 // Heartbeats.
 
 const (
-	// heartbeatInterval is how often peers hear of this instance, and joinEvery
-	// that while the upstreams of a group that it has just taken join.
+	// heartbeatInterval is the interval of heartbeats to near neighbours, which are the
+	// other hubs of the zone of a hub.
 	heartbeatInterval = 100 * time.Millisecond
-	// farHeartbeatInterval is the same for far neighbours: bytes between availability
-	// zones have a price, and a large zone has many instances.
-	farHeartbeatInterval  = 250 * time.Millisecond
+	// farHeartbeatInterval is the interval of heartbeats to all other neighbours. It is
+	// longer because traffic between zones is charged for, and because a large zone has
+	// many instances.
+	farHeartbeatInterval = 250 * time.Millisecond
+	// joinHeartbeatInterval is the interval of heartbeats for joinPeriod after this
+	// instance has taken a group, while the upstreams of the group accept it.
 	joinHeartbeatInterval = 20 * time.Millisecond
 	joinPeriod            = 400 * time.Millisecond
-	// dialTimeout bounds opening a connection to a peer: a round trip takes
-	// about a millisecond, and a lost opening packet is sent again only after
-	// seconds.
+	// dialTimeout is the time limit for opening a connection to a peer. A round trip
+	// takes about 1 ms, and a lost SYN packet is sent again only after seconds.
 	dialTimeout = 250 * time.Millisecond
-	// settleTime is how long a new instance listens at most before it owns
-	// anything: peers that live answer within a few round trips, and after a
-	// restart of all every moment is one without service.
+	// settleTime is how long a new instance waits for heartbeats before it takes groups.
+	// Peers that run respond within a few round trips, and after a restart of the whole
+	// fleet there is no service until the groups are taken.
 	settleTime = 200 * time.Millisecond
-	// busySettleTime is the same while a peer accepts connections and says
-	// nothing yet: it runs, and may own what this instance would take from it. At
-	// the start of all, a small instance stands still for most of a second.
+	// busySettleTime is the same while a peer accepts connections but has not sent a
+	// heartbeat yet. It runs, and may own the groups that this instance would take. When
+	// the whole fleet starts, a small instance is unresponsive for most of a second.
 	busySettleTime = 2 * time.Second
-	// seedDelay is when an instance without peers tries those of its settings.
+	// seedDelay is the age at which an instance that knows no peers contacts the seed
+	// peers of its settings.
 	seedDelay = 100 * time.Millisecond
 )
 
-// silenceLimits bounds how long a peer may be silent: a job of an instance that is
-// lost must be stopped well before its customer sends it again.
+// silenceLimits holds how long a peer may be silent before it is suspected or dead. The tasks
+// of a lost instance must be stopped well before its customers submit their jobs again.
 var silenceLimits = membership.Config{SuspectMs: 350, DeadMs: 600, FarFactor: 2}
 
-// dialYieldDelay is how long the instance of two whose name sorts last leaves opening
-// a connection to the other: one between them is enough.
+// dialYieldDelay is how long an instance waits before it dials a peer whose name sorts before
+// its own. The peer may dial first, and one connection between the two is enough.
 const dialYieldDelay = 30 * time.Millisecond
 
-// recentChangePeriod is how long a drain is passed on: every peer has heard of it then,
-// or reads it in the store.
+// recentChangePeriod is how long heartbeats report that an upstream is draining or has changed
+// its capacity. By then every peer has received it or reads it from the store.
 const recentChangePeriod = 3 * time.Second
 
-// relayInterval is how often a hub passes on what it hears of owners in other
-// availability zones.
+// relayInterval is the interval at which a hub relays owners in other zones to the spokes of
+// its zone.
 const relayInterval = 500 * time.Millisecond
 
 // Loads of owners.
 
-// maxLoadAge is how old the load report of an owner may be for jobs to go there while
-// others can take them: it is about to be found lost.
+// maxLoadAge is the maximum age of an owner's last load report at which jobs are offered to it
+// while other owners can take them. An older report means that the owner may be lost.
 const maxLoadAge = 350 * time.Millisecond
 
 const (
-	// maxRelayedLoadAge is staleLoad for what a hub passes on, which comes that
-	// much later.
+	// maxRelayedLoadAge is the same for an owner that a hub relays, whose reports arrive
+	// later by up to the interval of relays and that of heartbeats between zones.
 	maxRelayedLoadAge = maxLoadAge + relayInterval + farHeartbeatInterval
-	// relayedOwnerExpiry is when an owner that no hub speaks of is forgotten.
+	// relayedOwnerExpiry is the age of the last report at which a relayed owner is
+	// removed.
 	relayedOwnerExpiry = 3 * time.Second
-	// activeOwnerPeriod is how long the owner of an offer counts as in use after it.
+	// activeOwnerPeriod is how long an instance counts as an active owner after the last
+	// offer was sent to it.
 	activeOwnerPeriod = 5 * time.Second
 )
 
-// The store.
+// Reads of the store.
 
 const (
-	// shortConfigWatchWait bounds a watch on the configuration of the first hubs of an
-	// availability zone: an answer that is lost is noticed that late, and versions
-	// must be in force within seconds. configWait is that of the other instances.
+	// shortConfigWatchWait is how long the store may keep a watch on the configuration
+	// open for the first hubs of a zone. If a response is lost, they notice that only
+	// after this time, and a new version must be in use within seconds.
 	shortConfigWatchWait = 900 * time.Millisecond
-	hubConfigWatchWait   = 3 * time.Second
-	// upstreamWatchWait and peerWait bound the other watches.
+	// hubConfigWatchWait is the same for the other hubs.
+	hubConfigWatchWait = 3 * time.Second
+	// upstreamWatchWait is the same for watches on the upstreams, and hubPeerWatchWait for
+	// watches of hubs on the list of instances.
 	upstreamWatchWait = 1500 * time.Millisecond
 	hubPeerWatchWait  = 3 * time.Second
-	// spokeWatchWait bounds the watches of an instance that hears several hubs: what a lost
-	// answer would have told comes with their heartbeats. Most calls to the store are such
-	// watches that end without anything to tell.
+	// spokeWatchWait is the same for watches of spokes that receive heartbeats of several
+	// hubs: what a lost response contained arrives with those. Most calls to the store are
+	// watches that end without changes, so that a long time saves many of them.
 	spokeWatchWait = 15 * time.Second
-	// The entries of upstreams change with every heartbeat, so that a watch
-	// returns at once. An owner must hear soon that an upstream drains; others
-	// only need the list for a takeover.
+	// ownerReadPause is the pause between reads of the upstreams on an instance that owns
+	// groups, and standbyReadPause on one that does not. The upstreams change their
+	// entries with each of their heartbeats, so that a watch returns at once. An owner must
+	// learn soon that an upstream drains, other instances need the list only for a
+	// takeover.
 	ownerReadPause   = 400 * time.Millisecond
 	standbyReadPause = 1200 * time.Millisecond
-	// fullReadInterval is how often an instance that only stands by for larger ones reads
-	// all upstreams, for the case that it must own them while the store is away: an
-	// entry is some 400 bytes on the wire, and there are some thousand.
+	// fullReadInterval is how often a standby instance, which owns groups only if larger
+	// instances are lost, reads all upstreams, in case the store is unavailable at that
+	// moment. It is long because an entry has some 400 bytes on the wire, and there are
+	// some thousand entries.
 	fullReadInterval = 30 * time.Second
-	// peerListTimeout is how long a new instance waits for the list of instances before it reads
-	// the upstreams: the store answers in milliseconds, and one that is slow must not
-	// delay a small zone.
+	// peerListTimeout is how long a new instance waits for the list of instances before
+	// it reads the upstreams. The store responds within milliseconds, and a slow store
+	// must not delay a small zone.
 	peerListTimeout = 100 * time.Millisecond
-	// standbyDelay is how long a new instance leaves the upstreams to larger ones that
-	// are listed: those own something by then, or are known not to run.
+	// standbyDelay is the age up to which an instance reads no upstreams while larger
+	// instances are listed. By then these own groups, or are known not to run.
 	standbyDelay = busySettleTime
-	// minRetryPause and longestRetry bound the pause after a failed call to the
-	// store.
+	// minRetryPause is the first pause after a failed call to the store.
 	minRetryPause = 50 * time.Millisecond
-	// modePollInterval is how often a follower looks whether its keys are needed.
+	// modePollInterval is how often a storeFollower that does not follow continuously
+	// checks whether its mode has changed.
 	modePollInterval = 50 * time.Millisecond
-	maxRetryPause    = 700 * time.Millisecond
+	// maxRetryPause is the longest pause between retries of a failed call to the store.
+	maxRetryPause = 700 * time.Millisecond
 )
 
-// shortConfigWatchers is how many instances of an availability zone watch the configuration
-// closely: one may be lost, and another cut off from the store, at the same time.
+// shortConfigWatchers is the number of instances of a zone that use shortConfigWatchWait. It
+// is 3 because one may be lost and another partitioned from the store at the same time.
 const shortConfigWatchers = 3
 
 const (
-	// registrationTTL is how long the entry of a lost instance stays. Peers
-	// find each other by it, and one that is cut off from them sees by it that
-	// they live.
+	// registrationTTL is how long the entry of a lost instance stays in the store. Peers
+	// find each other by their entries, and an instance that is partitioned from its peers
+	// concludes from their entries that they run.
 	registrationTTL = 4 * time.Second
-	// registrationRenewInterval keeps the entry through a lost renewal or two.
+	// registrationRenewInterval is the interval at which the lease of the entry is
+	// renewed. It is short enough for the entry to outlast one or two lost renewals.
 	registrationRenewInterval = 1200 * time.Millisecond
 )
 
-// A planned stop.
+// Planned shutdown.
 
 const (
-	// drainPollInterval is how often a planned stop looks whether it is done.
+	// drainPollInterval is how often a planned shutdown checks whether it is complete.
 	drainPollInterval = 20 * time.Millisecond
-	// minDrainTime is how long customers may still come after a planned stop
-	// began: the platform asks once a second and believes the second refusal.
+	// minDrainTime is how long new customers may still arrive after a planned shutdown has
+	// begun. The platform probes the readiness once a second, and stops sending customers
+	// after the second failed probe.
 	minDrainTime = 3200 * time.Millisecond
-	// graceMargin is kept of the grace for the end itself, and flushTime of
-	// that for the last answers.
+	// graceMargin is the part of the grace period that is reserved for the end of the
+	// process. responseFlushTime is the part of graceMargin in which the last responses
+	// are sent.
 	graceMargin       = 500 * time.Millisecond
 	responseFlushTime = 50 * time.Millisecond
 )
--- a/node/upstreamrequest.go
+++ b/node/upstreamrequest.go
@@ -16,12 +16,13 @@
 	"github.com/samber/lo"
 )
 
-// An instance that starts while the store does not answer knows no upstream, and can own
-// none. If all that could own a group are replaced in turn meanwhile, their availability zone
-// would stand still until the store is back: so each asks those that have read the list.
+// An instance that starts while the store is unavailable knows no upstreams and cannot own
+// any. If all instances that may own a group are replaced one after the other during that
+// time, their zone would be out of service until the store is available again. Therefore a
+// new instance requests the upstreams from peers that have read them.
 
-// requestUpstreams asks a peer for the upstreams of the own availability zone, unless they are
-// known: another one each time.
+// requestUpstreams requests the upstreams of the own zone from a peer, unless they are known.
+// Each call asks another peer.
 func (n *Node) requestUpstreams() {
 	if n.directory.Synced() {
 		return
@@ -38,14 +39,14 @@
 	}
 }
 
-// nextUpstreamSource returns a peer of the own availability zone that may know the upstreams: those
-// that own groups first, then the other hubs, in turn.
+// nextUpstreamSource returns the next peer to request the upstreams from. It goes through the
+// live hubs of the own zone in turn, those that own the most groups first.
 func (n *Node) nextUpstreamSource() (fate.Incarnation, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	peers := n.peers.Filter(func(p membership.Peer) bool {
-		lives := p.State == membership.Alive || p.State == membership.Leaving
-		return lives && p.Zone == n.settings.Zone && n.neighbours.Has(p.Instance) && !n.neighbours.Spokes[p.Instance]
+		alive := p.State == membership.Alive || p.State == membership.Leaving
+		return alive && p.Zone == n.settings.Zone && n.neighbours.Has(p.Instance) && !n.neighbours.Spokes[p.Instance]
 	})
 	if len(peers) == 0 {
 		return "", false
@@ -53,12 +54,12 @@
 	slices.SortStableFunc(peers, func(a, b membership.Peer) int {
 		return cmp.Compare(len(n.lastHeartbeat[b.Instance].GetClaims()), len(n.lastHeartbeat[a.Instance].GetClaims()))
 	})
-	asked := n.upstreamRequests % len(peers)
+	next := n.upstreamRequests % len(peers)
 	n.upstreamRequests++
-	return peers[asked].Incarnation, true
+	return peers[next].Incarnation, true
 }
 
-// handleUpstreamsReply takes the answer of a peer.
+// handleUpstreamsReply adds the upstreams in the reply of a peer to the directory.
 func (n *Node) handleUpstreamsReply(peer fate.Incarnation, f *inner.Frame, err error) {
 	if err != nil {
 		event.UpstreamsUntold.Log(n.log, slog.String("peer", string(peer)), slog.String("error", err.Error()))
@@ -67,13 +68,13 @@
 	list := lo.Map(f.GetUpstreamsReply().GetUpstreams(), func(u *inner.Upstream, _ int) fleet.Upstream { return upstreamFromProto(u) })
 	event.UpstreamsTold.Log(n.log, slog.String("peer", string(peer)), slog.Int("upstreams", len(list)))
 	n.applyUpstreamChanges(n.directory.Merge(clock.Now(), list))
-	n.tick() // groups may be taken now
+	n.tick() // takes groups, which may be possible now
 }
 
-// replyWithUpstreams answers a peer that asks for the upstreams of an availability zone.
+// replyWithUpstreams replies to a peer that requests the upstreams of an availability zone.
 func (n *Node) replyWithUpstreams(zone string, reply func(*inner.Frame)) {
 	if !n.directory.Synced() {
-		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(failure.NotFound.New("the upstreams are not known here"))}})
+		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(failure.NotFound.New("the upstreams are not known on this instance"))}})
 		return
 	}
 	list := n.directory.ListForPeer(func(u fleet.Upstream) bool { return u.Zone == zone })
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -16,7 +16,7 @@
 	"github.com/samber/lo"
 )
 
-// followUpstreams keeps the directory of upstreams up to date until the instance stops.
+// followUpstreams keeps the upstreams in the directory up to date until the instance ends.
 func (n *Node) followUpstreams() {
 	n.awaitPeerList()
 	n.follow(storeFollower{
@@ -30,7 +30,8 @@
 	})
 }
 
-// parseEntries decodes the parseEntries of upstreams. What cannot be read is logged.
+// parseEntries decodes store keys of upstreams. It logs invalid entries and marks them as
+// invalid.
 func (n *Node) parseEntries(items []platform.Item) []directory.Entry {
 	list := make([]directory.Entry, 0, len(items))
 	for _, item := range items {
@@ -38,60 +39,60 @@
 		if !item.Deleted {
 			var err error
 			e.Upstream, err = platform.ParseUpstream(item.Key, item.Value)
-			e.Invalid = n.refusals.record(n, item.Key, err)
+			e.Invalid = n.invalidEntries.record(n, item.Key, err)
 		}
 		list = append(list, e)
 	}
 	if n.directory.RecordStartTimes(list) {
-		n.refuseWithoutStartTime(list)
+		n.markMissingStartTimes(list)
 	}
 	return list
 }
 
-// refuseWithoutStartTime refuses the entries that do not tell when their upstream was born, where
-// upstreams do: somebody else wrote them.
-func (n *Node) refuseWithoutStartTime(list []directory.Entry) {
+// markMissingStartTimes marks the entries without a start time as invalid. It is called on
+// platforms whose upstreams report their start time, where only another writer leaves it out.
+func (n *Node) markMissingStartTimes(list []directory.Entry) {
 	missing := failure.Field(failure.Protocol, "born", "is missing")
 	for i, e := range list {
 		if !e.Deleted && !e.Invalid && e.Upstream.StartedUnixMs == 0 {
-			list[i].Invalid = n.refusals.record(n, platform.UpstreamPrefix+e.ID, missing)
+			list[i].Invalid = n.invalidEntries.record(n, platform.UpstreamPrefix+e.ID, missing)
 		}
 	}
 }
 
-// applyUpstreamChanges gives owned groups the list as it is now, and notes the upstreams
-// that are newly known to drain.
+// applyUpstreamChanges updates the owned groups after the directory has changed, and logs the
+// upstreams that have started to drain.
 func (n *Node) applyUpstreamChanges(draining []fleet.UpstreamIncarnation) {
 	n.logDrains(draining, "store")
 	n.updateGroups()
 }
 
-// logDrains logs those of some upstreams that this instance owns.
-func (n *Node) logDrains(lives []fleet.UpstreamIncarnation, from string) {
-	for _, life := range lives {
-		u, listed := n.directory.Lookup(life.ID)
+// logDrains logs that upstreams are draining, for those that this instance owns.
+func (n *Node) logDrains(incarnations []fleet.UpstreamIncarnation, from string) {
+	for _, incarnation := range incarnations {
+		u, listed := n.directory.Lookup(incarnation.ID)
 		n.mu.Lock()
 		owned := listed && n.groups[n.groupOf(u)] != nil
 		n.mu.Unlock()
 		if owned {
-			event.UpstreamLeaving.Log(n.log, slog.String("upstream", life.ID), slog.String("from", from))
+			event.UpstreamLeaving.Log(n.log, slog.String("upstream", incarnation.ID), slog.String("from", from))
 		}
 	}
 }
 
-// maxRefusedKeys bounds how many refused keys are remembered, so that each is logged once
-// for a reason and not with each read.
-const maxRefusedKeys = 1024
+// maxInvalidKeys is the maximum number of keys in invalidEntries.
+const maxInvalidKeys = 1024
 
-// entryRefusals remembers why entries of the store were refused.
-type entryRefusals struct {
+// invalidEntries records why entries of the store are invalid, so that each reason is logged
+// once for a key and not at each read.
+type invalidEntries struct {
 	mu      sync.Mutex
-	reasons map[string]string // by key
+	reasons map[string]string // by key of the store
 }
 
-// record notes whether an record could be read, and reports whether it is refused. It
-// logs a reason that is new for its key.
-func (r *entryRefusals) record(n *Node, key string, err error) bool {
+// record takes the result of parsing an entry, and reports whether the entry is invalid. It
+// logs the reason if it is new for the key.
+func (r *invalidEntries) record(n *Node, key string, err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil {
@@ -103,7 +104,7 @@
 	if r.reasons[key] == reason {
 		return true
 	}
-	if r.reasons == nil || len(r.reasons) >= maxRefusedKeys {
+	if r.reasons == nil || len(r.reasons) >= maxInvalidKeys {
 		r.reasons = map[string]string{}
 	}
 	r.reasons[key] = reason
@@ -111,9 +112,9 @@
 	return true
 }
 
-// awaitPeerList waits for the list of instances, which tells whether this one may own groups:
-// at the start of all, each that reads the upstreams takes from the store's link what the
-// owners need. It waits for listFirst at most.
+// awaitPeerList waits up to peerListTimeout for the list of instances, which determines
+// whether this instance may own groups. When the whole fleet starts, each instance that reads
+// the upstreams without need takes bandwidth of the store away from the owners.
 func (n *Node) awaitPeerList() {
 	timer := time.NewTimer(peerListTimeout)
 	defer timer.Stop()
@@ -124,45 +125,46 @@
 	}
 }
 
-// upstreamFollowMode tells how closely the entries of upstreams have to be followed.
+// upstreamFollowMode returns how closely the entries of upstreams have to be followed.
 func (n *Node) upstreamFollowMode() followMode {
 	n.mu.Lock()
-	how := n.upstreamFollowModeLocked()
+	mode := n.upstreamFollowModeLocked()
 	n.mu.Unlock()
-	if how == followNothing {
+	if mode == followNothing {
 		n.directory.MarkUnsynced()
 	}
-	return how
+	return mode
 }
 
-// upstreamFollowModeLocked is upstreamNeed. In large availability zones only hubs own groups, and
-// those of them that are small beside others only once the larger ones are lost: what they
-// have read is for the case that the store does not answer then. The lock is held.
+// upstreamFollowModeLocked is upstreamFollowMode with n.mu held. In large zones only hubs own
+// groups, and hubs that are small compared to others own some only after the larger ones are
+// lost. Small hubs read the upstreams from time to time, in case the store is unavailable at
+// that moment.
 func (n *Node) upstreamFollowModeLocked() followMode {
-	counted := n.groupCounts[n.settings.Zone] > 0 // the number of groups follows from that of upstreams
+	groupCountKnown := n.groupCounts[n.settings.Zone] > 0 // it is derived from the number of upstreams, so somebody must read these first
 	switch {
 	case len(n.groups) > 0:
 		return followContinuously
 	case !n.neighbours.IsHub:
 		return followNothing
-	case counted && clock.Since(n.startedAt) < standbyDelay && !membership.IsLarge(n.settings.CPUShare, n.listedCandidates()):
-		return followNothing // the larger ones start as well, and read them at this moment
-	case counted && !membership.IsLarge(n.settings.CPUShare, n.ownZoneCandidates()):
+	case groupCountKnown && clock.Since(n.startedAt) < standbyDelay && !membership.IsLarge(n.settings.CPUShare, n.listedCandidates()):
+		return followNothing // the larger hubs may be starting too and reading the upstreams
+	case groupCountKnown && !membership.IsLarge(n.settings.CPUShare, n.ownZoneCandidates()):
 		return followPeriodically
 	default:
 		return followContinuously
 	}
 }
 
-// listedCandidates returns the hubs of the own availability zone that may run, as they are
-// listed. The lock is held.
+// listedCandidates returns the other hubs of the own zone that are not known to be down, with
+// the CPU shares on the list of instances. n.mu is held.
 func (n *Node) listedCandidates() []membership.Candidate {
 	return lo.FilterMap(n.hubPeers(), func(p membership.Peer, _ int) (membership.Candidate, bool) {
 		return membership.Candidate{Name: p.Instance, CPUShare: p.CPUShare}, !n.isDown(p.Instance)
 	})
 }
 
-// upstreamReadPause is the pause between reads of the upstreams' entries.
+// upstreamReadPause returns the pause between reads of the entries of upstreams.
 func (n *Node) upstreamReadPause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
