--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -172,7 +172,7 @@
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	cluster.store.SetFault(standin.Unavailable, 0)
 	cluster.upstreams[0].Close()
-	cluster.store.Forget()
+	cluster.store.DropHistory()
 	cluster.configure(5, "/checks/")
 	cluster.store.SetFault(standin.NoFault, 0)
 	n := cluster.nodes["a-1"]
