--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -11,8 +11,8 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// waitUntilClosed returns a moment after which no start of a zone may come: its owner is told, and
-// what it had ordered before has arrived.
+// waitUntilClosed waits until the owner of a group has applied the evacuation of its zone and
+// its earlier orders have arrived. It returns the time from which on no task may start there.
 func (cluster *testCluster) waitUntilClosed(group string) time.Time {
 	cluster.t.Helper()
 	cluster.waitUntil(group+" is closed", func() bool {
@@ -22,15 +22,15 @@
 		n.mu.Unlock()
 		return g != nil && g.Load().Closed
 	})
-	time.Sleep(2 * orderTime)
+	time.Sleep(2 * orderDelay)
 	return time.Now()
 }
 
-// orderTime is some times what an order takes on loopback.
-const orderTime = 25 * time.Millisecond
+// orderDelay is several times the time that an order takes on the loopback interface.
+const orderDelay = 25 * time.Millisecond
 
-// startedSince returns the upstreams of a zone that have started a task since.
-func (cluster *testCluster) startedSince(zone string, since time.Time) []string {
+// upstreamsStartedSince returns the upstreams of a zone that have started a task after a time.
+func (cluster *testCluster) upstreamsStartedSince(zone string, since time.Time) []string {
 	var list []string
 	for _, u := range cluster.upstreams {
 		if strings.HasPrefix(u.ID, "u-"+zone+"-") && cluster.runs.LastUpstreamStart(u.ID).After(since) {
@@ -40,47 +40,47 @@
 	return list
 }
 
-// checkNoStarts checks that a zone's upstreams have started nothing since.
+// checkNoStarts checks that the upstreams of a zone have not started any task after a time.
 func (cluster *testCluster) checkNoStarts(zone string, since time.Time) {
 	cluster.t.Helper()
-	if list := cluster.startedSince(zone, since); len(list) > 0 {
+	if list := cluster.upstreamsStartedSince(zone, since); len(list) > 0 {
 		cluster.t.Errorf("%v started tasks while their zone was evacuated", list)
 	}
 }
 
-// TestEvacuation evacuates a zone with work under way: what runs ends there, and
-// what customers of the zone send is done in the other one, also while the former still
-// runs. Taken back, the zone works again.
+// TestEvacuation evacuates a zone while tasks run there. They are completed there, and new jobs
+// that customers submit in the zone run in the other zone, even while the old tasks still run.
+// After the evacuation ends, the zone is used again.
 func TestEvacuation(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	runs := cluster.background("a-1", cluster.newJobID(), 4, 600)
-	cluster.waitUntil("the zone is at work", func() bool { return cluster.runningTasks() == 4 })
+	jobStatus := cluster.submitAsync("a-1", cluster.newJobID(), 4, 600)
+	cluster.waitUntil("tasks run in the zone", func() bool { return cluster.runningTasks() == 4 })
 	cluster.store.Evacuate("a")
 	since := cluster.waitUntilClosed("a/0")
-	served := func(name string, tasks int) func() bool {
+	isServed := func(name string, tasks int) func() bool {
 		return func() bool {
 			status, _ := cluster.submit(name, cluster.newJobID(), tasks, 20)
 			return status == http.StatusOK
 		}
 	}
-	cluster.waitUntil("the other zone serves while the job still runs", served("a-2", 1))
-	if status := <-runs; status != http.StatusOK {
-		t.Errorf("a job that had begun is answered %d", status)
+	cluster.waitUntil("the other zone completes a job while the first one still runs", isServed("a-2", 1))
+	if status := <-jobStatus; status != http.StatusOK {
+		t.Errorf("a job that ran before the evacuation got status %d", status)
 	}
 	for range 3 {
-		cluster.waitUntil("customers of the zone are served", served("a-1", 2))
-		cluster.waitUntil("also with wide jobs", served("a-2", 4))
+		cluster.waitUntil("a job submitted in the zone is completed", isServed("a-1", 2))
+		cluster.waitUntil("a job with more tasks is completed", isServed("a-2", 4))
 	}
 	cluster.checkNoStarts("a", since)
 	cluster.store.EndEvacuation("a")
-	cluster.waitUntil("the zone works again", func() bool {
-		served("a-1", 2)()
-		return len(cluster.startedSince("a", since)) > 0
+	cluster.waitUntil("tasks start in the zone again", func() bool {
+		isServed("a-1", 2)()
+		return len(cluster.upstreamsStartedSince("a", since)) > 0
 	})
 }
 
-// evacuatedAt returns the revision of the store at which an instance knows a zone to be
-// evacuated, 0 where it takes it for open.
+// evacuatedAt returns the revision of the store at which a zone was evacuated, as far as an
+// instance knows, or 0 if it does not consider the zone evacuated.
 func (cluster *testCluster) evacuatedAt(name, zone string) uint64 {
 	states, _ := cluster.nodes[name].directory.Zones()
 	for _, s := range states {
@@ -91,8 +91,9 @@
 	return 0
 }
 
-// TestEvacuationSetAgain: an evacuation is taken back and set again at once, several times,
-// while customers press. What stands in the end holds, on the owner and on the others.
+// TestEvacuationSetAgain ends an evacuation and starts it again at once, several times, and
+// submits jobs in between. All instances must apply the last state, so that no task starts in
+// the zone.
 func TestEvacuationSetAgain(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
 	cluster.store.Evacuate("a")
@@ -102,7 +103,7 @@
 		cluster.store.EndEvacuation("a")
 		cluster.store.Evacuate("a")
 		for name := range cluster.nodes {
-			cluster.waitUntil(name+" knows the later one", func() bool { return cluster.evacuatedAt(name, "a") > before })
+			cluster.waitUntil(name+" knows the later evacuation", func() bool { return cluster.evacuatedAt(name, "a") > before })
 		}
 		since := cluster.waitUntilClosed("a/0")
 		cluster.mustComplete("a-1", 3, 20)
@@ -111,39 +112,39 @@
 	}
 }
 
-// TestEvacuationOutlastsPlannedStop: the owner of an evacuated zone is stopped as planned
-// while a job that had begun there still runs. The job is completed, and whoever owns the
-// zone next starts nothing.
+// TestEvacuationOutlastsPlannedStop shuts down the owner of an evacuated zone as planned while
+// a job still runs there. The job is completed, and the next owner starts no task in the
+// zone.
 func TestEvacuationOutlastsPlannedStop(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	runs := cluster.background("a-1", cluster.newJobID(), 4, 600)
-	cluster.waitUntil("the zone is at work", func() bool { return cluster.runningTasks() == 4 })
+	jobStatus := cluster.submitAsync("a-1", cluster.newJobID(), 4, 600)
+	cluster.waitUntil("tasks run in the zone", func() bool { return cluster.runningTasks() == 4 })
 	cluster.store.Evacuate("a")
 	since := cluster.waitUntilClosed("a/0")
 	former := cluster.owner("a/0")
 	stopped := make(chan bool, 1)
 	go func() { stopped <- cluster.nodes[former].Stop() }()
-	cluster.waitUntil("another one owns the zone", func() bool {
+	cluster.waitUntil("another instance owns the group", func() bool {
 		next := cluster.owners("a/0")
 		return len(next) == 1 && next[0] != former
 	})
-	if status := <-runs; status != http.StatusOK {
-		t.Errorf("the job that had begun is answered %d", status)
+	if status := <-jobStatus; status != http.StatusOK {
+		t.Errorf("the job that ran before the evacuation got status %d", status)
 	}
 	for range 3 {
-		cluster.waitUntil("customers of the zone are served", func() bool {
+		cluster.waitUntil("a job submitted in the zone is completed", func() bool {
 			status, _ := cluster.submit(cluster.owner("a/0"), cluster.newJobID(), 3, 20)
 			return status == http.StatusOK
 		})
 	}
 	cluster.checkNoStarts("a", since)
 	if !<-stopped {
-		t.Error("the stop ended undrained")
+		t.Error("the planned shutdown ended before the instance was drained")
 	}
 }
 
-// TestEvacuationOfAll: with every zone evacuated, customers are rejected at once and
-// told when to come back; nothing starts.
+// TestEvacuationOfAll evacuates every zone. Jobs are rejected at once, and no task starts until
+// an evacuation ends.
 func TestEvacuationOfAll(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 1, "a-1", "b-1")
 	cluster.store.Evacuate("a")
@@ -151,28 +152,28 @@
 	since := cluster.waitUntilClosed("a/0")
 	cluster.waitUntilClosed("b/0")
 	for name := range cluster.nodes {
-		cluster.waitUntil(name+" rejects", func() bool {
+		cluster.waitUntil(name+" rejects jobs", func() bool {
 			status, body := cluster.submit(name, cluster.newJobID(), 1, 10)
 			return status == http.StatusServiceUnavailable && body == "nothing may start on any upstream"
 		})
 	}
 	cluster.checkNoStarts("a", since)
 	cluster.store.EndEvacuation("b")
-	cluster.waitUntil("a customer of the other zone is served", func() bool {
+	cluster.waitUntil("a job submitted in the evacuated zone is completed in the other zone", func() bool {
 		status, _ := cluster.submit("a-1", cluster.newJobID(), 1, 10)
 		return status == http.StatusOK
 	})
 	cluster.checkNoStarts("a", since)
 }
 
-// TestEvacuationOutlastsOwner: the owner of an evacuated zone is lost, and all
-// instances are restarted after it. Nobody starts anything there.
+// TestEvacuationOutlastsOwner kills the owner of an evacuated zone, and later restarts all
+// instances. No new owner may start a task in the zone.
 func TestEvacuationOutlastsOwner(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
 	cluster.store.Evacuate("a")
 	since := cluster.waitUntilClosed("a/0")
 	cluster.kill(cluster.owner("a/0"))
-	cluster.waitUntil("the other one owns the zone", func() bool { return len(cluster.owners("a/0")) == 1 })
+	cluster.waitUntil("the other instance owns the group", func() bool { return len(cluster.owners("a/0")) == 1 })
 	cluster.mustComplete("b-1", 6, 20)
 	for name := range cluster.nodes {
 		cluster.kill(name)
@@ -181,16 +182,16 @@
 		cluster.start(name)
 	}
 	cluster.waitUntilClosed("a/0")
-	cluster.waitUntil("it is served again", func() bool {
+	cluster.waitUntil("a job submitted in the zone is completed", func() bool {
 		status, _ := cluster.submit("a-1", cluster.newJobID(), 6, 20)
 		return status == http.StatusOK
 	})
 	cluster.checkNoStarts("a", since)
 }
 
-// TestEvacuationWhileStoreForgets: the store forgets its history and does not answer
-// for a while after an evacuation, and again after it was taken back and set for
-// another zone: what stands in the end is known.
+// TestEvacuationWhileStoreForgets changes evacuations while the store is unavailable and drops
+// its history, so that watches miss the changes. Twice, the instances must apply the state that
+// the store has when it is available again.
 func TestEvacuationWhileStoreForgets(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "b-1")
 	cluster.store.SetFault(standin.ConnectionReset, 0)
@@ -212,39 +213,40 @@
 	cluster.checkNoStarts("b", since)
 }
 
-// TestEvacuationHeardFromPeers: an instance that reads nothing from the store hears
-// of an evacuation, and of its end, from a peer. An older word changes nothing.
+// TestEvacuationHeardFromPeers applies the heartbeats of a peer to a directory that reads
+// nothing from the store. It must follow the start and the end of an evacuation, and ignore
+// heartbeats that are older than what it knows.
 func TestEvacuationHeardFromPeers(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 1, "a-1", "b-1")
-	teller := cluster.nodes["b-1"]
-	cut := directory.New()
-	hear := func(p *inner.Presence) { cut.ReplaceZones(p.GetZonesRevision(), zoneStatesFromPeer(p)) }
-	before := teller.heartbeat()
+	source := cluster.nodes["b-1"]
+	target := directory.New()
+	receive := func(p *inner.Presence) { target.ReplaceZones(p.GetZonesRevision(), zoneStatesFromPeer(p)) }
+	before := source.heartbeat()
 	cluster.store.Evacuate("a")
 	cluster.waitUntilClosed("a/0")
 	evacuated := func() bool {
-		states, revision := cut.Zones()
+		states, revision := target.Zones()
 		return revision > 0 && len(states) == 1 && states[0].Evacuated
 	}
-	cluster.waitUntil("the peer knows", func() bool { return len(teller.heartbeat().GetZones()) == 1 })
-	during := teller.heartbeat()
-	hear(during)
-	hear(before)
+	cluster.waitUntil("the peer knows the evacuation", func() bool { return len(source.heartbeat().GetZones()) == 1 })
+	during := source.heartbeat()
+	receive(during)
+	receive(before)
 	if !evacuated() {
-		t.Error("it has not heard of the evacuation")
+		t.Error("the evacuation was not applied")
 	}
 	cluster.store.EndEvacuation("a")
-	cluster.waitUntil("the peer knows the end", func() bool { return !teller.heartbeat().GetZones()[0].GetEvacuated() })
-	hear(teller.heartbeat())
-	hear(during)
+	cluster.waitUntil("the peer knows that the evacuation has ended", func() bool { return !source.heartbeat().GetZones()[0].GetEvacuated() })
+	receive(source.heartbeat())
+	receive(during)
 	if evacuated() {
-		t.Error("it still takes the zone for evacuated")
+		t.Error("the end of the evacuation was not applied")
 	}
 }
 
-// TestEntriesOfOtherWriters: entries that nobody can read name no upstream to use,
-// also where one overwrites a good one; the others work on, and the good one does once
-// it is back.
+// TestEntriesOfOtherWriters writes invalid entries of upstreams to the store, and overwrites a
+// valid one. They must not be used. The other upstream is still used, and the overwritten one
+// is used again after its valid entry is back.
 func TestEntriesOfOtherWriters(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	for name, raw := range map[string]string{
@@ -269,15 +271,15 @@
 		}
 		return open
 	}
-	cluster.waitUntil("only the other one is used", func() bool { m := members(); return len(m) == 1 && m[0] == "u-a-1" })
-	time.Sleep(2 * orderTime)
+	cluster.waitUntil("only the upstream with a valid entry is used", func() bool { m := members(); return len(m) == 1 && m[0] == "u-a-1" })
+	time.Sleep(2 * orderDelay)
 	since := time.Now()
 	cluster.mustComplete("a-1", 2, 20)
 	cluster.mustComplete("a-1", 2, 20)
 	if cluster.runs.LastUpstreamStart("u-a-0").After(since) {
-		t.Error("an upstream was used whose entry cannot be read")
+		t.Error("a task was started on the upstream with an invalid entry")
 	}
 	cluster.upstreams[0].RegisterAt(cluster.upstreams[0].Address)
-	cluster.waitUntil("both are used again", func() bool { return len(members()) == 2 })
+	cluster.waitUntil("both upstreams are used again", func() bool { return len(members()) == 2 })
 	cluster.mustComplete("a-1", 4, 20)
 }
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -19,7 +19,7 @@
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	owner := cluster.owner("a/0")
 	id := cluster.newJobID()
-	lost := cluster.background(cluster.other(owner), id, 4, 500)
+	lost := cluster.submitAsync(cluster.other(owner), id, 4, 500)
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	cluster.kill(owner)
 	if status := <-lost; status != http.StatusGatewayTimeout {
@@ -38,7 +38,7 @@
 	owner := cluster.owner("a/0")
 	coordinator := cluster.other(owner)
 	id := cluster.newJobID()
-	cut := cluster.background(coordinator, id, 4, 5000)
+	cut := cluster.submitAsync(coordinator, id, 4, 5000)
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	cluster.kill(coordinator)
 	<-cut
@@ -72,9 +72,9 @@
 func TestSentAgain(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	id := cluster.newJobID()
-	first := cluster.background("a-1", id, 2, 400)
+	first := cluster.submitAsync("a-1", id, 2, 400)
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
-	again := cluster.background("a-1", id, 2, 400)
+	again := cluster.submitAsync("a-1", id, 2, 400)
 	if a, b := <-first, <-again; a != http.StatusOK || b != http.StatusOK {
 		t.Errorf("the same job twice at one instance: %d, %d", a, b)
 	}
@@ -82,9 +82,9 @@
 		t.Errorf("2 tasks were started %d times", starts)
 	}
 	id = cluster.newJobID()
-	first = cluster.background("a-1", id, 2, 400)
+	first = cluster.submitAsync("a-1", id, 2, 400)
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
-	again = cluster.background("a-2", id, 2, 100)
+	again = cluster.submitAsync("a-2", id, 2, 100)
 	if a, b := <-first, <-again; a != http.StatusGatewayTimeout || b != http.StatusOK {
 		t.Errorf("the same job at two instances: %d, %d", a, b)
 	}
@@ -191,7 +191,7 @@
 	other := cluster.other(owner)
 	var running []<-chan int
 	for _, name := range []string{owner, other} {
-		running = append(running, cluster.background(name, cluster.newJobID(), 2, 600))
+		running = append(running, cluster.submitAsync(name, cluster.newJobID(), 2, 600))
 	}
 	cluster.waitUntil("the jobs run", func() bool { return cluster.runs.Starts() == 4 })
 	stopped := make(chan bool, 1)
@@ -199,7 +199,7 @@
 	cluster.waitUntil("it is not ready", func() bool {
 		return cluster.status("GET", cluster.nodes[owner].settings.ReadinessAddress, "/readiness") == http.StatusServiceUnavailable
 	})
-	running = append(running, cluster.background(owner, cluster.newJobID(), 1, 30))
+	running = append(running, cluster.submitAsync(owner, cluster.newJobID(), 1, 30))
 	for i, answer := range running {
 		if status := <-answer; status != http.StatusOK {
 			t.Errorf("job %d was answered %d in a planned stop", i, status)
--- a/node/lives_test.go
+++ b/node/lives_test.go
@@ -17,7 +17,7 @@
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	for round := range 3 {
 		for i, u := range cluster.upstreams {
-			served := cluster.background("a-1", cluster.newJobID(), 2, 300)
+			served := cluster.submitAsync("a-1", cluster.newJobID(), 2, 300)
 			cluster.waitUntil("work is under way", func() bool { return cluster.runningTasks() > 0 })
 			if round == 1 {
 				u.Drain()
@@ -73,7 +73,7 @@
 			}
 		})
 	}
-	beside := cluster.background("a-1", cluster.newJobID(), 4, 400)
+	beside := cluster.submitAsync("a-1", cluster.newJobID(), 4, 400)
 	cluster.waitUntil("others are at work", func() bool { return cluster.runningTasks() == 4 })
 	status, body := cluster.submit("a-1", bad, 1, 300)
 	if status != http.StatusOK || !strings.Contains(body, "failed") || crashes.Load() > 3 {
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -76,7 +76,7 @@
 		return slices.ContainsFunc(cluster.nodes[spokes[0]].router.Loads(), func(l ingress.OwnerLoad) bool { return l.Group == "a/0" && l.Free > 0 })
 	})
 	id := cluster.newJobID()
-	lost := cluster.background(spokes[0], id, 2, 5000) // its own zone goes first
+	lost := cluster.submitAsync(spokes[0], id, 2, 5000) // its own zone goes first
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	cluster.kill(owner)
 	if status := <-lost; status != http.StatusGatewayTimeout {
@@ -88,7 +88,7 @@
 		return status == http.StatusOK
 	})
 	id = cluster.newJobID()
-	cut := cluster.background(spokes[1], id, 4, 5000) // some of it in the other zone
+	cut := cluster.submitAsync(spokes[1], id, 4, 5000) // some of it in the other zone
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	cluster.kill(spokes[1])
 	<-cut
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -18,50 +18,55 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// testCluster is instances, upstreams and a store on loopback.
+// testCluster is a set of instances with emulated upstreams and an emulated store, all on
+// the loopback interface.
 type testCluster struct {
 	t         *testing.T
 	store     *standin.Store
 	runs      *standin.RunTracker
 	upstreams []*standin.Upstream
 	nodes     map[string]*Node
-	// describe tells more where a test waits in vain; it may be nil.
+	// describe returns details for the message when waitUntil times out. It may be nil.
 	describe func() string
 	mu       sync.Mutex
 	nextJob  int
 }
 
-// waitLimit bounds how long a test waits for something to become true.
+// waitLimit is the time limit of waitUntil.
 const waitLimit = 20 * time.Second
 
+// newTestCluster starts a cluster and waits until all instances are ready and all groups have
+// an owner.
 func newTestCluster(t *testing.T, zones []string, upstreamsPerZone int, instances ...string) *testCluster {
 	t.Helper()
 	store, err := standin.NewStore("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := &testCluster{t: t, store: store, runs: standin.NewRunTracker(), nodes: map[string]*Node{}}
-	t.Cleanup(in.close)
-	in.configure(1, "/checks/")
+	cluster := &testCluster{t: t, store: store, runs: standin.NewRunTracker(), nodes: map[string]*Node{}}
+	t.Cleanup(cluster.close)
+	cluster.configure(1, "/checks/")
 	for _, zone := range zones {
 		for i := range upstreamsPerZone {
-			in.addUpstream(fmt.Sprintf("u-%s-%d", zone, i), zone)
+			cluster.addUpstream(fmt.Sprintf("u-%s-%d", zone, i), zone)
 		}
 	}
 	for _, name := range instances {
-		in.start(name)
+		cluster.start(name)
 	}
 	for _, name := range instances {
-		in.waitUntil(name+" is ready", func() bool {
-			return in.status("GET", in.nodes[name].settings.ReadinessAddress, "/readiness") == http.StatusOK
+		cluster.waitUntil(name+" is ready", func() bool {
+			return cluster.status("GET", cluster.nodes[name].settings.ReadinessAddress, "/readiness") == http.StatusOK
 		})
 	}
-	in.waitUntil("every zone has an owner", func() bool {
-		return len(in.nodes[instances[0]].router.Loads()) == len(zones)*membership.GroupCount(upstreamsPerZone, len(instances), 0)
+	cluster.waitUntil("every zone has an owner", func() bool {
+		return len(cluster.nodes[instances[0]].router.Loads()) == len(zones)*membership.GroupCount(upstreamsPerZone, len(instances), 0)
 	})
-	return in
+	return cluster
 }
 
+// close stops the cluster, and fails the test if the runs of the upstreams have violated an
+// invariant.
 func (cluster *testCluster) close() {
 	for _, n := range cluster.nodes {
 		n.Close()
@@ -75,7 +80,7 @@
 	}
 }
 
-// configure puts a version of the configuration into the store.
+// configure writes a version of the configuration, with a route for each prefix, to the store.
 func (cluster *testCluster) configure(version int, prefixes ...string) {
 	var routes []standin.Route
 	for _, prefix := range prefixes {
@@ -86,7 +91,8 @@
 	}
 }
 
-// taskSize is what a task of these tests asks for; upstreams hold two.
+// taskSize is the CPU demand of each task of these tests, in thousandths of a core. An upstream
+// has the capacity for two of them.
 const taskSize = 7000
 
 func (cluster *testCluster) addUpstream(id, zone string) *standin.Upstream {
@@ -102,7 +108,7 @@
 	return u
 }
 
-// zoneOfInstance is the part of an instance's name before the dash.
+// zoneOfInstance returns the zone of an instance, which is its name up to the first dash.
 func zoneOfInstance(name string) string { zone, _, _ := strings.Cut(name, "-"); return zone }
 
 func (cluster *testCluster) settings(name string) fleet.Instance {
@@ -121,15 +127,15 @@
 	return cluster.startWithCPUShare(name, cluster.settings(name).CPUShare)
 }
 
-// startWithCPUShare starts an instance with a share of a processor.
-func (cluster *testCluster) startWithCPUShare(name string, share float64) *Node {
+// startWithCPUShare starts an instance with a CPU share.
+func (cluster *testCluster) startWithCPUShare(name string, cpuShare float64) *Node {
 	cluster.t.Helper()
 	settings := cluster.settings(name)
-	settings.CPUShare = share
+	settings.CPUShare = cpuShare
 	return cluster.startWithSettings(settings)
 }
 
-// startWithSeed starts an instance whose settings name where another listens.
+// startWithSeed starts an instance that has another one as its seed peer.
 func (cluster *testCluster) startWithSeed(name, other string) *Node {
 	cluster.t.Helper()
 	settings := cluster.settings(name)
@@ -154,21 +160,21 @@
 	return n
 }
 
-// blackholePeerConnections makes the open connections between instances go silent for good;
-// new ones work.
+// blackholePeerConnections makes the open connections between instances drop all data from now
+// on. New connections work.
 func (cluster *testCluster) blackholePeerConnections() {
 	for _, n := range cluster.nodes {
 		n.peerListener.(*standin.BlackholeListener).BlackholeOpen()
 	}
 }
 
-// kill ends an instance at once.
+// kill ends an instance without a planned shutdown.
 func (cluster *testCluster) kill(name string) {
 	cluster.nodes[name].Close()
 	delete(cluster.nodes, name)
 }
 
-// owner returns the name of the instance that owns a group.
+// owner returns the name of an instance that owns a group. It waits until there is one.
 func (cluster *testCluster) owner(group string) string {
 	cluster.t.Helper()
 	name := ""
@@ -187,27 +193,28 @@
 	return name
 }
 
-// other returns an instance that is not the one given.
-func (cluster *testCluster) other(than string) string {
-	for name := range cluster.nodes {
-		if name != than {
-			return name
+// other returns the name of some other instance.
+func (cluster *testCluster) other(name string) string {
+	for candidate := range cluster.nodes {
+		if candidate != name {
+			return candidate
 		}
 	}
 	cluster.t.Fatal("there is only one instance")
 	return ""
 }
 
+// waitUntil waits until a condition holds, and fails the test if it does not within waitLimit.
 func (cluster *testCluster) waitUntil(what string, condition func() bool) {
 	cluster.t.Helper()
 	deadline := time.Now().Add(waitLimit)
 	for !condition() {
 		if time.Now().After(deadline) {
-			more := ""
+			details := ""
 			if cluster.describe != nil {
-				more = "\n" + cluster.describe()
+				details = "\n" + cluster.describe()
 			}
-			cluster.t.Fatalf("it never became true that %s%s", what, more)
+			cluster.t.Fatalf("timed out waiting until %s%s", what, details)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -218,7 +225,8 @@
 	return status
 }
 
-// call makes one call and returns its status, 0 without an answer.
+// call makes an HTTP request and returns the status and body of the response, or 0 if there is
+// none.
 func (cluster *testCluster) call(method, address, path string, body []byte) (int, string) {
 	req, err := standin.NewRequest(context.Background(), method, address, "desk.example", path, body, 8*time.Second)
 	if err != nil {
@@ -249,30 +257,34 @@
 	return standin.Job{Tasks: tasks, MilliCPU: taskSize, TaskDuration: time.Duration(ms) * time.Millisecond}.Body()
 }
 
-// submit hands a job to an instance and returns the answer.
+// submit submits a job of tasks that run for ms milliseconds each to an instance, and returns
+// the response.
 func (cluster *testCluster) submit(name, id string, tasks, ms int) (int, string) {
 	return cluster.call("POST", cluster.nodes[name].settings.CustomerAddress, "/checks/"+id, jobBody(tasks, ms))
 }
 
-// background submits a job and returns a channel with the status.
-func (cluster *testCluster) background(name, id string, tasks, ms int) <-chan int {
-	answer := make(chan int, 1)
+// submitAsync submits a job in the background and returns a channel that receives the status
+// of the response.
+func (cluster *testCluster) submitAsync(name, id string, tasks, ms int) <-chan int {
+	result := make(chan int, 1)
 	address := cluster.nodes[name].settings.CustomerAddress
 	go func() {
 		status, _ := cluster.call("POST", address, "/checks/"+id, jobBody(tasks, ms))
-		answer <- status
+		result <- status
 	}()
-	return answer
+	return result
 }
 
+// mustComplete submits a job to an instance, and fails the test if it is not completed.
 func (cluster *testCluster) mustComplete(name string, tasks, ms int) {
 	cluster.t.Helper()
 	if status, body := cluster.submit(name, cluster.newJobID(), tasks, ms); status != http.StatusOK || body != `{"State":"completed"}` {
-		cluster.t.Fatalf("%s answered %d %q", name, status, body)
+		cluster.t.Fatalf("%s responded %d %q", name, status, body)
 	}
 }
 
-// TestCalm serves jobs of both zones, also one that is wider than its own zone.
+// TestCalm submits jobs to all instances while nothing fails, among them jobs with more tasks
+// than one zone can run at once.
 func TestCalm(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
 	for name := range cluster.nodes {
@@ -282,22 +294,23 @@
 	}
 }
 
-// TestAnswers checks what is not a job, and what is not offered.
+// TestAnswers checks the responses to requests that are not valid jobs, to jobs that are not
+// supported, and to the other methods of the interface.
 func TestAnswers(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	address := cluster.nodes["a-1"].settings.CustomerAddress
-	kept := standin.Job{Tasks: 1, MilliCPU: 100, TaskDuration: time.Millisecond, Durable: true}.Body()
-	huge := standin.Job{Tasks: 1, MilliCPU: 99000, TaskDuration: 10 * time.Millisecond}.Body()
+	durable := standin.Job{Tasks: 1, MilliCPU: 100, TaskDuration: time.Millisecond, Durable: true}.Body()
+	oversized := standin.Job{Tasks: 1, MilliCPU: 99000, TaskDuration: 10 * time.Millisecond}.Body()
 	for _, c := range []struct {
 		method, path string
 		body         []byte
 		status       int
 		answer       string
 	}{
-		{"POST", "/none/0000000000000001", kept, 404, ""},
-		{"POST", "/checks/0000000000000001", kept, 503, "not offered: kept_job"},
-		{"POST", "/checks/0000000000000002", huge, 200, `{"State":"failed"}`},
-		{"POST", "/checks/xyz", kept, 400, "id: is not 16 hex digits"},
+		{"POST", "/none/0000000000000001", durable, 404, ""},
+		{"POST", "/checks/0000000000000001", durable, 503, "not offered: kept_job"},
+		{"POST", "/checks/0000000000000002", oversized, 200, `{"State":"failed"}`},
+		{"POST", "/checks/xyz", durable, 400, "id: is not 16 hex digits"},
 		{"POST", "/checks/0000000000000003", []byte("{"), 400, "body: is not a job: unexpected end of JSON input"},
 		{"POST", "/checks/0000000000000003", bytes.Repeat([]byte(" "), 2001), 413, "body: has 2001 bytes, over 2000"},
 		{"GET", "/checks/0000000000000004", nil, 410, ""},
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -16,7 +16,7 @@
 	names := []string{"a-1", "a-2", "a-3", "a-4", "b-1", "b-2", "b-3"}
 	cluster := newTestCluster(t, []string{"a", "b"}, 3, names...)
 	for _, name := range names {
-		cluster.background(name, cluster.newJobID(), 2, 300)
+		cluster.submitAsync(name, cluster.newJobID(), 2, 300)
 	}
 	cluster.waitUntil("work is under way", func() bool { return cluster.runningTasks() > 0 })
 	for _, name := range names {
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -30,7 +30,7 @@
 	}
 	id := cluster.newJobID()
 	began := time.Now()
-	lost := cluster.background(coordinator, id, 2, 5000)
+	lost := cluster.submitAsync(coordinator, id, 2, 5000)
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	cluster.blackholePeerConnections()
 	if status := <-lost; status != http.StatusGatewayTimeout {
