--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -13,42 +13,43 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// TestOwnerKilled kills the owner of the only zone under work: the other
-// instance takes the upstreams over, and no task has two runs at once.
+// TestOwnerKilled kills the owner of the only group while a job runs. The other instance takes
+// over the upstreams, and the job, submitted again, never has two runs of a task at once.
 func TestOwnerKilled(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	owner := cluster.owner("a/0")
 	id := cluster.newJobID()
-	lost := cluster.submitAsync(cluster.other(owner), id, 4, 500)
+	status := cluster.submitAsync(cluster.other(owner), id, 4, 500)
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	cluster.kill(owner)
-	if status := <-lost; status != http.StatusGatewayTimeout {
-		t.Errorf("the job of the lost owner was answered %d", status)
+	if status := <-status; status != http.StatusGatewayTimeout {
+		t.Errorf("the job on the killed owner got status %d", status)
 	}
-	left := cluster.owner("a/0")
-	if status, body := cluster.submit(left, id, 4, 20); status != http.StatusOK {
+	remaining := cluster.owner("a/0")
+	if status, body := cluster.submit(remaining, id, 4, 20); status != http.StatusOK {
 		t.Errorf("the same job again: %d %q", status, body)
 	}
 }
 
-// TestCoordinatorKilled kills the instance that took a job: its tasks are
-// stopped long before its customer sends the job again.
+// TestCoordinatorKilled kills the instance that coordinates a job. The owner must stop the tasks
+// of the job, so that they do not run when its customer submits it again.
 func TestCoordinatorKilled(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	owner := cluster.owner("a/0")
 	coordinator := cluster.other(owner)
 	id := cluster.newJobID()
-	cut := cluster.submitAsync(coordinator, id, 4, 5000)
+	response := cluster.submitAsync(coordinator, id, 4, 5000)
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	cluster.kill(coordinator)
-	<-cut
-	cluster.waitUntil("its tasks are stopped", func() bool { return !cluster.runs.IsRunning(id) })
+	<-response
+	cluster.waitUntil("the tasks of the job are stopped", func() bool { return !cluster.runs.IsRunning(id) })
 	if status, body := cluster.submit(owner, id, 4, 20); status != http.StatusOK {
 		t.Errorf("the same job again: %d %q", status, body)
 	}
 }
 
-// TestCustomerLeaves breaks a customer's connection: the job is stopped.
+// TestCustomerLeaves closes the connection of a customer while its job runs. The tasks must be
+// stopped.
 func TestCustomerLeaves(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	id := cluster.newJobID()
@@ -64,11 +65,11 @@
 	if err := conn.Close(); err != nil {
 		t.Fatal(err)
 	}
-	cluster.waitUntil("its tasks are stopped", func() bool { return !cluster.runs.IsRunning(id) })
+	cluster.waitUntil("the tasks of the job are stopped", func() bool { return !cluster.runs.IsRunning(id) })
 }
 
-// TestSentAgain sends a job again to the same and to another instance while it
-// runs.
+// TestSentAgain submits a running job again. On the same instance, both requests get the result
+// of one execution. On another instance, the new execution replaces the first one.
 func TestSentAgain(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	id := cluster.newJobID()
@@ -90,9 +91,10 @@
 	}
 }
 
-// TestUpstreamTroubles lets upstreams fail in each way; jobs go elsewhere.
+// TestUpstreamTroubles makes an upstream fail in various ways. Jobs must be completed on the
+// others.
 func TestUpstreamTroubles(t *testing.T) {
-	for name, trouble := range map[string]func(*standin.Upstream){
+	for name, fail := range map[string]func(*standin.Upstream){
 		"silent": func(u *standin.Upstream) { u.SetFault(standin.NoAnswer) },
 		"busy":   func(u *standin.Upstream) { u.SetFault(standin.Unavailable) },
 		"reset":  func(u *standin.Upstream) { u.SetFault(standin.ConnectionReset) },
@@ -106,7 +108,7 @@
 		t.Run(name, func(t *testing.T) {
 			cluster := newTestCluster(t, []string{"a"}, 3, "a-1")
 			cluster.mustComplete("a-1", 6, 30)
-			trouble(cluster.upstreams[0])
+			fail(cluster.upstreams[0])
 			for range 3 {
 				cluster.mustComplete("a-1", 3, 60)
 			}
@@ -114,38 +116,38 @@
 	}
 }
 
-// TestStoreAway serves without the store, and takes a configuration from a peer
-// that still reaches it.
+// TestStoreAway kills the owner of the group while the store is unavailable. Jobs must be
+// completed all the time, and a new configuration is applied once the store is back.
 func TestStoreAway(t *testing.T) {
-	for name, trouble := range map[string]standin.Fault{"silent": standin.NoAnswer, "busy": standin.Unavailable, "reset": standin.ConnectionReset} {
+	for name, fault := range map[string]standin.Fault{"silent": standin.NoAnswer, "busy": standin.Unavailable, "reset": standin.ConnectionReset} {
 		t.Run(name, func(t *testing.T) {
 			cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
-			cluster.store.SetFault(trouble, 0)
+			cluster.store.SetFault(fault, 0)
 			cluster.mustComplete("a-1", 2, 20)
 			cluster.kill(cluster.owner("a/0"))
-			left := cluster.owner("a/0")
-			cluster.mustComplete(left, 2, 20)
+			remaining := cluster.owner("a/0")
+			cluster.mustComplete(remaining, 2, 20)
 			cluster.store.SetFault(standin.NoFault, 0)
 			cluster.configure(2, "/checks/", "/more/")
-			cluster.waitUntil("the new route is there", func() bool {
-				return cluster.status("GET", cluster.nodes[left].settings.CustomerAddress, "/more/") == http.StatusOK
+			cluster.waitUntil("the new route is served", func() bool {
+				return cluster.status("GET", cluster.nodes[remaining].settings.CustomerAddress, "/more/") == http.StatusOK
 			})
 		})
 	}
 }
 
-// TestConfigFromPeer starts an instance that never reaches the store: its peer
-// tells it the configuration, and later versions.
+// TestConfigFromPeer starts an instance that never reaches the store. It must get the
+// configuration and later versions from its peer, and must not go back to an older one.
 func TestConfigFromPeer(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
-	dead, err := standin.NewStore("127.0.0.1:0")
+	deadStore, err := standin.NewStore("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(dead.Close)
-	dead.SetFault(standin.Unavailable, 0)
+	t.Cleanup(deadStore.Close)
+	deadStore.SetFault(standin.Unavailable, 0)
 	settings := cluster.settings("a-2")
-	settings.StoreAddress = dead.Address
+	settings.StoreAddress = deadStore.Address
 	settings.SeedPeers = []string{cluster.nodes["a-1"].settings.PeerAddress}
 	n, err := New(settings, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -153,21 +155,21 @@
 	}
 	cluster.nodes["a-2"] = n
 	n.Run()
-	cluster.waitUntil("the configuration has come from the peer", func() bool { c := n.config.Load(); return c != nil && c.Version == 1 })
+	cluster.waitUntil("the configuration of the peer is applied", func() bool { c := n.config.Load(); return c != nil && c.Version == 1 })
 	cluster.waitUntil("the owner is known", func() bool { return len(n.router.Loads()) == 1 })
 	cluster.mustComplete("a-2", 1, 10)
 	cluster.configure(7, "/checks/")
-	cluster.waitUntil("the next version has come", func() bool { return n.config.Load().Version == 7 })
+	cluster.waitUntil("the next version is applied", func() bool { return n.config.Load().Version == 7 })
 	n.applyConfig(cluster.nodes["a-1"].config.Load().Raw, "test")
-	cluster.configure(3, "/checks/") // an older one, written late
+	cluster.configure(3, "/checks/") // an older version that is written late
 	cluster.mustComplete("a-2", 1, 10)
 	if v := n.config.Load().Version; v != 7 {
-		t.Errorf("version %d is in force after version 7", v)
+		t.Errorf("version %d was applied after version 7", v)
 	}
 }
 
-// TestHistoryForgotten makes the store forget its history: everything is read
-// again, and what was removed meanwhile is gone.
+// TestHistoryForgotten makes the store drop its history, so that a watch cannot continue. The
+// instance must read all keys again, and notice an upstream that was removed meanwhile.
 func TestHistoryForgotten(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	cluster.store.SetFault(standin.Unavailable, 0)
@@ -177,43 +179,43 @@
 	cluster.store.SetFault(standin.NoFault, 0)
 	n := cluster.nodes["a-1"]
 	cluster.waitUntil("the configuration is read again", func() bool { return n.config.Load().Version == 5 })
-	cluster.waitUntil("the upstream is gone", func() bool {
+	cluster.waitUntil("the upstream is removed", func() bool {
 		return n.directory.CountInZone("a") == 1
 	})
 	cluster.mustComplete("a-1", 2, 10)
 }
 
-// TestPlannedStop stops the owner of the zone under work: nothing is cut off,
-// and the other instance owns the zone afterwards.
+// TestPlannedStop shuts down the owner of the only group as planned while jobs run. All jobs
+// must be completed, and the other instance owns the group afterwards.
 func TestPlannedStop(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 3, "a-1", "a-2")
 	owner := cluster.owner("a/0")
 	other := cluster.other(owner)
-	var running []<-chan int
+	var responses []<-chan int
 	for _, name := range []string{owner, other} {
-		running = append(running, cluster.submitAsync(name, cluster.newJobID(), 2, 600))
+		responses = append(responses, cluster.submitAsync(name, cluster.newJobID(), 2, 600))
 	}
 	cluster.waitUntil("the jobs run", func() bool { return cluster.runs.Starts() == 4 })
 	stopped := make(chan bool, 1)
 	go func() { stopped <- cluster.nodes[owner].Stop() }()
-	cluster.waitUntil("it is not ready", func() bool {
+	cluster.waitUntil("the instance is not ready", func() bool {
 		return cluster.status("GET", cluster.nodes[owner].settings.ReadinessAddress, "/readiness") == http.StatusServiceUnavailable
 	})
-	running = append(running, cluster.submitAsync(owner, cluster.newJobID(), 1, 30))
-	for i, answer := range running {
+	responses = append(responses, cluster.submitAsync(owner, cluster.newJobID(), 1, 30))
+	for i, answer := range responses {
 		if status := <-answer; status != http.StatusOK {
-			t.Errorf("job %d was answered %d in a planned stop", i, status)
+			t.Errorf("job %d got status %d in a planned shutdown", i, status)
 		}
 	}
 	if !<-stopped {
-		t.Error("the stop ended with work in flight")
+		t.Error("the planned shutdown ended with work in flight")
 	}
 	cluster.kill(owner)
 	cluster.mustComplete(other, 2, 20)
 }
 
-// TestFencedByStranger lets somebody unknown take an upstream with a higher
-// token: it is left alone, and taken back after the settling time.
+// TestFencedByStranger makes an upstream accept a higher token that no instance has issued. The
+// owner must take the group again under a higher token after the minimum ownership interval.
 func TestFencedByStranger(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	n := cluster.nodes["a-1"]
@@ -226,14 +228,15 @@
 		defer n.mu.Unlock()
 		return n.groups["a/0"] != nil && n.groups["a/0"].Token > token
 	})
-	cluster.waitUntil("work is done again", func() bool {
+	cluster.waitUntil("a job is completed again", func() bool {
 		status, _ := cluster.submit("a-1", cluster.newJobID(), 1, 10)
 		return status == http.StatusOK
 	})
 }
 
-// TestHeardWithoutOwnConnection starts an instance whose peers cannot connect to
-// it: they answer on its connections, and it does not take a group of theirs.
+// TestHeardWithoutOwnConnection starts an instance that its peer cannot connect to. The peer
+// must send heartbeats on the connection that the instance opens, so that the instance does not
+// take a group of its peer.
 func TestHeardWithoutOwnConnection(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	settings := cluster.settings("a-2")
@@ -242,9 +245,9 @@
 		t.Fatal(err)
 	}
 	cluster.nodes["a-2"] = n
-	_ = n.peerListener.Close() // nobody reaches it
+	_ = n.peerListener.Close() // peers cannot connect
 	n.Run()
-	cluster.waitUntil("it hears its peer", func() bool {
+	cluster.waitUntil("the peer's claim has arrived", func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		_, claim := n.claimOf("a/0", false)
@@ -254,19 +257,19 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.groups) > 0 {
-		t.Error("it has taken the group of its peer")
+		t.Error("the instance has taken the group of its peer")
 	}
 }
 
-// TestStaleToken lets every upstream remember a token of an owner that is gone,
-// far ahead of the clock: the group is taken within a few attempts.
+// TestStaleToken makes the upstream remember a token far ahead of the clock, of an owner that
+// does not exist any more. A new owner must get above that token within a few attempts.
 func TestStaleToken(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	cluster.kill("a-1")
-	ahead := membership.NextToken(time.Now().Add(100*time.Second).UnixMilli(), 0, "gone")
-	cluster.upstreams[0].WithModel(func(c *standin.UpstreamModel) { c.Hold(time.Now(), fleet.HoldOrder{Token: ahead}) })
+	staleToken := membership.NextToken(time.Now().Add(100*time.Second).UnixMilli(), 0, "gone")
+	cluster.upstreams[0].WithModel(func(c *standin.UpstreamModel) { c.Hold(time.Now(), fleet.HoldOrder{Token: staleToken}) })
 	cluster.start("a-1")
-	cluster.waitUntil("work is done again", func() bool {
+	cluster.waitUntil("a job is completed again", func() bool {
 		status, _ := cluster.submit("a-1", cluster.newJobID(), 1, 10)
 		return status == http.StatusOK
 	})
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -8,20 +8,20 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// TestConfigWait: the first hubs of a zone watch the configuration closely, and so
-// does an instance that hears too few of them.
+// TestConfigWait checks which instances of a zone watch the configuration with the short wait:
+// the first hubs, and each instance that receives heartbeats from too few hubs.
 func TestConfigWait(t *testing.T) {
 	for name, c := range map[string]struct {
-		instances int
-		heard     int
-		close     int
+		instances  int
+		alive      int
+		shortWaits int
 	}{
-		"small zone":               {instances: 3, heard: 3, close: 3},
-		"all are heard":            {instances: 5, heard: 5, close: shortConfigWatchers},
-		"few are heard":            {instances: 5, heard: 2, close: 5},
-		"nobody is":                {instances: 5, heard: 0, close: 5},
-		"a zone with spokes":       {instances: 24, heard: 24, close: shortConfigWatchers},
-		"its spokes hear few hubs": {instances: 24, heard: 2, close: 24},
+		"small zone":           {instances: 3, alive: 3, shortWaits: 3},
+		"all peers are alive":  {instances: 5, alive: 5, shortWaits: shortConfigWatchers},
+		"few peers are alive":  {instances: 5, alive: 2, shortWaits: 5},
+		"no peer is alive":     {instances: 5, alive: 0, shortWaits: 5},
+		"a zone with spokes":   {instances: 24, alive: 24, shortWaits: shortConfigWatchers},
+		"spokes with few hubs": {instances: 24, alive: 2, shortWaits: 24},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var zone []string
@@ -31,23 +31,23 @@
 			count := 0
 			for _, self := range zone {
 				n := newIdleNode(self, "a")
-				known, heard := map[string]membership.Listing{}, 0
+				listings, aliveCount := map[string]membership.Listing{}, 0
 				for _, other := range zone {
-					known[other] = membership.Listing{Instance: other, Zone: "a", Address: other}
+					listings[other] = membership.Listing{Instance: other, Zone: "a", Address: other}
 				}
-				n.setPeerList(known)
+				n.setPeerList(listings)
 				for _, other := range zone {
-					if other != self && heard < c.heard {
+					if other != self && aliveCount < c.alive {
 						n.peers.RecordHeartbeat(fate.Incarnation(other+".1"), membership.Heartbeat{}, 1)
-						heard++
+						aliveCount++
 					}
 				}
 				if n.configWatchWait() == shortConfigWatchWait {
 					count++
 				}
 			}
-			if count != c.close {
-				t.Errorf("%d of %d watch closely, want %d", count, len(zone), c.close)
+			if count != c.shortWaits {
+				t.Errorf("%d of %d instances use the short wait, want %d", count, len(zone), c.shortWaits)
 			}
 		})
 	}
--- a/node/giveup_test.go
+++ b/node/giveup_test.go
@@ -9,14 +9,13 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// A customer that gives up leaves nothing at work, whatever becomes of the owner
-// that started its tasks, or of the orders that are under way.
-
-// longTaskMs is how long the tasks of these customers would work: longer than a test.
+// longTaskMs is the duration of tasks that must be stopped, in milliseconds: longer than any
+// test.
 const longTaskMs = 60_000
 
-// submitAndLeave submits a job on a connection of its own; leave closes it.
-func (cluster *testCluster) submitAndLeave(name, id string, tasks int) (leave func()) {
+// submitAndDisconnect submits a job on a new connection. It returns a function that closes the
+// connection.
+func (cluster *testCluster) submitAndDisconnect(name, id string, tasks int) (disconnect func()) {
 	cluster.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := standin.NewRequest(ctx, "POST", cluster.nodes[name].settings.CustomerAddress, "desk.example", "/checks/"+id, jobBody(tasks, longTaskMs), waitLimit)
@@ -34,86 +33,90 @@
 	return func() { cancel(); <-answered }
 }
 
-// checkJobStopped waits until no task of a job runs, serves another job on the same
-// upstreams, and checks that no task of the first has begun since.
-func (cluster *testCluster) checkJobStopped(id, through string) {
+// checkJobStopped waits until no task of a job runs, runs another job on the same upstreams, and
+// checks that no task of the first job has started meanwhile.
+func (cluster *testCluster) checkJobStopped(id, instance string) {
 	cluster.t.Helper()
-	cluster.waitUntil("nothing of the job runs", func() bool { return !cluster.runs.IsRunning(id) })
+	cluster.waitUntil("no task of the job runs", func() bool { return !cluster.runs.IsRunning(id) })
 	last := cluster.runs.LastJobStart(id)
-	cluster.waitUntil("the group has room", func() bool {
-		loads := cluster.nodes[through].router.Loads()
+	cluster.waitUntil("the group has capacity", func() bool {
+		loads := cluster.nodes[instance].router.Loads()
 		return len(loads) == 1 && loads[0].Capacity > 0
 	})
-	cluster.mustComplete(through, 2, 20)
+	cluster.mustComplete(instance, 2, 20)
 	if cluster.runs.IsRunning(id) || cluster.runs.LastJobStart(id).After(last) {
-		cluster.t.Error("a task of it has begun after its customer had left")
+		cluster.t.Error("a task of the job has started after its customer had disconnected")
 	}
 }
 
-// newOwnerAndCoordinator returns an installation with the owner of its only group, and a
-// coordinator beside it.
+// newOwnerAndCoordinator returns a cluster of two instances, with the names of the owner of its
+// only group and of the other instance.
 func newOwnerAndCoordinator(t *testing.T) (cluster *testCluster, owner, coordinator string) {
 	cluster = newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	owner = cluster.owner("a/0")
 	return cluster, owner, cluster.other(owner)
 }
 
-func TestNothingRunsForNobody(t *testing.T) {
-	t.Run("its owner is cut off", func(t *testing.T) {
+// TestNoRunAfterCustomerDisconnects checks that no task of a job runs or starts after its
+// customer has disconnected, even if the owner is partitioned or lost at that time, or if orders
+// to upstreams are still under way. Otherwise the job could run twice when the customer submits
+// it again.
+func TestNoRunAfterCustomerDisconnects(t *testing.T) {
+	t.Run("owner partitioned", func(t *testing.T) {
 		cluster, _, coordinator := newOwnerAndCoordinator(t)
 		id := cluster.newJobID()
-		leave := cluster.submitAndLeave(coordinator, id, 2)
-		cluster.waitUntil("it runs", func() bool { return cluster.runs.IsRunning(id) })
+		leave := cluster.submitAndDisconnect(coordinator, id, 2)
+		cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 		cluster.blackholePeerConnections()
 		leave()
 		cluster.checkJobStopped(id, coordinator)
 	})
-	t.Run("its owner is removed", func(t *testing.T) {
+	t.Run("owner killed", func(t *testing.T) {
 		cluster, owner, coordinator := newOwnerAndCoordinator(t)
 		id := cluster.newJobID()
-		leave := cluster.submitAndLeave(coordinator, id, 2)
-		cluster.waitUntil("it runs", func() bool { return cluster.runs.IsRunning(id) })
+		leave := cluster.submitAndDisconnect(coordinator, id, 2)
+		cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 		cluster.kill(owner)
 		leave()
-		cluster.waitUntil("another owns the group", func() bool { return cluster.owner("a/0") == coordinator })
+		cluster.waitUntil("the other instance owns the group", func() bool { return cluster.owner("a/0") == coordinator })
 		cluster.checkJobStopped(id, coordinator)
 	})
-	t.Run("its owner and its coordinator are one, and removed", func(t *testing.T) {
+	t.Run("owner that is also the coordinator killed", func(t *testing.T) {
 		cluster, owner, other := newOwnerAndCoordinator(t)
 		id := cluster.newJobID()
-		leave := cluster.submitAndLeave(owner, id, 2)
-		cluster.waitUntil("it runs", func() bool { return cluster.runs.IsRunning(id) })
+		leave := cluster.submitAndDisconnect(owner, id, 2)
+		cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 		cluster.kill(owner)
 		leave()
-		cluster.waitUntil("another owns the group", func() bool { return cluster.owner("a/0") == other })
+		cluster.waitUntil("the other instance owns the group", func() bool { return cluster.owner("a/0") == other })
 		cluster.checkJobStopped(id, other)
 	})
-	t.Run("the orders to start are carried out late", func(t *testing.T) {
+	t.Run("start orders executed late", func(t *testing.T) {
 		cluster, _, coordinator := newOwnerAndCoordinator(t)
 		cluster.delayOrders(1, 300*time.Millisecond)
 		id := cluster.newJobID()
-		leave := cluster.submitAndLeave(coordinator, id, 2)
-		cluster.waitUntil("it runs", func() bool { return cluster.runs.IsRunning(id) })
+		leave := cluster.submitAndDisconnect(coordinator, id, 2)
+		cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 		leave()
 		cluster.delayOrders(0, 0)
 		cluster.checkJobStopped(id, coordinator)
 	})
-	t.Run("the orders are under way when it leaves and its owner is removed", func(t *testing.T) {
+	t.Run("owner killed while start orders are under way", func(t *testing.T) {
 		cluster, owner, coordinator := newOwnerAndCoordinator(t)
 		cluster.delayOrders(1, 300*time.Millisecond)
 		id := cluster.newJobID()
-		leave := cluster.submitAndLeave(coordinator, id, 2)
+		leave := cluster.submitAndDisconnect(coordinator, id, 2)
 		cluster.waitUntil("the job is open", func() bool { return cluster.nodes[coordinator].ingress.OpenJobs() == 1 })
 		leave()
 		cluster.kill(owner)
 		cluster.delayOrders(0, 0)
-		cluster.waitUntil("another owns the group", func() bool { return cluster.owner("a/0") == coordinator })
+		cluster.waitUntil("the other instance owns the group", func() bool { return cluster.owner("a/0") == coordinator })
 		cluster.checkJobStopped(id, coordinator)
 	})
 }
 
-// delayOrders makes a share of the orders to all upstreams be carried out late, and
-// not answered.
+// delayOrders makes all upstreams execute a share of the orders late, and not respond to
+// them.
 func (cluster *testCluster) delayOrders(share float64, late time.Duration) {
 	for _, u := range cluster.upstreams {
 		u.DelayOrders(share, late)
--- a/node/groups_test.go
+++ b/node/groups_test.go
@@ -7,8 +7,9 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// TestCounted: at the first start the upstreams of a zone enter themselves one
-// after the other; they are counted once no more have come for a while.
+// TestCounted checks when the number of upstreams counts as settled. At the first start of the
+// system, upstreams register one after the other, so that the number is used only after it was
+// unchanged for a while. At a later start it is used at once.
 func TestCounted(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
@@ -21,11 +22,11 @@
 		{5100, 89, false}, {7000, 90, true},
 	} {
 		if got := n.upstreamCountSettled(step.count, at(step.ms)); got != step.want {
-			t.Errorf("%d upstreams after %d ms count: %v", step.count, step.ms, got)
+			t.Errorf("%d upstreams after %d ms: settled %v", step.count, step.ms, got)
 		}
 	}
 	n = &Node{startedAt: began}
 	if !n.upstreamCountSettled(1, began) {
-		t.Error("a later start waits")
+		t.Error("a later start waits for the number to settle")
 	}
 }
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// TestMetrics reads what an instance tells on its metrics address.
+// TestMetrics checks the metrics that an instance serves.
 func TestMetrics(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
 	cluster.mustComplete("a-1", 2, 20)
 	n := cluster.nodes["a-1"]
-	cluster.waitUntil("all neighbours are known", func() bool { return n.isNeighbour("a-2") && n.isNeighbour("b-1") })
+	cluster.waitUntil("all peers are neighbours", func() bool { return n.isNeighbour("a-2") && n.isNeighbour("b-1") })
 	status, text := cluster.call("GET", n.settings.MetricsAddress, "/metrics", nil)
 	if status != http.StatusOK {
 		t.Fatalf("status %d", status)
@@ -27,6 +27,6 @@
 	}
 	owner := cluster.nodes[cluster.owner("a/0")]
 	if _, text := cluster.call("GET", owner.settings.MetricsAddress, "/metrics", nil); !strings.Contains(text, `sedgehatch_group_overdue_ms{group="a/0"} `) {
-		t.Errorf("the owner's metrics lack what its calls wait for:\n%s", text)
+		t.Errorf("the owner's metrics lack the delays of its calls:\n%s", text)
 	}
 }
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -14,8 +14,8 @@
 	"github.com/samber/lo"
 )
 
-// newLargeTestCluster has a zone in which not all instances are hubs, and a small
-// one beside it.
+// newLargeTestCluster returns a cluster with a zone that is large enough to have spokes, and a
+// small zone. It also returns the hubs and spokes of the large zone.
 func newLargeTestCluster(t *testing.T) (cluster *testCluster, hubs, spokes []string) {
 	t.Helper()
 	var names []string
@@ -45,12 +45,12 @@
 	return cluster, hubs, spokes
 }
 
-// TestLargeZone: instances that are no hubs do not hear each other, know the
-// owners of their own and of other zones, and serve with both.
+// TestLargeZone checks that spokes exchange no heartbeats with each other, but know the owners
+// in their own and in other zones and complete jobs on both.
 func TestLargeZone(t *testing.T) {
 	cluster, _, spokes := newLargeTestCluster(t)
 	first := cluster.nodes[spokes[0]]
-	cluster.waitUntil("no spoke hears another", func() bool {
+	cluster.waitUntil("the spoke has no heartbeats of other spokes and zones", func() bool {
 		first.mu.Lock()
 		defer first.mu.Unlock()
 		for _, other := range spokes[1:] {
@@ -63,12 +63,12 @@
 	cluster.waitUntil("the owner of the other zone is known", func() bool { return len(first.router.Loads()) == 2 })
 	cluster.mustComplete(spokes[0], 2, 20)
 	cluster.mustComplete(spokes[0], 6, 20)
-	cluster.waitUntil("its connection to the owner of the other zone is in use", func() bool { return first.isNeighbour("b-1") })
+	cluster.waitUntil("the owner of the other zone is a neighbour", func() bool { return first.isNeighbour("b-1") })
 	cluster.mustComplete("b-1", 6, 20)
 }
 
-// TestLargeZoneLosses loses the owner of the large zone, then a coordinator that
-// is no hub.
+// TestLargeZoneLosses kills the owner of the large zone's group while a job runs, and then a
+// spoke that coordinates a job. In both cases the tasks must be stopped.
 func TestLargeZoneLosses(t *testing.T) {
 	cluster, _, spokes := newLargeTestCluster(t)
 	owner := cluster.owner("a/0")
@@ -76,36 +76,37 @@
 		return slices.ContainsFunc(cluster.nodes[spokes[0]].router.Loads(), func(l ingress.OwnerLoad) bool { return l.Group == "a/0" && l.Free > 0 })
 	})
 	id := cluster.newJobID()
-	lost := cluster.submitAsync(spokes[0], id, 2, 5000) // its own zone goes first
+	response := cluster.submitAsync(spokes[0], id, 2, 5000) // runs in the coordinator's own zone first
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	cluster.kill(owner)
-	if status := <-lost; status != http.StatusGatewayTimeout {
-		t.Errorf("the job of the lost owner was answered %d", status)
+	if status := <-response; status != http.StatusGatewayTimeout {
+		t.Errorf("the job on the killed owner got status %d", status)
 	}
-	cluster.waitUntil("the job's tasks are stopped", func() bool { return !cluster.runs.IsRunning(id) })
-	cluster.waitUntil("work is done again", func() bool {
+	cluster.waitUntil("the tasks of the job are stopped", func() bool { return !cluster.runs.IsRunning(id) })
+	cluster.waitUntil("a job is completed again", func() bool {
 		status, _ := cluster.submit(spokes[0], cluster.newJobID(), 2, 10)
 		return status == http.StatusOK
 	})
 	id = cluster.newJobID()
-	cut := cluster.submitAsync(spokes[1], id, 4, 5000) // some of it in the other zone
+	lostResponse := cluster.submitAsync(spokes[1], id, 4, 5000) // some of its tasks run in the other zone
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	cluster.kill(spokes[1])
-	<-cut
-	cluster.waitUntil("its tasks are stopped", func() bool { return !cluster.runs.IsRunning(id) })
+	<-lostResponse
+	cluster.waitUntil("the tasks of the job are stopped", func() bool { return !cluster.runs.IsRunning(id) })
 }
 
-// TestLargeZoneConfig: an instance that is no hub and does not reach the store
-// hears of a version from the hubs.
+// TestLargeZoneConfig checks that a spoke that does not reach the store gets a new version of
+// the configuration from the hubs.
 func TestLargeZoneConfig(t *testing.T) {
 	cluster, _, spokes := newLargeTestCluster(t)
 	n := cluster.nodes[spokes[0]]
 	n.store.Close()
 	cluster.configure(2, "/checks/")
-	cluster.waitUntil("the version has come", func() bool { return n.config.Load().Version == 2 })
+	cluster.waitUntil("the version is applied", func() bool { return n.config.Load().Version == 2 })
 }
 
-// describeZone tells what the instances of a zone believe of each other.
+// describeZone returns the neighbours of the instances of a zone, and the states of their
+// peers.
 func describeZone(cluster *testCluster, names []string) string {
 	var b strings.Builder
 	for _, name := range names {
@@ -116,14 +117,14 @@
 		for p := range n.peers.All() {
 			states[p.State]++
 		}
-		fmt.Fprintf(&b, " %v, absent %d\n", states, len(n.refusedAt))
+		fmt.Fprintf(&b, " %v, refusing %d\n", states, len(n.refusedAt))
 		n.mu.Unlock()
 	}
 	return b.String()
 }
 
-// TestInUse: an instance that still has an offer is a neighbour, however long ago
-// it was sent; one whose offers have ended is one for a while.
+// TestInUse checks the active owners: an instance with an open offer is one, however long ago
+// the offer was sent, and an instance whose offers have ended is one for activeOwnerPeriod.
 func TestInUse(t *testing.T) {
 	r := newRouter(nil)
 	now := clock.Now()
@@ -131,66 +132,66 @@
 	r.lastOfferAt["long"] = now.Add(-2 * activeOwnerPeriod)
 	r.lastOfferAt["lately"] = now.Add(-activeOwnerPeriod / 2)
 	r.lastOfferAt["before"] = now.Add(-2 * activeOwnerPeriod)
-	used := r.activeOwners()
+	active := r.activeOwners()
 	for name, want := range map[string]bool{"long": true, "lately": true, "before": false} {
-		if used[name] != want {
-			t.Errorf("%s in use: %v", name, used[name])
+		if active[name] != want {
+			t.Errorf("%s is an active owner: %v", name, active[name])
 		}
 	}
 }
 
-// TestStandbyReadsUpstreams: an instance that stands by for a larger one does not
-// read each change of the upstreams, but reads them all when it has to own them.
+// TestStandbyReadsUpstreams checks that a standby instance beside a larger one does not read
+// each change of the upstreams, but reads them all when it becomes their owner.
 func TestStandbyReadsUpstreams(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	cluster.startWithCPUShare("a-2", 0.1)
 	small := cluster.nodes["a-2"]
-	cluster.waitUntil("the smaller one stands by", func() bool { return small.upstreamFollowMode() == followPeriodically })
+	cluster.waitUntil("the smaller instance is a standby", func() bool { return small.upstreamFollowMode() == followPeriodically })
 	if cluster.nodes["a-1"].upstreamFollowMode() != followContinuously {
 		t.Error("the owner reads the upstreams only from time to time")
 	}
-	cluster.waitUntil("it has read them", func() bool { return small.knowsUpstream("u-a-1") })
+	cluster.waitUntil("the smaller instance has read the upstreams", func() bool { return small.knowsUpstream("u-a-1") })
 	cluster.addUpstream("u-a-new", "a")
-	cluster.waitUntil("the owner knows the new one", func() bool { return cluster.nodes["a-1"].knowsUpstream("u-a-new") })
+	cluster.waitUntil("the owner knows the new upstream", func() bool { return cluster.nodes["a-1"].knowsUpstream("u-a-new") })
 	if small.knowsUpstream("u-a-new") {
-		t.Error("the smaller one has read it too")
+		t.Error("the standby instance has read the new upstream too")
 	}
 	cluster.kill("a-1")
-	cluster.waitUntil("the smaller one owns the group", func() bool { return cluster.owner("a/0") == "a-2" })
-	cluster.waitUntil("it knows the new one", func() bool { return small.knowsUpstream("u-a-new") })
+	cluster.waitUntil("the smaller instance owns the group", func() bool { return cluster.owner("a/0") == "a-2" })
+	cluster.waitUntil("the smaller instance knows the new upstream", func() bool { return small.knowsUpstream("u-a-new") })
 	cluster.mustComplete("a-2", 2, 20)
 }
 
 // knowsUpstream reports whether an instance knowsUpstream an upstream.
 func (n *Node) knowsUpstream(upstream string) bool {
-	_, known := n.directory.Lookup(upstream)
-	return known
+	_, found := n.directory.Lookup(upstream)
+	return found
 }
 
-// TestNeighboursAreKept: who the neighbours are is worked out when what they follow
-// from changes, and not in each beat.
+// TestNeighboursAreKept checks that the neighbours are computed again if and only if their inputs
+// have changed.
 func TestNeighboursAreKept(t *testing.T) {
 	n := newIdleNode("a-1", "a")
-	known := map[string]membership.Listing{}
+	listings := map[string]membership.Listing{}
 	for i := range 40 {
 		name := fmt.Sprintf("%c-%d", 'a'+i%2, i+1)
-		known[name] = membership.Listing{Instance: name, Zone: zoneOfInstance(name), CPUShare: 0.4, Address: name}
+		listings[name] = membership.Listing{Instance: name, Zone: zoneOfInstance(name), CPUShare: 0.4, Address: name}
 	}
-	change := func(what string, input func(), want bool) {
+	check := func(what string, change func(), want bool) {
 		t.Helper()
 		before := n.neighbours
-		input()
+		change()
 		n.updateNeighboursLocked(n.router.activeOwners())
 		if (n.neighbours != before) != want {
-			t.Errorf("%s: worked out anew %v, want %v", what, !want, want)
+			t.Errorf("%s: computed again %v, want %v", what, !want, want)
 		}
 	}
-	change("instances are listed", func() { n.peers.SetListed(lo.Values(known)) }, true)
-	change("nothing", func() {}, false)
-	change("a heartbeat", func() { n.peers.RecordHeartbeat("a-3.1", membership.Heartbeat{}, 1) }, false)
-	change("an instance is lost", func() { n.peers.MarkEnded("a-3.1") }, true)
-	change("another does not run", func() { n.refusedAt["a-5"] = clock.Now() }, true)
-	change("the groups of a zone are counted", func() { n.groupCounts["a"] = 30 }, true)
-	change("an owner is in use", func() { n.router.lastOfferAt["b-2"] = clock.Now() }, true)
-	change("it still is", func() { n.router.lastOfferAt["b-2"] = clock.Now() }, false)
+	check("instances are listed", func() { n.peers.SetListed(lo.Values(listings)) }, true)
+	check("nothing changes", func() {}, false)
+	check("a heartbeat arrives", func() { n.peers.RecordHeartbeat("a-3.1", membership.Heartbeat{}, 1) }, false)
+	check("an instance is dead", func() { n.peers.MarkEnded("a-3.1") }, true)
+	check("an instance refuses a connection", func() { n.refusedAt["a-5"] = clock.Now() }, true)
+	check("the number of groups of a zone is set", func() { n.groupCounts["a"] = 30 }, true)
+	check("an owner becomes active", func() { n.router.lastOfferAt["b-2"] = clock.Now() }, true)
+	check("the same owner is active", func() { n.router.lastOfferAt["b-2"] = clock.Now() }, false)
 }
--- a/node/ownership_test.go
+++ b/node/ownership_test.go
@@ -8,15 +8,15 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// TestBetterOwner: a group is handed over to a much larger instance, or to one
-// that owns at least two fewer, never for the sake of the hash alone.
+// TestBetterOwner checks that a group is handed over only to a much larger instance, or to one
+// that owns at least two groups fewer, and not just because it is assigned to the other.
 func TestBetterOwner(t *testing.T) {
 	for name, c := range map[string]struct {
-		share  float64
-		claims int
-		own    int
-		fair   int
-		want   bool
+		share    float64
+		claims   int
+		own      int
+		assigned int
+		want     bool
 	}{
 		"the only group, equal sizes":       {0.4, 0, 1, 0, false},
 		"the only group, much larger":       {0.8, 0, 1, 0, true},
@@ -24,7 +24,7 @@
 		"three groups, the peer has one":    {0.4, 1, 3, 2, true},
 		"two groups each":                   {0.4, 2, 2, 2, false},
 		"one more than the peer":            {0.4, 1, 2, 1, false},
-		"fewer than its fair part already":  {0.4, 0, 2, 2, false},
+		"as many as assigned, not more":     {0.4, 0, 2, 2, false},
 		"much larger, and owns many itself": {0.8, 3, 1, 0, true},
 	} {
 		n := &Node{settings: fleet.Instance{Name: "self", CPUShare: 0.4}, neighbours: &membership.Neighbours{IsHub: true}, groups: map[string]*ownedGroup{}, lastHeartbeat: map[string]*inner.Presence{}}
@@ -32,7 +32,7 @@
 			n.groups[groupName("a", i)] = &ownedGroup{}
 		}
 		owners := map[string]string{}
-		for i := range c.fair {
+		for i := range c.assigned {
 			owners[groupName("a", i)] = "self"
 		}
 		p := &inner.Presence{Share: c.share}
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -8,10 +8,10 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// newStartingFleet returns the instances of a fleet that have just started and read the list of
-// all. Each availability zone has five large ones.
+// newStartingFleet returns the instances of a fleet that have all just started and read the list
+// of instances. Each zone has five large ones.
 func newStartingFleet(zones, instances int) []*Node {
-	known := map[string]membership.Listing{}
+	listings := map[string]membership.Listing{}
 	for i := range instances {
 		zone := fmt.Sprintf("%c", 'a'+i%zones)
 		share := 0.2
@@ -19,72 +19,72 @@
 			share = 0.8
 		}
 		name := fmt.Sprintf("%s-%d", zone, i)
-		known[name] = membership.Listing{Instance: name, Zone: zone, CPUShare: share, Address: name}
+		listings[name] = membership.Listing{Instance: name, Zone: zone, CPUShare: share, Address: name}
 	}
 	var fleet []*Node
-	for name, l := range known {
+	for name, l := range listings {
 		n := newIdleNode(name, l.Zone)
 		n.settings.CPUShare = l.CPUShare
 		for i := range zones {
 			n.groupCounts[fmt.Sprintf("%c", 'a'+i)] = 4
 		}
-		n.setPeerList(known)
+		n.setPeerList(listings)
 		fleet = append(fleet, n)
 	}
 	return fleet
 }
 
-// TestReadersDoNotGrow: all instances start at once, as after a loss of power. The entries of
-// all upstreams go over the store's link once for each instance that reads them, and nothing
-// starts before its owner has. So only those read them that may own groups, however many
-// instances there are.
+// TestReadersDoNotGrow starts all instances at once, as after a loss of power. Each instance that
+// reads the entries of all upstreams takes bandwidth of the store, and no task starts before the
+// owners have read them. Therefore only the instances that may own groups must read them, however
+// large the fleet is.
 func TestReadersDoNotGrow(t *testing.T) {
 	const zones, largeOfZone = 6, 5
 	for _, instances := range []int{100, 300, 1000} {
-		readers, rare := 0, 0
+		readers, rareWatchers := 0, 0
 		for _, n := range newStartingFleet(zones, instances) {
 			n.startedAt = clock.Now()
 			if n.upstreamFollowMode() != followNothing {
 				readers++
 			}
 			if n.peerWatchWait() == spokeWatchWait {
-				rare++
+				rareWatchers++
 			}
 		}
 		if readers != zones*largeOfZone {
 			t.Errorf("%d of %d instances read the upstreams at the start, want %d", readers, instances, zones*largeOfZone)
 		}
-		if rare > 0 {
-			t.Errorf("%d of %d instances watch the store rarely before they hear anybody", rare, instances)
+		if rareWatchers > 0 {
+			t.Errorf("%d of %d instances use long watches before they have received heartbeats", rareWatchers, instances)
 		}
 	}
 }
 
-// TestReadersWithoutList: an instance whose store does not answer reads the upstreams once it
-// has waited for the list of instances.
+// TestReadersWithoutList checks that an instance whose store does not respond tries to read the
+// upstreams after it has waited for the list of instances.
 func TestReadersWithoutList(t *testing.T) {
 	n := newIdleNode("a-1", "a")
 	n.awaitPeerList()
 	if n.upstreamFollowMode() != followContinuously {
-		t.Error("it does not read the upstreams")
+		t.Error("the instance does not read the upstreams")
 	}
 }
 
-// TestSpokesWatchRarely: an instance that hears several hubs leaves its watches open for
-// long, one that hears few does not.
+// TestSpokesWatchRarely checks that a spoke with heartbeats from several hubs uses long watches,
+// and one with heartbeats from few hubs does not.
 func TestSpokesWatchRarely(t *testing.T) {
 	cluster, hubs, spokes := newLargeTestCluster(t)
 	spoke := cluster.nodes[spokes[0]]
-	cluster.waitUntil("the spoke hears hubs", func() bool {
+	cluster.waitUntil("the spoke uses long watches", func() bool {
 		return spoke.peerWatchWait() == spokeWatchWait && spoke.configWatchWait() == spokeWatchWait
 	})
 	if hub := cluster.nodes[hubs[0]]; hub.peerWatchWait() != hubPeerWatchWait {
-		t.Error("a hub watches the list of instances rarely")
+		t.Error("a hub uses a long watch on the list of instances")
 	}
 	for _, name := range hubs[2:] {
 		cluster.kill(name)
 	}
-	cluster.waitUntil("it watches closely", func() bool {
+	cluster.waitUntil("the spoke uses short watches or has become a hub", func() bool {
 		return spoke.configWatchWait() == shortConfigWatchWait || spoke.upstreamFollowMode() != followNothing
 	})
 }
--- a/node/relay.go
+++ b/node/relay.go
@@ -10,8 +10,9 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// Spokes receive no heartbeats from other zones. The hubs of their zone relay to them which
-// instances own the groups of other zones, and the load of those groups.
+// Spokes receive no heartbeats from other zones, except from active owners there. The hubs of
+// their zone relay to them which instances own the groups of other zones, and the load of
+// those groups.
 
 // ownersToRelay returns the owners in other zones that this instance relays to the spokes of
 // its zone, or nil if no relay is due. Each hub relays a share of the owners.
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -8,17 +8,17 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// TestRestartOfAll loses all instances at once with work under way, and starts all
-// at once again while each call to the store takes long: each group has one owner
-// again, every instance serves, and no task has two runs at once (the ledger of the
-// installation).
+// TestRestartOfAll kills all instances at once while tasks run, and starts all of them at once
+// while each call to the store takes long. Every instance must complete jobs, each group must
+// have one owner, and no task may have two runs at once, which the cluster checks when it is
+// closed.
 func TestRestartOfAll(t *testing.T) {
 	names := []string{"a-1", "a-2", "a-3", "a-4", "b-1", "b-2", "b-3"}
 	cluster := newTestCluster(t, []string{"a", "b"}, 3, names...)
 	for _, name := range names {
 		cluster.submitAsync(name, cluster.newJobID(), 2, 300)
 	}
-	cluster.waitUntil("work is under way", func() bool { return cluster.runningTasks() > 0 })
+	cluster.waitUntil("tasks run", func() bool { return cluster.runningTasks() > 0 })
 	for _, name := range names {
 		cluster.kill(name)
 	}
@@ -30,7 +30,7 @@
 		cluster.waitUntil(name+" is ready", func() bool {
 			return cluster.status("GET", cluster.nodes[name].settings.ReadinessAddress, "/readiness") == http.StatusOK
 		})
-		cluster.waitUntil(name+" serves", func() bool {
+		cluster.waitUntil(name+" completes a job", func() bool {
 			status, _ := cluster.submit(name, cluster.newJobID(), 1, 10)
 			return status == http.StatusOK
 		})
@@ -40,7 +40,7 @@
 	}
 }
 
-// runningTasks returns how many tasks run.
+// runningTasks returns the number of tasks that run on all upstreams.
 func (cluster *testCluster) runningTasks() int {
 	count := 0
 	for _, u := range cluster.upstreams {
@@ -49,7 +49,7 @@
 	return count
 }
 
-// owners returns the instances that own a group.
+// owners returns the names of the instances that own a group.
 func (cluster *testCluster) owners(group string) []string {
 	var owners []string
 	for name, n := range cluster.nodes {
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -12,15 +12,15 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// TestStopWithoutSuccessor stops the only instance of an availability zone: it
-// goes on serving with its upstreams until another has started and takes them.
+// TestStopWithoutSuccessor shuts down the only instance of a zone as planned. It must keep its
+// group and complete jobs until another instance has started and takes the group.
 func TestStopWithoutSuccessor(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	n := cluster.nodes["a-1"]
-	n.settings.Timing.Grace = time.Minute // the test may be slow, and groups are kept for a part of it
+	n.settings.Timing.Grace = time.Minute // long, because groups are kept for a fraction of it and the test may be slow
 	stopped := make(chan bool, 1)
 	go func() { stopped <- n.Stop() }()
-	cluster.waitUntil("it is stopping", n.shuttingDown.Load)
+	cluster.waitUntil("the shutdown has begun", n.shuttingDown.Load)
 	for range 5 {
 		cluster.mustComplete("a-1", 2, 10)
 	}
@@ -28,7 +28,7 @@
 	g := n.groups["a/0"]
 	n.mu.Unlock()
 	if g == nil || g.handingOver {
-		t.Fatal("it has let go of its group with nobody there to take it")
+		t.Fatal("the group is handed over although no instance can take it")
 	}
 	cluster.start("a-2")
 	cluster.waitUntil("the next instance owns the group", func() bool {
@@ -37,38 +37,38 @@
 		defer next.mu.Unlock()
 		return next.groups["a/0"] != nil
 	})
-	cluster.waitUntil("it serves", func() bool {
+	cluster.waitUntil("the next instance completes a job", func() bool {
 		status, _ := cluster.submit("a-2", cluster.newJobID(), 2, 10)
 		return status == http.StatusOK
 	})
 	if !<-stopped {
-		t.Error("the stop ended undrained")
+		t.Error("the planned shutdown ended before the instance was drained")
 	}
 }
 
-// TestStopHandsOverInTime: without a successor groups are let go early enough for
-// what runs to end.
+// TestStopHandsOverInTime checks that without a successor a group is kept at the beginning of a
+// planned shutdown, and handed over early enough for running tasks to end.
 func TestStopHandsOverInTime(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	n := cluster.nodes["a-1"]
 	limit := n.settings.Timing.Grace - graceMargin
-	handing := func(took time.Duration) bool {
+	isHandingOver := func(took time.Duration) bool {
 		n.handOverForShutdown(took, limit)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		g := n.groups["a/0"]
 		return g == nil || g.handingOver
 	}
-	if handing(0) {
+	if isHandingOver(0) {
 		t.Error("the group is handed over at once")
 	}
-	if !handing(limit / 2) {
-		t.Error("the group is kept for half of the stop")
+	if !isHandingOver(limit / 2) {
+		t.Error("the group is kept for half of the shutdown")
 	}
 }
 
-// TestSettled: a new instance takes nothing while a listed peer of its zone may
-// run and has not been heard.
+// TestSettled checks that a new instance takes no group while a listed peer of its zone may run
+// and has not sent a heartbeat.
 func TestSettled(t *testing.T) {
 	for name, c := range map[string]struct {
 		age    time.Duration
@@ -77,13 +77,13 @@
 		dial   dialOutcome
 		want   bool
 	}{
-		"just started":                 {age: settleTime / 2, dial: dialFailed, want: false},
-		"nothing listens there":        {age: settleTime / 2, absent: true, want: true},
-		"no connection is accepted":    {age: settleTime, dial: dialFailed, want: true},
-		"a connection is accepted":     {age: settleTime, dial: dialAccepted, want: false},
-		"a connection is under way":    {age: settleTime, dial: dialPending, want: false},
-		"it has said nothing for long": {age: busySettleTime, dial: dialAccepted, want: true},
-		"the list has not been read":   {age: settleTime, unread: true, dial: dialFailed, want: false},
+		"just started":               {age: settleTime / 2, dial: dialFailed, want: false},
+		"connection refused":         {age: settleTime / 2, absent: true, want: true},
+		"dial failed":                {age: settleTime, dial: dialFailed, want: true},
+		"dial accepted":              {age: settleTime, dial: dialAccepted, want: false},
+		"dial pending":               {age: settleTime, dial: dialPending, want: false},
+		"no heartbeat for long":      {age: busySettleTime, dial: dialAccepted, want: true},
+		"list of instances not read": {age: settleTime, unread: true, dial: dialFailed, want: false},
 	} {
 		n := &Node{
 			peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{Near: map[string]bool{"a-2": true}},
@@ -100,7 +100,8 @@
 	}
 }
 
-// newIdleNode returns an instance that has just begun and knows nobody. It does not run.
+// newIdleNode returns an instance that has just started and knows no peers. It does no work of
+// its own.
 func newIdleNode(name, zone string) *Node {
 	n := &Node{
 		peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{},
@@ -112,12 +113,12 @@
 	return n
 }
 
-// TestSettledOnceListed: peers of which the list has just told have to be heard
-// before a group is taken, from the moment on that the list counts.
+// TestSettledOnceListed checks that an instance waits for the heartbeats of the peers on the list
+// of instances as soon as it has read the list, before it takes a group.
 func TestSettledOnceListed(t *testing.T) {
 	n := newIdleNode("a-2", "a")
 	n.setPeerList(map[string]membership.Listing{"a-1": {Instance: "a-1", Zone: "a", Address: "there"}})
 	if n.membershipSettled() {
-		t.Error("it takes groups without having heard the peer that it has read of")
+		t.Error("the instance takes groups although the listed peer has not sent a heartbeat")
 	}
 }
--- a/node/upstreamrequest_test.go
+++ b/node/upstreamrequest_test.go
@@ -7,9 +7,9 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// TestReplacedWithoutStore: the store does not answer while all instances of an availability
-// zone are replaced in turn, each by a planned stop. A new one learns the upstreams from one
-// that has read them, and the zone is served all the while.
+// TestReplacedWithoutStore replaces all instances of a zone one after the other by planned
+// shutdowns while the store is unavailable. Each new instance must get the upstreams from a peer
+// that has read them, and jobs must be completed all the time.
 func TestReplacedWithoutStore(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	cluster.store.SetFault(standin.ConnectionReset, 0)
@@ -19,19 +19,19 @@
 		delete(cluster.nodes, name)
 		stopped := make(chan struct{})
 		go func() { old.Stop(); old.Close(); close(stopped) }()
-		cluster.waitUntil(other+" serves alone", func() bool {
+		cluster.waitUntil(other+" completes a job alone", func() bool {
 			status, _ := cluster.submit(other, cluster.newJobID(), 1, 10)
 			return status == http.StatusOK
 		})
 		<-stopped
 		cluster.startWithSeed(name, other)
 		cluster.waitUntil(name+" knows the upstreams", func() bool { return cluster.nodes[name].directory.Synced() })
-		cluster.waitUntil(name+" serves", func() bool {
+		cluster.waitUntil(name+" completes a job", func() bool {
 			status, _ := cluster.submit(name, cluster.newJobID(), 2, 10)
 			return status == http.StatusOK
 		})
 	}
 	if cluster.store.Calls("kv-range") == 0 {
-		t.Error("the store was not asked")
+		t.Error("no instance tried to read from the store")
 	}
 }
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -141,7 +141,7 @@
 // lost. Small hubs read the upstreams from time to time, in case the store is unavailable at
 // that moment.
 func (n *Node) upstreamFollowModeLocked() followMode {
-	groupCountKnown := n.groupCounts[n.settings.Zone] > 0 // it is derived from the number of upstreams, so somebody must read these first
+	groupCountKnown := n.groupCounts[n.settings.Zone] > 0 // until then hubs read the upstreams, since it is derived from their number
 	switch {
 	case len(n.groups) > 0:
 		return followContinuously
