--- a/node/lease.go
+++ b/node/lease.go
@@ -58,16 +58,16 @@
 
 // renewalDue reports whether there are open offers on a connection and their lease is due
 // for renewal.
-func (r *router) renewalDue(link inner.Link) bool {
+func (r *router) renewalDue(link inner.Connection) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return clock.Since(r.leasesRenewedAt[link.Number()]) >= leaseRenewInterval && r.hasOpenOffers(link)
+	return clock.Since(r.leasesRenewedAt[link.ID()]) >= leaseRenewInterval && r.hasOpenOffers(link)
 }
 
 // hasOpenOffers reports whether there are open offers on a connection. r.mu is held.
-func (r *router) hasOpenOffers(link inner.Link) bool {
+func (r *router) hasOpenOffers(link inner.Connection) bool {
 	for _, offer := range r.openOffers {
-		if offer.link != nil && offer.link.Number() == link.Number() {
+		if offer.link != nil && offer.link.ID() == link.ID() {
 			return true
 		}
 	}
@@ -79,13 +79,13 @@
 // First it ends the jobs whose customers have disconnected. It does not renew while
 // decisions on jobs are still being sent: a renewal ahead of a withdrawal would vouch for a
 // customer that has disconnected.
-func (r *router) handlePeerClock(link inner.Link, from fate.Incarnation, clockMs uint64) {
+func (r *router) handlePeerClock(link inner.Connection, from fate.Incarnation, clockMs uint64) {
 	r.recordPeerClock(from, clockMs)
 	if !r.renewalDue(link) || !r.node.ingress.EndDisconnected() {
 		return
 	}
 	r.mu.Lock()
-	r.leasesRenewedAt[link.Number()] = clock.Now()
+	r.leasesRenewedAt[link.ID()] = clock.Now()
 	r.mu.Unlock()
 	r.node.metrics.CountSent("renewal")
 	err := link.Send(&inner.Frame{Body: &inner.Frame_Renewal{Renewal: &inner.Renewal{ClockMs: clockMs}}})
@@ -95,7 +95,7 @@
 }
 
 // handleRenewal renews the lease of the coordinator at the other end of a connection.
-func (r *router) handleRenewal(link inner.Link, from fate.Incarnation, m *inner.Renewal) {
+func (r *router) handleRenewal(link inner.Connection, from fate.Incarnation, m *inner.Renewal) {
 	alive := r.node.timeOfClock(m.GetClockMs())
 	for _, g := range r.node.ownedGroups() {
 		g.Renew(coordinatorName(link, from), alive)
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -113,15 +113,15 @@
 type heartbeatFrames struct {
 	heartbeat *inner.Presence
 	relayed   []*inner.RemoteOwner
-	encoded   map[heartbeatVariant]inner.Encoded
+	encoded   map[heartbeatVariant]inner.EncodedFrame
 }
 
 func (n *Node) newHeartbeatFrames() *heartbeatFrames {
-	return &heartbeatFrames{heartbeat: n.heartbeat(), relayed: n.ownersToRelay(), encoded: map[heartbeatVariant]inner.Encoded{}}
+	return &heartbeatFrames{heartbeat: n.heartbeat(), relayed: n.ownersToRelay(), encoded: map[heartbeatVariant]inner.EncodedFrame{}}
 }
 
 // encode returns the encoded heartbeat of a variant.
-func (f *heartbeatFrames) encode(v heartbeatVariant) (inner.Encoded, error) {
+func (f *heartbeatFrames) encode(v heartbeatVariant) (inner.EncodedFrame, error) {
 	if e, found := f.encoded[v]; found {
 		return e, nil
 	}
@@ -130,7 +130,7 @@
 	if v.relayed {
 		f.heartbeat.Relayed = f.relayed
 	}
-	e, err := inner.Encode(heartbeatFrame(f.heartbeat))
+	e, err := inner.EncodeFrame(heartbeatFrame(f.heartbeat))
 	f.encoded[v] = e
 	return e, err
 }
@@ -219,7 +219,7 @@
 		event.PeerUnsent.Log(n.log, slog.String("what", "presence"), slog.String("error", err.Error()))
 		return
 	}
-	_ = n.mesh.Beat(p.Incarnation, e) // the receiver notices missing heartbeats
+	_ = n.mesh.SendHeartbeat(p.Incarnation, e) // the receiver notices missing heartbeats
 }
 
 // hubPeers returns the other hubs of the own availability zone if this instance is a hub,
--- a/node/peers.go
+++ b/node/peers.go
@@ -104,7 +104,7 @@
 func (n *Node) contactSeeds() {
 	for _, seed := range n.settings.SeedPeers {
 		if seed != n.settings.PeerAddress {
-			n.contactPeer(string(inner.AtAddress(seed)))
+			n.contactPeer(string(inner.PeerAtAddress(seed)))
 		}
 	}
 }
@@ -135,7 +135,7 @@
 // reconnect opens another connection to a peer whose heartbeats have stopped: the connection
 // may have failed silently while the peer still runs.
 func (n *Node) reconnect(instance string) {
-	n.recordRefusal(instance, n.mesh.Renew(instance, n.heartbeatFor(instance)))
+	n.recordRefusal(instance, n.mesh.SendOnNewConnection(instance, n.heartbeatFor(instance)))
 }
 
 // refusalValidity is how long an instance that refused a connection is considered not
@@ -161,11 +161,11 @@
 	delete(n.refusedAt, instance)
 }
 
-// Frame implements inner.Handler. It is never called, since LinkFrame handles all frames.
-func (n *Node) Frame(fate.Incarnation, *inner.Frame, func(*inner.Frame)) {}
+// HandleFrame implements inner.Handler. It is never called, since HandleConnectionFrame handles all frames.
+func (n *Node) HandleFrame(fate.Incarnation, *inner.Frame, func(*inner.Frame)) {}
 
-// LinkFrame implements inner.LinkHandler.
-func (n *Node) LinkFrame(link inner.Link, from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) {
+// HandleConnectionFrame implements inner.ConnectionHandler.
+func (n *Node) HandleConnectionFrame(link inner.Connection, from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) {
 	switch body := f.GetBody().(type) {
 	case *inner.Frame_Presence:
 		n.handleHeartbeat(link, from, body.Presence)
@@ -187,7 +187,7 @@
 }
 
 // sendConfig sends a peer the configuration in force, if there is one.
-func (n *Node) sendConfig(to inner.Link) {
+func (n *Node) sendConfig(to inner.Connection) {
 	config := n.config.Load()
 	if config == nil {
 		return
@@ -199,9 +199,9 @@
 	}
 }
 
-// LinkClosed implements inner.LinkHandler. It withdraws the offers that arrived on the
+// HandleConnectionClosed implements inner.ConnectionHandler. It withdraws the offers that arrived on the
 // connection, and checks at once whether a neighbour still runs.
-func (n *Node) LinkClosed(link inner.Link, from fate.Incarnation) {
+func (n *Node) HandleConnectionClosed(link inner.Connection, from fate.Incarnation) {
 	n.router.handleLinkClosed(link, from)
 	if n.ctx.Err() != nil || !n.isNeighbour(from.Instance()) {
 		return
@@ -227,7 +227,7 @@
 
 // handleHeartbeat applies the heartbeat of a peer: its state, its claims on groups, and what
 // it reports of upstreams, zones, other owners and the configuration.
-func (n *Node) handleHeartbeat(link inner.Link, from fate.Incarnation, p *inner.Presence) {
+func (n *Node) handleHeartbeat(link inner.Connection, from fate.Incarnation, p *inner.Presence) {
 	n.mu.Lock()
 	heartbeat := membership.Heartbeat{Leaving: p.GetLeaving(), Revision: p.GetConfigVersion(), Unwanted: p.GetUnwanted()}
 	changes := n.peers.RecordHeartbeat(from, heartbeat, n.uptimeMs())
@@ -264,7 +264,7 @@
 }
 
 // replyWithHeartbeat sends a heartbeat on the connection on which one was received.
-func (n *Node) replyWithHeartbeat(link inner.Link, peer string) {
+func (n *Node) replyWithHeartbeat(link inner.Connection, peer string) {
 	if err := link.Send(n.heartbeatFor(peer)); err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "presence"), slog.String("error", err.Error()))
 	}
@@ -290,9 +290,9 @@
 		case membership.Dead:
 			event.PeerLost.Log(n.log, attrs...)
 			n.router.forgetPeer(c.Peer.Incarnation)
-			n.mesh.Sever(c.Peer.Incarnation)
+			n.mesh.CloseConnections(c.Peer.Incarnation)
 		case membership.Listed: // neither side needs heartbeats of the other any more
-			n.mesh.Sever(c.Peer.Incarnation)
+			n.mesh.CloseConnections(c.Peer.Incarnation)
 		case membership.Suspect:
 			go n.reconnect(c.Peer.Instance)
 		case membership.Leaving:
--- a/node/router.go
+++ b/node/router.go
@@ -40,8 +40,8 @@
 // openOffer is an offer that was sent to a peer and has not ended.
 type openOffer struct {
 	owner.OfferCallbacks
-	peer string     // name of the instance that the offer was sent to
-	link inner.Link // connection on which the offer was sent; nil while it is being sent
+	peer string           // name of the instance that the offer was sent to
+	link inner.Connection // connection on which the offer was sent; nil while it is being sent
 	// withdrawn is set when the coordinator withdraws the offer, with the reason.
 	withdrawn bool
 	reason    string
@@ -181,7 +181,7 @@
 	aliveMs := aliveOnPeerClock(r.peerClocks[peer], o.AliveAt)
 	r.mu.Unlock()
 	frame := &inner.Frame{Body: &inner.Frame_Offer{Offer: offerToProto(group, o, aliveMs)}}
-	link, err := r.node.mesh.Ask(peer, frame, func(f *inner.Frame, err error) { r.handleOfferEnd(k, f, err) })
+	link, err := r.node.mesh.CallAsyncConn(peer, frame, func(f *inner.Frame, err error) { r.handleOfferEnd(k, f, err) })
 	if err != nil {
 		r.removeOffer(k)
 		return err
@@ -276,7 +276,7 @@
 
 // sendWithdrawal withdraws an offer on the connection on which it was sent. If the connection
 // is closed, the owner ends the offer without a withdrawal.
-func (r *router) sendWithdrawal(link inner.Link, k offerKey, reason string) {
+func (r *router) sendWithdrawal(link inner.Connection, k offerKey, reason string) {
 	frame := &inner.Frame{Body: &inner.Frame_OfferWithdrawn{OfferWithdrawn: &inner.OfferWithdrawn{
 		Group: k.group, Job: k.job.ID, Part: uint32(k.job.Part), Reason: reason,
 	}}}
@@ -287,12 +287,12 @@
 
 // coordinatorName returns the name under which a group knows the coordinator of the offers on
 // a connection. It differs between the connections of one peer.
-func coordinatorName(link inner.Link, from fate.Incarnation) string {
-	return string(from) + "#" + strconv.FormatUint(link.Number(), 10)
+func coordinatorName(link inner.Connection, from fate.Incarnation) string {
+	return string(from) + "#" + strconv.FormatUint(link.ID(), 10)
 }
 
 // handleOffer hands the offer of a peer to the group, and replies when the offer ends.
-func (r *router) handleOffer(link inner.Link, from fate.Incarnation, m *inner.Offer, reply func(*inner.Frame)) {
+func (r *router) handleOffer(link inner.Connection, from fate.Incarnation, m *inner.Offer, reply func(*inner.Frame)) {
 	g, _ := r.findGroup(m.GetGroup())
 	if g == nil {
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(failure.Stopping.New("group %s is not owned here", m.GetGroup()))}})
@@ -312,7 +312,7 @@
 	}
 }
 
-func (r *router) handleWithdrawal(link inner.Link, from fate.Incarnation, m *inner.OfferWithdrawn) {
+func (r *router) handleWithdrawal(link inner.Connection, from fate.Incarnation, m *inner.OfferWithdrawn) {
 	if g, _ := r.findGroup(m.GetGroup()); g != nil {
 		g.Withdraw(schedule.JobKey{Coordinator: coordinatorName(link, from), ID: m.GetJob(), Part: int(m.GetPart())}, m.GetReason())
 	}
@@ -320,13 +320,13 @@
 
 // handleLinkClosed withdraws the offers that arrived on a connection: their coordinator
 // considers them lost, and its customers may submit the jobs again.
-func (r *router) handleLinkClosed(link inner.Link, from fate.Incarnation) {
+func (r *router) handleLinkClosed(link inner.Connection, from fate.Incarnation) {
 	coordinator := coordinatorName(link, from)
 	for _, g := range r.node.ownedGroups() {
 		g.WithdrawAll(coordinator, "the connection to the coordinator closed")
 	}
 	r.mu.Lock()
-	delete(r.leasesRenewedAt, link.Number())
+	delete(r.leasesRenewedAt, link.ID())
 	r.mu.Unlock()
 }
 
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -94,7 +94,7 @@
 		n.mu.Lock()
 		n.peers.Tick(n.uptimeMs() + time.Hour.Milliseconds())
 		n.mu.Unlock()
-		n.mesh.Sever(cluster.nodes[peer].self)
+		n.mesh.CloseConnections(cluster.nodes[peer].self)
 	}
 	markLost(a, "b-1")
 	markLost(b, "a-1")
