--- a/node/configrequest.go
+++ b/node/configrequest.go
@@ -45,7 +45,7 @@
 
 // handleConfigVersion takes the version of the configuration that a peer uses, and requests
 // the configuration if it is newer and a request is due.
-func (n *Node) handleConfigVersion(link inner.Connection, version uint64) {
+func (n *Node) handleConfigVersion(conn inner.Connection, version uint64) {
 	config := n.config.Load()
 	if version == 0 || config != nil && version <= config.Version {
 		return
@@ -57,7 +57,7 @@
 		return
 	}
 	n.metrics.CountSent("config_request")
-	if err := link.Send(&inner.Frame{Body: &inner.Frame_ConfigRequest{ConfigRequest: &inner.ConfigRequest{}}}); err != nil {
+	if err := conn.Send(&inner.Frame{Body: &inner.Frame_ConfigRequest{ConfigRequest: &inner.ConfigRequest{}}}); err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "config request"), slog.String("error", err.Error()))
 	}
 }
--- a/node/lease.go
+++ b/node/lease.go
@@ -58,16 +58,16 @@
 
 // renewalDue reports whether there are open offers on a connection and their lease is due
 // for renewal.
-func (r *router) renewalDue(link inner.Connection) bool {
+func (r *router) renewalDue(conn inner.Connection) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return clock.Since(r.leasesRenewedAt[link.ID()]) >= leaseRenewInterval && r.hasOpenOffers(link)
+	return clock.Since(r.leasesRenewedAt[conn.ID()]) >= leaseRenewInterval && r.hasOpenOffers(conn)
 }
 
 // hasOpenOffers reports whether there are open offers on a connection. r.mu is held.
-func (r *router) hasOpenOffers(link inner.Connection) bool {
+func (r *router) hasOpenOffers(conn inner.Connection) bool {
 	for _, offer := range r.openOffers {
-		if offer.link != nil && offer.link.ID() == link.ID() {
+		if offer.conn != nil && offer.conn.ID() == conn.ID() {
 			return true
 		}
 	}
@@ -79,26 +79,26 @@
 // First it ends the jobs whose customers have disconnected. It does not renew while
 // decisions on jobs are still being sent: a renewal ahead of a withdrawal would vouch for a
 // customer that has disconnected.
-func (r *router) handlePeerClock(link inner.Connection, from fate.Incarnation, clockMs uint64) {
+func (r *router) handlePeerClock(conn inner.Connection, from fate.Incarnation, clockMs uint64) {
 	r.recordPeerClock(from, clockMs)
-	if !r.renewalDue(link) || !r.node.ingress.EndDisconnected() {
+	if !r.renewalDue(conn) || !r.node.ingress.EndDisconnected() {
 		return
 	}
 	r.mu.Lock()
-	r.leasesRenewedAt[link.ID()] = clock.Now()
+	r.leasesRenewedAt[conn.ID()] = clock.Now()
 	r.mu.Unlock()
 	r.node.metrics.CountSent("renewal")
-	err := link.Send(&inner.Frame{Body: &inner.Frame_Renewal{Renewal: &inner.Renewal{ClockMs: clockMs}}})
+	err := conn.Send(&inner.Frame{Body: &inner.Frame_Renewal{Renewal: &inner.Renewal{ClockMs: clockMs}}})
 	if err != nil {
 		event.PeerUnsent.Log(r.node.log, slog.String("what", "renewal"), slog.String("error", err.Error()))
 	}
 }
 
 // handleRenewal renews the lease of the coordinator at the other end of a connection.
-func (r *router) handleRenewal(link inner.Connection, from fate.Incarnation, m *inner.Renewal) {
+func (r *router) handleRenewal(conn inner.Connection, from fate.Incarnation, m *inner.Renewal) {
 	alive := r.node.timeOfClock(m.GetClockMs())
 	for _, g := range r.node.ownedGroups() {
-		g.Renew(coordinatorName(link, from), alive)
+		g.Renew(coordinatorName(conn, from), alive)
 	}
 }
 
--- a/node/peers.go
+++ b/node/peers.go
@@ -165,20 +165,20 @@
 func (n *Node) HandleFrame(fate.Incarnation, *inner.Frame, func(*inner.Frame)) {}
 
 // HandleConnectionFrame implements inner.ConnectionHandler.
-func (n *Node) HandleConnectionFrame(link inner.Connection, from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) {
+func (n *Node) HandleConnectionFrame(conn inner.Connection, from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) {
 	switch body := f.GetBody().(type) {
 	case *inner.Frame_Presence:
-		n.handleHeartbeat(link, from, body.Presence)
+		n.handleHeartbeat(conn, from, body.Presence)
 	case *inner.Frame_Offer:
-		n.router.handleOffer(link, from, body.Offer, reply)
+		n.router.handleOffer(conn, from, body.Offer, reply)
 	case *inner.Frame_OfferReturned:
 		n.router.handleReturned(body.OfferReturned)
 	case *inner.Frame_OfferWithdrawn:
-		n.router.handleWithdrawal(link, from, body.OfferWithdrawn)
+		n.router.handleWithdrawal(conn, from, body.OfferWithdrawn)
 	case *inner.Frame_Renewal:
-		n.router.handleRenewal(link, from, body.Renewal)
+		n.router.handleRenewal(conn, from, body.Renewal)
 	case *inner.Frame_ConfigRequest:
-		n.sendConfig(link)
+		n.sendConfig(conn)
 	case *inner.Frame_UpstreamsRequest:
 		n.replyWithUpstreams(body.UpstreamsRequest.GetZone(), reply)
 	case *inner.Frame_ConfigReply:
@@ -201,8 +201,8 @@
 
 // HandleConnectionClosed implements inner.ConnectionHandler. It withdraws the offers that arrived on the
 // connection, and checks at once whether a neighbour still runs.
-func (n *Node) HandleConnectionClosed(link inner.Connection, from fate.Incarnation) {
-	n.router.handleLinkClosed(link, from)
+func (n *Node) HandleConnectionClosed(conn inner.Connection, from fate.Incarnation) {
+	n.router.handleConnectionClosed(conn, from)
 	if n.ctx.Err() != nil || !n.isNeighbour(from.Instance()) {
 		return
 	}
@@ -227,7 +227,7 @@
 
 // handleHeartbeat applies the heartbeat of a peer: its state, its claims on groups, and what
 // it reports of upstreams, zones, other owners and the configuration.
-func (n *Node) handleHeartbeat(link inner.Connection, from fate.Incarnation, p *inner.Presence) {
+func (n *Node) handleHeartbeat(conn inner.Connection, from fate.Incarnation, p *inner.Presence) {
 	n.mu.Lock()
 	heartbeat := membership.Heartbeat{Leaving: p.GetLeaving(), Revision: p.GetConfigVersion(), Unwanted: p.GetUnwanted()}
 	changes := n.peers.RecordHeartbeat(from, heartbeat, n.uptimeMs())
@@ -244,19 +244,19 @@
 	n.logDrains(draining, from.Instance())
 	resized := n.directory.ApplyCapacityReports(clock.Now(), capacityReportsFromProto(p.GetRooms()))
 	n.applyPeerZones(from.Instance(), p)
-	n.router.handlePeerClock(link, from, p.GetClockMs())
+	n.router.handlePeerClock(conn, from, p.GetClockMs())
 	n.router.handleClaims(from, p)
 	n.router.handleRelayedOwners(p.GetRelayed())
 	n.applyPeerChanges(changes)
 	if len(changes) > 0 {
 		// The reply goes on the same connection: one in the other direction may
 		// take long to open, and until then the peer could consider itself isolated.
-		n.replyWithHeartbeat(link, from.Instance())
+		n.replyWithHeartbeat(conn, from.Instance())
 	}
 	if len(draining) > 0 || resized {
 		n.updateGroups()
 	}
-	n.handleConfigVersion(link, p.GetConfigVersion())
+	n.handleConfigVersion(conn, p.GetConfigVersion())
 	if claimsChanged(previous.GetClaims(), p.GetClaims()) {
 		n.reconcileGroups()
 		n.updateGroups()
@@ -264,8 +264,8 @@
 }
 
 // replyWithHeartbeat sends a heartbeat on the connection on which one was received.
-func (n *Node) replyWithHeartbeat(link inner.Connection, peer string) {
-	if err := link.Send(n.heartbeatFor(peer)); err != nil {
+func (n *Node) replyWithHeartbeat(conn inner.Connection, peer string) {
+	if err := conn.Send(n.heartbeatFor(peer)); err != nil {
 		event.PeerUnsent.Log(n.log, slog.String("what", "presence"), slog.String("error", err.Error()))
 	}
 }
--- a/node/router.go
+++ b/node/router.go
@@ -41,7 +41,7 @@
 type openOffer struct {
 	owner.OfferCallbacks
 	peer string           // name of the instance that the offer was sent to
-	link inner.Connection // connection on which the offer was sent; nil while it is being sent
+	conn inner.Connection // connection on which the offer was sent; nil while it is being sent
 	// withdrawn is set when the coordinator withdraws the offer, with the reason.
 	withdrawn bool
 	reason    string
@@ -181,17 +181,17 @@
 	aliveMs := aliveOnPeerClock(r.peerClocks[peer], o.AliveAt)
 	r.mu.Unlock()
 	frame := &inner.Frame{Body: &inner.Frame_Offer{Offer: offerToProto(group, o, aliveMs)}}
-	link, err := r.node.mesh.CallAsyncConn(peer, frame, func(f *inner.Frame, err error) { r.handleOfferEnd(k, f, err) })
+	conn, err := r.node.mesh.CallAsyncConn(peer, frame, func(f *inner.Frame, err error) { r.handleOfferEnd(k, f, err) })
 	if err != nil {
 		r.removeOffer(k)
 		return err
 	}
 	r.mu.Lock()
-	tracked.link = link
+	tracked.conn = conn
 	withdrawn, reason := tracked.withdrawn, tracked.reason
 	r.mu.Unlock()
 	if withdrawn {
-		r.sendWithdrawal(link, k, reason)
+		r.sendWithdrawal(conn, k, reason)
 	}
 	return nil
 }
@@ -267,43 +267,43 @@
 	}
 	r.mu.Lock()
 	offer.withdrawn, offer.reason = true, reason
-	link := offer.link
+	conn := offer.conn
 	r.mu.Unlock()
-	if link != nil {
-		r.sendWithdrawal(link, k, reason)
+	if conn != nil {
+		r.sendWithdrawal(conn, k, reason)
 	}
 }
 
 // sendWithdrawal withdraws an offer on the connection on which it was sent. If the connection
 // is closed, the owner ends the offer without a withdrawal.
-func (r *router) sendWithdrawal(link inner.Connection, k offerKey, reason string) {
+func (r *router) sendWithdrawal(conn inner.Connection, k offerKey, reason string) {
 	frame := &inner.Frame{Body: &inner.Frame_OfferWithdrawn{OfferWithdrawn: &inner.OfferWithdrawn{
 		Group: k.group, Job: k.job.ID, Part: uint32(k.job.Part), Reason: reason,
 	}}}
-	if err := link.Send(frame); err != nil {
+	if err := conn.Send(frame); err != nil {
 		event.PeerUnsent.Log(r.node.log, slog.String("what", "withdrawal"), slog.String("job", k.job.ID), slog.String("error", err.Error()))
 	}
 }
 
 // coordinatorName returns the name under which a group knows the coordinator of the offers on
 // a connection. It differs between the connections of one peer.
-func coordinatorName(link inner.Connection, from fate.Incarnation) string {
-	return string(from) + "#" + strconv.FormatUint(link.ID(), 10)
+func coordinatorName(conn inner.Connection, from fate.Incarnation) string {
+	return string(from) + "#" + strconv.FormatUint(conn.ID(), 10)
 }
 
 // handleOffer hands the offer of a peer to the group, and replies when the offer ends.
-func (r *router) handleOffer(link inner.Connection, from fate.Incarnation, m *inner.Offer, reply func(*inner.Frame)) {
+func (r *router) handleOffer(conn inner.Connection, from fate.Incarnation, m *inner.Offer, reply func(*inner.Frame)) {
 	g, _ := r.findGroup(m.GetGroup())
 	if g == nil {
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(failure.Stopping.New("group %s is not owned here", m.GetGroup()))}})
 		return
 	}
 	o := offerFromProto(m)
-	o.Key.Coordinator = coordinatorName(link, from)
+	o.Key.Coordinator = coordinatorName(conn, from)
 	o.AliveAt = r.node.timeOfClock(m.GetAliveMs())
 	err := g.Offer(o, owner.OfferCallbacks{
 		TasksReturned: func(res schedule.Result, l schedule.Load) {
-			_ = link.Send(offerReturnedFrame(g, res, l)) // if the connection is closed, the offer has been ended
+			_ = conn.Send(offerReturnedFrame(g, res, l)) // if the connection is closed, the offer has been ended
 		},
 		OfferEnded: func(res schedule.Result, l schedule.Load) { reply(offerEndedFrame(g, res, l)) },
 	})
@@ -312,21 +312,21 @@
 	}
 }
 
-func (r *router) handleWithdrawal(link inner.Connection, from fate.Incarnation, m *inner.OfferWithdrawn) {
+func (r *router) handleWithdrawal(conn inner.Connection, from fate.Incarnation, m *inner.OfferWithdrawn) {
 	if g, _ := r.findGroup(m.GetGroup()); g != nil {
-		g.Withdraw(schedule.JobKey{Coordinator: coordinatorName(link, from), ID: m.GetJob(), Part: int(m.GetPart())}, m.GetReason())
+		g.Withdraw(schedule.JobKey{Coordinator: coordinatorName(conn, from), ID: m.GetJob(), Part: int(m.GetPart())}, m.GetReason())
 	}
 }
 
-// handleLinkClosed withdraws the offers that arrived on a connection: their coordinator
+// handleConnectionClosed withdraws the offers that arrived on a connection: their coordinator
 // considers them lost, and its customers may submit the jobs again.
-func (r *router) handleLinkClosed(link inner.Connection, from fate.Incarnation) {
-	coordinator := coordinatorName(link, from)
+func (r *router) handleConnectionClosed(conn inner.Connection, from fate.Incarnation) {
+	coordinator := coordinatorName(conn, from)
 	for _, g := range r.node.ownedGroups() {
 		g.WithdrawAll(coordinator, "the connection to the coordinator closed")
 	}
 	r.mu.Lock()
-	delete(r.leasesRenewedAt, link.ID())
+	delete(r.leasesRenewedAt, conn.ID())
 	r.mu.Unlock()
 }
 
