--- a/node/follow.go
+++ b/node/follow.go
@@ -27,7 +27,8 @@
 	// replace is called with all keys as of a revision, update with changed keys.
 	replace func(items []platform.Item, revision uint64)
 	update  func(items []platform.Item)
-	// onReadFailure is called when a read of all keys fails. It may be nil.
+	// onReadFailure is called when a call to the store fails before all keys have been
+	// read, or read again. It may be nil.
 	onReadFailure func()
 }
 
--- a/node/lease.go
+++ b/node/lease.go
@@ -14,8 +14,8 @@
 // An owner runs the tasks of a coordinator under a lease (see coordinator.go in package
 // schedule). The owner's heartbeats carry the time of its monotonic clock. The coordinator
 // ends the jobs whose customers have disconnected, and then returns that time in a renewal
-// on each connection on which it has open offers: it proves that the coordinator was alive
-// after the owner sent the heartbeat. Offers carry a time of the owner's clock too, the
+// on each connection on which it has open offers. This proves that the coordinator was alive
+// after the owner had sent the heartbeat. Offers carry a time of the owner's clock too, the
 // latest one known less the time since the customer was last known to be connected.
 
 // clockOffset is the reading of the clock in heartbeats when an instance starts. It is far
--- a/node/peers.go
+++ b/node/peers.go
@@ -33,8 +33,8 @@
 }
 
 // tick does the periodic work of the instance: it renews its own leases, updates the states
-// of its peers and the groups that it owns, and sends heartbeats. It also runs out of turn
-// when peers should learn of a change at once.
+// of its peers and the groups that it owns, and sends heartbeats. It is also called outside of
+// the interval when peers should learn of a change at once.
 func (n *Node) tick() {
 	n.detectSuspension()
 	n.renewOwnLeases()
@@ -90,7 +90,7 @@
 	}
 	go func() {
 		if n.settings.Name > instance {
-			n.sleep(dialYieldDelay) // the name of a seed is its address, so it sorts before this one
+			n.sleep(dialYieldDelay) // seeds, which are named after their address, sort before this instance
 		}
 		err := n.mesh.Send(fate.Incarnation(instance), n.heartbeatFor(instance)) // the next tick tries again
 		n.recordRefusal(instance, err)
@@ -143,7 +143,7 @@
 const refusalValidity = time.Second
 
 // refusedRecently reports whether an instance has refused a connection within
-// refusalValidity, so that it is considered not running. n.mu is held.
+// refusalValidity, in which case it is considered not running. n.mu is held.
 func (n *Node) refusedRecently(instance string) bool {
 	at, found := n.refusedAt[instance]
 	return found && clock.Since(at) < refusalValidity
@@ -161,7 +161,8 @@
 	delete(n.refusedAt, instance)
 }
 
-// HandleFrame implements inner.Handler. It is never called, since HandleConnectionFrame handles all frames.
+// HandleFrame implements inner.Handler. It is never called, since HandleConnectionFrame
+// handles all frames.
 func (n *Node) HandleFrame(fate.Incarnation, *inner.Frame, func(*inner.Frame)) {}
 
 // HandleConnectionFrame implements inner.ConnectionHandler.
@@ -199,8 +200,9 @@
 	}
 }
 
-// HandleConnectionClosed implements inner.ConnectionHandler. It withdraws the offers that arrived on the
-// connection, and checks at once whether a neighbour still runs.
+// HandleConnectionClosed implements inner.ConnectionHandler. It withdraws the offers that
+// arrived on the connection, and checks at once whether the peer still runs, if it is a
+// neighbour.
 func (n *Node) HandleConnectionClosed(conn inner.Connection, from fate.Incarnation) {
 	n.router.handleConnectionClosed(conn, from)
 	if n.ctx.Err() != nil || !n.isNeighbour(from.Instance()) {
@@ -278,8 +280,8 @@
 	})
 }
 
-// applyPeerChanges logs changed states of peers, and closes the connections to peers that
-// are dead or no longer needed.
+// applyPeerChanges logs changed states of peers. It closes the connections to peers that are
+// dead or no longer needed, and opens another connection to suspected ones.
 func (n *Node) applyPeerChanges(changes []membership.Change) {
 	for _, c := range changes {
 		attrs := []slog.Attr{
--- a/node/router.go
+++ b/node/router.go
@@ -23,14 +23,14 @@
 type router struct {
 	node *Node
 	mu   sync.Mutex
-	// peerOwners holds the owners on peers, by group.
+	// peerOwners holds the last reported state of the groups that peers own, by group.
 	peerOwners map[string]*peerOwner
 	// lastOfferAt holds when the last offer was sent to an instance, by name.
 	lastOfferAt map[string]time.Time
 	// openOffers holds the offers that were sent to peers and have not ended.
 	openOffers map[offerKey]*openOffer
 	// leasesRenewedAt holds when the lease of the offers on a connection was last
-	// renewed, by number of the connection.
+	// renewed, by id of the connection.
 	leasesRenewedAt map[uint64]time.Time
 	// peerClocks holds the latest time that each peer has sent of its monotonic clock, in
 	// milliseconds.
--- a/node/timing.go
+++ b/node/timing.go
@@ -30,9 +30,10 @@
 	// Peers that run respond within a few round trips, and after a restart of the whole
 	// fleet there is no service until the groups are taken.
 	settleTime = 200 * time.Millisecond
-	// busySettleTime is the same while a peer accepts connections but has not sent a
-	// heartbeat yet. It runs, and may own the groups that this instance would take. When
-	// the whole fleet starts, a small instance is unresponsive for most of a second.
+	// busySettleTime is how long a new instance waits before it takes groups if a peer
+	// accepts connections but has not sent a heartbeat yet. Such a peer runs, and may own
+	// the groups. When the whole fleet starts, a small instance is unresponsive for most
+	// of a second.
 	busySettleTime = 2 * time.Second
 	// seedDelay is the age at which an instance that knows no peers contacts the seed
 	// peers of its settings.
@@ -62,8 +63,9 @@
 const maxLoadAge = 350 * time.Millisecond
 
 const (
-	// maxRelayedLoadAge is the same for an owner that a hub relays, whose reports arrive
-	// later by up to the interval of relays and that of heartbeats between zones.
+	// maxRelayedLoadAge is the maximum age of the last load report for an owner that a hub
+	// relays. Its reports arrive later by up to the interval of relays and that of
+	// heartbeats between zones.
 	maxRelayedLoadAge = maxLoadAge + relayInterval + farHeartbeatInterval
 	// relayedOwnerExpiry is the age of the last report at which a relayed owner is
 	// removed.
@@ -80,14 +82,17 @@
 	// open for the first hubs of a zone. If a response is lost, they notice that only
 	// after this time, and a new version must be in use within seconds.
 	shortConfigWatchWait = 900 * time.Millisecond
-	// hubConfigWatchWait is the same for the other hubs.
+	// hubConfigWatchWait is how long the store may keep a watch on the configuration open
+	// for the other hubs.
 	hubConfigWatchWait = 3 * time.Second
-	// upstreamWatchWait is the same for watches on the upstreams, and hubPeerWatchWait for
-	// watches of hubs on the list of instances.
+	// upstreamWatchWait is how long the store may keep a watch on the upstreams open.
 	upstreamWatchWait = 1500 * time.Millisecond
-	hubPeerWatchWait  = 3 * time.Second
-	// spokeWatchWait is the same for watches of spokes that receive heartbeats of several
-	// hubs: what a lost response contained arrives with those. Most calls to the store are
+	// hubPeerWatchWait is how long the store may keep a watch on the list of instances open
+	// for hubs.
+	hubPeerWatchWait = 3 * time.Second
+	// spokeWatchWait is how long the store may keep a watch on the configuration or the
+	// list of instances open for spokes that receive heartbeats of several hubs: what a
+	// lost response contained arrives with those heartbeats. Most calls to the store are
 	// watches that end without changes, so that a long time saves many of them.
 	spokeWatchWait = 15 * time.Second
 	// ownerReadPause is the pause between reads of the upstreams on an instance that owns
