--- a/node/registration.go
+++ b/node/registration.go
@@ -80,9 +80,9 @@
 	n.tick()
 }
 
-// setPeerList takes the list of instances, and updates the neighbours under the same lock.
-// Between two locks, this instance could take the groups of peers that it has just read of
-// and that it should wait for, because it did not consider them neighbours yet.
+// setPeerList takes the list of instances, and updates the neighbours under the same lock. If
+// the lock were released in between, this instance could take the groups of peers on the list
+// without waiting for their heartbeats, because they would not be neighbours yet.
 func (n *Node) setPeerList(listings map[string]membership.Listing) {
 	list := make([]membership.Listing, 0, len(listings))
 	for name, l := range listings {
--- a/node/suspension.go
+++ b/node/suspension.go
@@ -12,9 +12,9 @@
 // the heartbeat interval, so that peers may have missed a heartbeat.
 const minSuspension = 100 * time.Millisecond
 
-// detectSuspension checks whether the machine was suspended since the last tick. Package clock
-// includes suspended time, but timers do not and fire late by it, so that jobs whose customers
-// have stopped waiting are ended here.
+// detectSuspension checks whether the machine was suspended since the last tick, and if so,
+// ends the jobs whose customers have stopped waiting. The timers of those jobs do not include
+// suspended time, as package clock does, and fire late by it.
 func (n *Node) detectSuspension() {
 	total := clock.Suspended()
 	n.mu.Lock()
