--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -53,7 +53,7 @@
 // After the evacuation ends, the zone is used again.
 func TestEvacuation(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	jobStatus := cluster.submitAsync("a-1", cluster.newJobID(), 4, 600)
+	response := cluster.submitAsync("a-1", cluster.newJobID(), 4, 600)
 	cluster.waitUntil("tasks run in the zone", func() bool { return cluster.runningTasks() == 4 })
 	cluster.store.Evacuate("a")
 	since := cluster.waitUntilClosed("a/0")
@@ -64,7 +64,7 @@
 		}
 	}
 	cluster.waitUntil("the other zone completes a job while the first one still runs", isServed("a-2", 1))
-	if status := <-jobStatus; status != http.StatusOK {
+	if status := <-response; status != http.StatusOK {
 		t.Errorf("a job that ran before the evacuation got status %d", status)
 	}
 	for range 3 {
@@ -117,7 +117,7 @@
 // zone.
 func TestEvacuationOutlastsPlannedStop(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
-	jobStatus := cluster.submitAsync("a-1", cluster.newJobID(), 4, 600)
+	response := cluster.submitAsync("a-1", cluster.newJobID(), 4, 600)
 	cluster.waitUntil("tasks run in the zone", func() bool { return cluster.runningTasks() == 4 })
 	cluster.store.Evacuate("a")
 	since := cluster.waitUntilClosed("a/0")
@@ -128,7 +128,7 @@
 		next := cluster.owners("a/0")
 		return len(next) == 1 && next[0] != former
 	})
-	if status := <-jobStatus; status != http.StatusOK {
+	if status := <-response; status != http.StatusOK {
 		t.Errorf("the job that ran before the evacuation got status %d", status)
 	}
 	for range 3 {
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -19,10 +19,10 @@
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	owner := cluster.owner("a/0")
 	id := cluster.newJobID()
-	status := cluster.submitAsync(cluster.other(owner), id, 4, 500)
+	response := cluster.submitAsync(cluster.other(owner), id, 4, 500)
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	cluster.kill(owner)
-	if status := <-status; status != http.StatusGatewayTimeout {
+	if status := <-response; status != http.StatusGatewayTimeout {
 		t.Errorf("the job on the killed owner got status %d", status)
 	}
 	remaining := cluster.owner("a/0")
--- a/node/giveup_test.go
+++ b/node/giveup_test.go
@@ -13,9 +13,9 @@
 // test.
 const longTaskMs = 60_000
 
-// submitAndDisconnect submits a job on a new connection. It returns a function that closes the
+// submitWithDisconnect submits a job on a new connection. It returns a function that closes the
 // connection.
-func (cluster *testCluster) submitAndDisconnect(name, id string, tasks int) (disconnect func()) {
+func (cluster *testCluster) submitWithDisconnect(name, id string, tasks int) (disconnect func()) {
 	cluster.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := standin.NewRequest(ctx, "POST", cluster.nodes[name].settings.CustomerAddress, "desk.example", "/checks/"+id, jobBody(tasks, longTaskMs), waitLimit)
@@ -65,29 +65,29 @@
 	t.Run("owner partitioned", func(t *testing.T) {
 		cluster, _, coordinator := newOwnerAndCoordinator(t)
 		id := cluster.newJobID()
-		leave := cluster.submitAndDisconnect(coordinator, id, 2)
+		disconnect := cluster.submitWithDisconnect(coordinator, id, 2)
 		cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 		cluster.blackholePeerConnections()
-		leave()
+		disconnect()
 		cluster.checkJobStopped(id, coordinator)
 	})
 	t.Run("owner killed", func(t *testing.T) {
 		cluster, owner, coordinator := newOwnerAndCoordinator(t)
 		id := cluster.newJobID()
-		leave := cluster.submitAndDisconnect(coordinator, id, 2)
+		disconnect := cluster.submitWithDisconnect(coordinator, id, 2)
 		cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 		cluster.kill(owner)
-		leave()
+		disconnect()
 		cluster.waitUntil("the other instance owns the group", func() bool { return cluster.owner("a/0") == coordinator })
 		cluster.checkJobStopped(id, coordinator)
 	})
 	t.Run("owner that is also the coordinator killed", func(t *testing.T) {
 		cluster, owner, other := newOwnerAndCoordinator(t)
 		id := cluster.newJobID()
-		leave := cluster.submitAndDisconnect(owner, id, 2)
+		disconnect := cluster.submitWithDisconnect(owner, id, 2)
 		cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 		cluster.kill(owner)
-		leave()
+		disconnect()
 		cluster.waitUntil("the other instance owns the group", func() bool { return cluster.owner("a/0") == other })
 		cluster.checkJobStopped(id, other)
 	})
@@ -95,9 +95,9 @@
 		cluster, _, coordinator := newOwnerAndCoordinator(t)
 		cluster.delayOrders(1, 300*time.Millisecond)
 		id := cluster.newJobID()
-		leave := cluster.submitAndDisconnect(coordinator, id, 2)
+		disconnect := cluster.submitWithDisconnect(coordinator, id, 2)
 		cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
-		leave()
+		disconnect()
 		cluster.delayOrders(0, 0)
 		cluster.checkJobStopped(id, coordinator)
 	})
@@ -105,9 +105,9 @@
 		cluster, owner, coordinator := newOwnerAndCoordinator(t)
 		cluster.delayOrders(1, 300*time.Millisecond)
 		id := cluster.newJobID()
-		leave := cluster.submitAndDisconnect(coordinator, id, 2)
+		disconnect := cluster.submitWithDisconnect(coordinator, id, 2)
 		cluster.waitUntil("the job is open", func() bool { return cluster.nodes[coordinator].ingress.OpenJobs() == 1 })
-		leave()
+		disconnect()
 		cluster.kill(owner)
 		cluster.delayOrders(0, 0)
 		cluster.waitUntil("the other instance owns the group", func() bool { return cluster.owner("a/0") == coordinator })
--- a/node/incarnations_test.go
+++ b/node/incarnations_test.go
@@ -18,14 +18,14 @@
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	for round := range 3 {
 		for i, u := range cluster.upstreams {
-			status := cluster.submitAsync("a-1", cluster.newJobID(), 2, 300)
+			response := cluster.submitAsync("a-1", cluster.newJobID(), 2, 300)
 			cluster.waitUntil("tasks run", func() bool { return cluster.runningTasks() > 0 })
 			if round == 1 {
 				u.Drain()
 			}
 			u.Crash()
 			u.Restart()
-			if status := <-status; status != http.StatusOK {
+			if status := <-response; status != http.StatusOK {
 				t.Fatalf("round %d, upstream %d: the job got status %d", round, i, status)
 			}
 		}
@@ -74,13 +74,13 @@
 			}
 		})
 	}
-	otherStatus := cluster.submitAsync("a-1", cluster.newJobID(), 4, 400)
+	otherResponse := cluster.submitAsync("a-1", cluster.newJobID(), 4, 400)
 	cluster.waitUntil("tasks of the other job run", func() bool { return cluster.runningTasks() == 4 })
 	status, body := cluster.submit("a-1", crashingJob, 1, 300)
 	if status != http.StatusOK || !strings.Contains(body, "failed") || crashes.Load() > 3 {
 		t.Errorf("response %d %s after %d crashes", status, body, crashes.Load())
 	}
-	if status := <-otherStatus; status != http.StatusOK {
+	if status := <-otherResponse; status != http.StatusOK {
 		t.Errorf("the other job got status %d", status)
 	}
 	cluster.waitUntil("a job that needs all upstreams is completed", func() bool {
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -162,7 +162,6 @@
 	cluster.mustComplete("a-2", 2, 20)
 }
 
-// knowsUpstream reports whether an instance knowsUpstream an upstream.
 func (n *Node) knowsUpstream(upstream string) bool {
 	_, found := n.directory.Lookup(upstream)
 	return found
