--- a/node/groups.go
+++ b/node/groups.go
@@ -24,9 +24,8 @@
 type ownedGroup struct {
 	*owner.Group
 	takenAt time.Time
-	// handingOver is set while the group is being handed over to another instance,
-	// one upstream at a time. released holds the ids of the upstreams that this
-	// instance has released so far.
+	// handingOver is set while the group is being handed over to another instance. Each
+	// upstream is released as soon as nothing runs there, and its id is added to released.
 	handingOver bool
 	released    []string
 }
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -86,7 +86,8 @@
 	return state == membership.Dead || state == membership.Listed && n.refusedRecently(instance)
 }
 
-// isNeighbour reports whether this instance needs the heartbeats of another.
+// isNeighbour reports whether another instance is a neighbour, whose heartbeats this instance
+// needs.
 func (n *Node) isNeighbour(instance string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -71,27 +71,27 @@
 // and has not sent a heartbeat.
 func TestSettled(t *testing.T) {
 	for name, c := range map[string]struct {
-		age    time.Duration
-		unread bool
-		absent bool
-		dial   dialOutcome
-		want   bool
+		age        time.Duration
+		listUnread bool
+		refused    bool
+		dial       dialOutcome
+		want       bool
 	}{
 		"just started":               {age: settleTime / 2, dial: dialFailed, want: false},
-		"connection refused":         {age: settleTime / 2, absent: true, want: true},
+		"connection refused":         {age: settleTime / 2, refused: true, want: true},
 		"dial failed":                {age: settleTime, dial: dialFailed, want: true},
 		"dial accepted":              {age: settleTime, dial: dialAccepted, want: false},
 		"dial pending":               {age: settleTime, dial: dialPending, want: false},
 		"no heartbeat for long":      {age: busySettleTime, dial: dialAccepted, want: true},
-		"list of instances not read": {age: settleTime, unread: true, dial: dialFailed, want: false},
+		"list of instances not read": {age: settleTime, listUnread: true, dial: dialFailed, want: false},
 	} {
 		n := &Node{
 			peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{Near: map[string]bool{"a-2": true}},
 			refusedAt: map[string]time.Time{}, dialOutcomes: map[string]dialOutcome{"there": c.dial},
-			startedAt: clock.Now().Add(-c.age), peerListRead: !c.unread,
+			startedAt: clock.Now().Add(-c.age), peerListRead: !c.listUnread,
 		}
 		n.peers.ApplyHello(membership.Listing{Instance: "a-2", Zone: "a", Address: "there"})
-		if c.absent {
+		if c.refused {
 			n.refusedAt["a-2"] = clock.Now()
 		}
 		if got := n.membershipSettled(); got != c.want {
