--- a/dispatch/appender.go
+++ b/dispatch/appender.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	a.l.mu.Lock()
-	a.l.home.Unsent(next.Sequence)
+	a.l.home.MarkUnsent(next.Sequence)
 	a.l.home.Close() // new work goes to another log
 	a.l.mu.Unlock()
 	return a.failed(err)
@@ -158,7 +158,7 @@
 		return
 	}
 	event.WitnessLost.Log(a.l.d.cfg.Log, slog.String("log", a.l.id.String()))
-	a.l.step(func(h *fate.Home) fate.Effects { return h.Orphan() })
+	a.l.step(func(h *fate.Home) fate.Effects { return h.MarkWitnessLost() })
 }
 
 // resend sends again what the witness has not acknowledged.
@@ -166,7 +166,7 @@
 	a.mu.Lock()
 	a.retryAt = time.Time{}
 	a.l.mu.Lock()
-	missing := a.l.home.Unacked(from)
+	missing := a.l.home.UnackedForResend(from)
 	a.l.mu.Unlock()
 	lost := false
 	for i, again := range missing {
@@ -189,6 +189,6 @@
 	a.l.mu.Lock()
 	defer a.l.mu.Unlock()
 	for i := range list {
-		a.l.home.Unsent(list[i].Sequence)
+		a.l.home.MarkUnsent(list[i].Sequence)
 	}
 }
--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -55,7 +55,7 @@
 func (l *homeLog) active() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.home.Active()
+	return l.home.ActiveJobs()
 }
 
 // closed reports whether the log gives out no more sessions.
@@ -72,7 +72,7 @@
 	l.append.tick(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.home.Keep(l.d.tuning.Load().Retention)
+	l.home.SetRetention(l.d.tuning.Load().Retention)
 	l.home.Tick(millis(now))
 	if now.Sub(l.opened) > 2*l.d.cfg.RotateLogsAfter && l != l.d.homes.heir {
 		l.home.Close()
@@ -129,8 +129,8 @@
 
 // prepare turns effects into orders. The lock is held.
 func (l *homeLog) prepare(e fate.Effects) orders {
-	o := orders{stops: e.Stops, ask: e.Ask}
-	for _, u := range e.Unused {
+	o := orders{stops: e.Stops, ask: e.WitnessQueries}
+	for _, u := range e.UnusedSlots {
 		if r := l.runs[u.Lease.Key]; r != nil {
 			o.unused = append(o.unused, placement.Usage{Upstream: u.Upstream, Service: r.service, Count: 1})
 		}
@@ -219,7 +219,7 @@
 	case fate.Accepted:
 		l.d.cfg.Metrics.Add("jobs", 1)
 		l.begin(key, job)
-	case fate.AtWitness:
+	case fate.WitnessDecides:
 		go l.askWitness([]fate.Key{key})
 	default:
 		l.d.cfg.Metrics.Add("joined", 1)
@@ -262,7 +262,7 @@
 func (l *homeLog) seek(key fate.Key) {
 	l.mu.Lock()
 	job := l.home.JobOf(key)
-	tasks := l.home.Waiting(key)
+	tasks := l.home.WaitingTasks(key)
 	l.mu.Unlock()
 	if len(tasks) > 0 {
 		l.d.slots.request(l, key, job, tasks)
@@ -319,7 +319,7 @@
 		if r := l.runs[key]; r != nil {
 			r.retryAfter = retryAfterMs
 		}
-		return h.GiveUp(key, reason)
+		return h.Abort(key, reason)
 	})
 }
 
@@ -336,7 +336,7 @@
 func (l *homeLog) refused(lease fate.Lease) {
 	again := false
 	l.step(func(h *fate.Home) (e fate.Effects) {
-		e, again = h.Refused(lease)
+		e, again = h.Requeue(lease)
 		return e
 	})
 	switch {
@@ -365,7 +365,7 @@
 		if learned, ok := l.learn(key); ok {
 			answer = learned
 		}
-		l.step(func(h *fate.Home) fate.Effects { return h.Learned(answer) })
+		l.step(func(h *fate.Home) fate.Effects { return h.ApplyWitnessAnswer(answer) })
 	}
 }
 
@@ -373,7 +373,7 @@
 // lost.
 func (l *homeLog) learn(key fate.Key) (fate.Answer, bool) {
 	l.mu.Lock()
-	orphaned := l.home.Orphaned()
+	orphaned := l.home.WitnessLost()
 	l.mu.Unlock()
 	wait := maxWait
 	if orphaned {
--- a/dispatch/starter.go
+++ b/dispatch/starter.go
@@ -186,7 +186,7 @@
 func (l *homeLog) awaits(lease fate.Lease) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.home.Awaits(lease)
+	return l.home.AwaitsOutcome(lease)
 }
 
 type leaseVerdict int
--- a/dispatch/witnesses.go
+++ b/dispatch/witnesses.go
@@ -76,7 +76,7 @@
 	defer w.mu.Unlock()
 	for id, l := range w.logs {
 		l.mu.Lock()
-		l.witness.Keep(keep)
+		l.witness.SetRetention(keep)
 		l.witness.Tick(millis(now))
 		if now.Sub(l.heard) > idle {
 			delete(w.logs, id)
@@ -111,7 +111,7 @@
 	l.mu.Lock()
 	first := !l.witness.Sealed()
 	l.witness.Seal()
-	open := l.witness.Open()
+	open := l.witness.OpenJobs()
 	l.mu.Unlock()
 	if first {
 		d.cfg.Metrics.Add("takeovers", 1)
@@ -125,7 +125,7 @@
 // adopt goes on with one job of a sealed log; once is enough.
 func (d *Dispatcher) adopt(l *witnessLog, key fate.Key) {
 	l.mu.Lock()
-	_, inheritance := l.witness.Recall(key)
+	_, inheritance := l.witness.Lookup(key)
 	l.mu.Unlock()
 	if inheritance == nil {
 		return
@@ -134,16 +134,16 @@
 }
 
 // adopt takes over a job of a lost home.
-func (l *homeLog) adopt(key fate.Key, in *fate.Inheritance) {
+func (l *homeLog) adopt(key fate.Key, in *fate.RecoveredJob) {
 	l.mu.Lock()
-	if l.home.Knows(key) {
+	if l.home.MayHaveSeen(key) {
 		l.mu.Unlock()
 		return
 	}
 	r := l.runOf(key, in.Job.Trace)
 	r.service = in.Job.Service
 	r.deadline = time.AfterFunc(time.Until(time.UnixMilli(in.Job.DeadlineMs)), func() { l.giveUp(key, fate.ReasonDeadline, 0) })
-	o := l.prepare(l.home.Adopt(key, in))
+	o := l.prepare(l.home.TakeOver(key, in))
 	l.mu.Unlock()
 	l.carryOut(o)
 	for i := range in.Tasks {
@@ -157,7 +157,7 @@
 func (l *homeLog) awaitsInherited(key fate.Key, task int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.home.AwaitsInherited(key, task)
+	return l.home.IsUnresolved(key, task)
 }
 
 // settleInherited asks every upstream where the lost home may have started a
@@ -180,7 +180,7 @@
 	}
 	settled := false
 	l.step(func(h *fate.Home) (e fate.Effects) {
-		e, settled = h.SettleInherited(key, task, outcome)
+		e, settled = h.ResolveTask(key, task, outcome)
 		return e
 	})
 	if settled && outcome == nil {
@@ -197,7 +197,7 @@
 func (l *witnessLog) recall(key fate.Key) (fate.Answer, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if answer, _ := l.witness.Recall(key); answer != nil {
+	if answer, _ := l.witness.Lookup(key); answer != nil {
 		return *answer, true
 	}
 	return fate.Answer{}, false
@@ -211,7 +211,7 @@
 	n := 0
 	for _, l := range d.witnesses.logs {
 		l.mu.Lock()
-		n += l.witness.Pending()
+		n += l.witness.PendingJobs()
 		l.mu.Unlock()
 	}
 	return n
--- a/fate/check_test.go
+++ b/fate/check_test.go
@@ -4,160 +4,161 @@
 	"fmt"
 )
 
-// seal is the witness's takeover: it seals, and goes on with what is open.
-func (w *world) seal() {
-	if !w.witUp {
+// takeOver makes the witness seal the log and take over the open jobs.
+func (w *world) takeOver() {
+	if !w.witnessUp {
 		return
 	}
 	w.witness.Seal()
 	for _, key := range w.keys {
-		_, in := w.witness.Recall(key)
-		if in == nil || w.heir.Knows(key) {
+		_, recovered := w.witness.Lookup(key)
+		if recovered == nil || w.takeoverHome.MayHaveSeen(key) {
 			continue
 		}
-		w.permits[key] = make([][]Permit, len(in.Tasks))
-		for i := range in.Tasks {
-			w.permits[key][i] = in.Tasks[i].Permits
+		w.recoveredPermits[key] = make([][]Permit, len(recovered.Tasks))
+		for i := range recovered.Tasks {
+			w.recoveredPermits[key][i] = recovered.Tasks[i].Permits
 		}
-		w.effects(w.heir.Adopt(key, in), true)
-		if w.broken == heirSaysFailed {
-			w.heir.jobs[key].exclusive = true
+		w.perform(w.takeoverHome.TakeOver(key, recovered), true)
+		if w.mutation == failedAfterTakeover {
+			w.takeoverHome.jobs[key].lostHomeIncomplete = true
 		}
 	}
 }
 
-// orphan makes the home take its witness for lost, rightly or not.
-func (w *world) orphan() {
+// loseWitness makes the home assume that its witness is lost, which may be wrong.
+func (w *world) loseWitness() {
 	if !w.homeUp {
 		return
 	}
-	if w.broken == orphanSaysNotRun {
+	if w.mutation == notRunWithoutWitness {
 		for _, j := range w.home.jobs {
 			j.acked = false
 		}
 		for _, a := range w.home.unacked {
-			a.sends = 0
+			a.sendCount = 0
 		}
 	}
-	w.effects(w.home.Orphan(), false)
+	w.perform(w.home.MarkWitnessLost(), false)
 }
 
 func (w *world) killHome() { w.homeUp = false }
 
 func (w *world) killWitness() {
 	if w.choose.below(3) == 0 {
-		w.witUp = false
+		w.witnessUp = false
 	}
 }
 
-// settle asks the upstreams after one inherited task.
-func (w *world) settle() {
+// resolveTask asks the upstreams about one unresolved task of a job that was
+// taken over.
+func (w *world) resolveTask() {
 	key, ok := pick(w, w.keys)
-	if !ok || !w.witUp || len(w.permits[key]) == 0 {
+	if !ok || !w.witnessUp || len(w.recoveredPermits[key]) == 0 {
 		return
 	}
-	task := w.choose.below(len(w.permits[key]))
-	if !w.heir.AwaitsInherited(key, task) {
+	task := w.choose.below(len(w.recoveredPermits[key]))
+	if !w.takeoverHome.IsUnresolved(key, task) {
 		return
 	}
 	var found *Outcome
-	for _, p := range w.permits[key][task] {
+	for _, p := range w.recoveredPermits[key][task] {
 		s := Start{Lease{key, task, p.Attempt}, p.Upstream}
-		switch state := w.leases[at(s)]; {
+		switch state := w.leases[leaseKey(s)]; {
 		case state == running && w.choose.below(4) == 0:
 			found = &Outcome{State: TaskUnknown} // the upstream does not answer
 		case state == running:
 			return
-		case state == neverSeen && w.broken != barSkipped:
-			w.leases[at(s)] = barred
+		case state == neverSeen && w.mutation != unseenLeaseNotBarred:
+			w.leases[leaseKey(s)] = barred
 		case state == finished || state == failed:
-			o := outcomeAt(state, at(s))
+			o := outcomeOf(state, leaseKey(s))
 			found = &o
 		}
 		if found != nil {
 			break
 		}
 	}
-	e, _ := w.heir.SettleInherited(key, task, found)
-	w.effects(e, true)
+	e, _ := w.takeoverHome.ResolveTask(key, task, found)
+	w.perform(e, true)
 }
 
-func (w *world) heirPlace() {
+func (w *world) placeAfterTakeover() {
 	key, ok := pick(w, w.keys)
-	if !ok || !w.witUp {
+	if !ok || !w.witnessUp {
 		return
 	}
-	if task, ok := pick(w, w.heir.Waiting(key)); ok {
-		e, _ := w.heir.Place(key, task, upstreamNames[w.choose.below(2)])
-		w.effects(e, true)
+	if task, ok := pick(w, w.takeoverHome.WaitingTasks(key)); ok {
+		e, _ := w.takeoverHome.Place(key, task, upstreamNames[w.choose.below(2)])
+		w.perform(e, true)
 	}
 }
 
-func (w *world) heirCancel() {
-	if key, ok := pick(w, w.keys); ok && w.witUp && w.choose.below(4) == 0 {
-		w.effects(w.heir.GiveUp(key, ReasonDeadline), true)
+func (w *world) abortAfterTakeover() {
+	if key, ok := pick(w, w.keys); ok && w.witnessUp && w.choose.below(4) == 0 {
+		w.perform(w.takeoverHome.Abort(key, ReasonDeadline), true)
 	}
 }
 
-// recall is a resubmission that reaches the witness.
-func (w *world) recall() {
+// resubmitToWitness makes a caller resubmit a job to the witness.
+func (w *world) resubmitToWitness() {
 	key := Key{Session: "s", Sequence: uint64(1 + w.choose.below(4))}
-	if a, ok := w.fromWitness(key); ok {
-		w.tell(a)
+	if a, ok := w.witnessAnswer(key); ok {
+		w.recordAnswer(a)
 	}
 }
 
-func (w *world) fromWitness(key Key) (Answer, bool) {
-	if !w.witUp {
+func (w *world) witnessAnswer(key Key) (Answer, bool) {
+	if !w.witnessUp {
 		return Answer{}, false
 	}
-	if w.broken == goneForgotten {
-		clear(w.witness.kept.gone)
+	if w.mutation == evictionForgotten {
+		clear(w.witness.retained.evictedThrough)
 	}
-	answer, in := w.witness.Recall(key)
+	answer, recovered := w.witness.Lookup(key)
 	if answer != nil {
 		return *answer, true
 	}
-	if in == nil {
+	if recovered == nil {
 		return Answer{}, false
 	}
-	w.seal()
-	_, kept, err := w.heir.Submit(key, nil)
-	return kept, err == nil && kept.Kind.Final()
+	w.takeOver()
+	_, resubmitted, err := w.takeoverHome.Submit(key, nil)
+	return resubmitted, err == nil && resubmitted.Kind.Final()
 }
 
-func (w *world) answerAsk() {
-	key, ok := pull(w, &w.asks, true)
+func (w *world) answerWitnessQuery() {
+	key, ok := pull(w, &w.witnessQueries, true)
 	if !ok || !w.homeUp {
 		return
 	}
-	a, known := w.fromWitness(key)
-	if !known || w.home.Orphaned() || w.choose.below(4) == 0 {
+	a, answered := w.witnessAnswer(key)
+	if !answered || w.home.WitnessLost() || w.choose.below(4) == 0 {
 		a = Answer{Key: key, Kind: Unknown}
 	}
-	w.effects(w.home.Learned(a), false)
+	w.perform(w.home.ApplyWitnessAnswer(a), false)
 }
 
-// check holds the promises against what was started and told.
+// check checks the invariants against all starts and answers so far.
 func (w *world) check() {
 	for task, starts := range w.started {
 		if len(starts) > 1 {
-			w.violate = fmt.Errorf("task %s started twice: %v", task, starts)
+			w.violation = fmt.Errorf("task %s started twice: %v", task, starts)
 		}
 	}
-	for key, answers := range w.told {
-		w.checkTold(key, answers)
+	for key, answers := range w.answers {
+		w.checkAnswers(key, answers)
 	}
 }
 
-func (w *world) checkTold(key Key, answers []Answer) {
+func (w *world) checkAnswers(key Key, answers []Answer) {
 	kind := Kind("")
 	for _, a := range answers {
 		if a.Kind == Unknown {
 			continue
 		}
 		if kind != "" && kind != a.Kind {
-			w.violate = fmt.Errorf("%s was told %s and %s", key, kind, a.Kind)
+			w.violation = fmt.Errorf("%s was answered %s and %s", key, kind, a.Kind)
 		}
 		kind = a.Kind
 		w.checkAnswer(key, &a)
@@ -170,9 +171,9 @@
 		starts := w.started[taskName(Lease{Key: key, Task: i})]
 		switch {
 		case a.Kind == NotRun && len(starts) > 0:
-			w.violate = fmt.Errorf("%s was told not run, but started %v", key, starts)
+			w.violation = fmt.Errorf("%s was answered not run, but started %v", key, starts)
 		case a.Kind == Complete && (len(a.Tasks) != tasks || len(starts) != 1 || string(a.Tasks[i].Result) != starts[0]):
-			w.violate = fmt.Errorf("%s was told complete without the result of task %d", key, i)
+			w.violation = fmt.Errorf("%s was answered complete without the result of task %d", key, i)
 		}
 	}
 }
--- a/fate/fate.go
+++ b/fate/fate.go
@@ -1,40 +1,49 @@
-// Package fate decides what a caller may be told and when a task may start.
+// Package fate decides which answer a caller gets for a job, and when a task may
+// start, so that both stay correct when an instance is lost.
 //
-// It holds two pure state machines: Home, which runs the jobs of one permit
-// log, and Witness, which acknowledges the permits of that log and may seal
-// it. Neither does I/O, reads a clock or starts a goroutine: inputs come in as
-// method calls, and what has to be done comes out as Effects. The rules that
+// Every job belongs to a permit log, which two instances keep. The home accepts
+// the jobs and runs them; the witness holds a copy of the log. A task starts
+// only after the home has appended a permit for it to the log and the witness
+// has acknowledged the append. When the home is lost, the witness seals the log,
+// so that the home can start nothing more, and its instance takes over the jobs
+// that are still open. The fate of a submission is its final outcome. Apart
+// from Unknown, callers never receive two different fates for one submission.
+//
+// The package holds two pure state machines: Home and Witness, one of each for
+// a log. Neither performs I/O, reads a clock or starts a goroutine: inputs are
+// method calls, and the actions to take are returned as Effects. The rules that
 // they keep are in docs/design/fate.md.
 package fate
 
-// Kind is the fate of a submission, as its caller is told it.
+// Kind is the kind of fate of a submission, as returned to its caller.
 type Kind string
 
-// The fates. Pending is not a fate but the lack of one.
+// The kinds of fate. Pending stands for a fate that is not decided yet.
 const (
-	// Pending means that the submission has no fate yet.
+	// Pending means that the fate of the submission is not decided yet.
 	Pending Kind = "pending"
-	// Complete means that every task finished; all results are in the answer.
+	// Complete means that every task finished; the answer holds all results.
 	Complete Kind = "complete"
 	// Failed means that the job as a whole failed.
 	Failed Kind = "failed"
 	// NotRun means that no task of the submission started or ever will.
 	NotRun Kind = "not_run"
-	// Unknown means that it may have run, and nobody alive can tell.
+	// Unknown means that tasks of the submission may have run, and that no
+	// instance that is alive can tell.
 	Unknown Kind = "unknown"
 )
 
-// Final reports whether k is a fate that a caller can be told.
+// Final reports whether k is a decided fate, Unknown included.
 func (k Kind) Final() bool { return k != Pending && k != "" }
 
-// TaskState is what is known of one task in an answer.
+// TaskState is the final state of one task in an answer.
 type TaskState string
 
 // The states of a task in an answer.
 const (
-	// TaskFinished means that the task ran to its end and gave its result.
+	// TaskFinished means that the task ran to its end and returned its result.
 	TaskFinished TaskState = "finished"
-	// TaskFailed means that the upstream said that the task failed.
+	// TaskFailed means that the upstream reported the task as failed.
 	TaskFailed TaskState = "failed"
 	// TaskNotRun means that the task never started and never will.
 	TaskNotRun TaskState = "not_run"
@@ -42,10 +51,10 @@
 	TaskUnknown TaskState = "unknown"
 )
 
-// Reason is the machine-readable cause of a fate that is not complete.
+// Reason is the machine-readable cause of a fate other than Complete.
 type Reason string
 
-// The reasons that this package gives.
+// The reasons for a fate other than Complete.
 const (
 	ReasonNone                Reason = ""
 	ReasonTaskFailed          Reason = "task_failed"
@@ -65,16 +74,16 @@
 // Outcome is how a started task ended.
 type Outcome struct {
 	State  TaskState
-	Result []byte // the upstream's result, JSON
-	Error  string // why it failed
+	Result []byte // JSON, as returned by the upstream
+	Error  string // why the task failed
 }
 
-// Task is one piece of a job: its declared needs and its payload.
+// Task is one task of a job: its declared resources and its payload.
 type Task struct {
 	CPU          float64 // cores
 	MemoryMB     uint64
 	Accelerators uint32
-	RunMs        uint32 // declared run time, milliseconds
+	RunMs        uint32 // declared run time in milliseconds
 	Payload      []byte // JSON
 }
 
@@ -83,40 +92,42 @@
 	Service    string
 	Caller     string
 	Repeatable bool
-	DeadlineMs int64 // Unix milliseconds; zero is none
-	Trace      string
-	Digest     uint64 // of the job as submitted, to tell a resubmission from other work
+	DeadlineMs int64  // Unix milliseconds; always set, because package dispatch takes zero for a deadline that has passed
+	Trace      string // W3C traceparent of the submission
+	Digest     uint64 // hash of the job as submitted; tells a resubmission from a different job under the same key
 	Tasks      []Task
 }
 
-// Answer is the fate of a submission with all that belongs to it.
+// Answer is the fate of a submission, with its reason and the outcomes of its
+// tasks.
 type Answer struct {
 	Key    Key
 	Kind   Kind
 	Reason Reason
-	Tasks  []Outcome // in task order; empty for not run and unknown
+	Tasks  []Outcome // in task order; empty for NotRun and Unknown
 }
 
-// Start is an order to start a task: the permit for it is acknowledged.
+// Start identifies one start of a task at an upstream. In Effects.Starts it
+// means that the permit is acknowledged, so that the task may be started.
 type Start struct {
 	Lease    Lease
 	Upstream string
 }
 
-// Permit records that a task is about to start at an upstream.
+// Permit records in the log that a task is about to start at an upstream.
 type Permit struct {
 	Task     int
 	Attempt  uint32
 	Upstream string
 }
 
-// Record is what one append says of one submission.
+// Record is the part of an append that concerns one submission.
 type Record struct {
 	Key     Key
-	Job     *Job // in the first record of a submission only
+	Job     *Job // only in the first record of a submission
 	Permits []Permit
 	Results []TaskResult
-	Verdict *Answer // a fate that is recorded before it is told
+	Verdict *Answer // a fate that must be recorded before a caller receives it; nil if there is none
 }
 
 // TaskResult is the outcome of a task within a record.
@@ -125,28 +136,28 @@
 	Outcome Outcome
 }
 
-// Append is one message of a log from its home to its witness. Sequence counts
-// from 1 without a gap.
+// Append is one replication message of a log, from its home to its witness.
+// Sequence counts from 1 without gaps.
 type Append struct {
 	Log      LogID
 	Sequence uint64
 	Records  []Record
-	WantAck  bool // some permit or verdict waits for the acknowledgement
+	WantAck  bool // the home needs an acknowledgement of this append
 }
 
-// Effects is what has to be done after an input, in any order.
+// Effects lists the actions to take after an input, in any order.
 type Effects struct {
-	Starts  []Start  // send these to their upstreams
-	Stops   []Start  // these need not run on: their job has its fate
-	Unused  []Start  // these places were given, and nothing will start there
-	Answers []Answer // tell these
-	Ask     []Key    // ask the witness for the fate of these: the log is sealed
+	Starts         []Start  // tasks to start
+	Stops          []Start  // tasks to stop: the fate of their job is decided
+	UnusedSlots    []Start  // slots to release: the tasks assigned to them will not start there
+	Answers        []Answer // answers to return to the callers
+	WitnessQueries []Key    // submissions of a sealed log whose fate has to be asked of the witness
 }
 
 func (e *Effects) add(o Effects) {
 	e.Starts = append(e.Starts, o.Starts...)
 	e.Stops = append(e.Stops, o.Stops...)
-	e.Unused = append(e.Unused, o.Unused...)
+	e.UnusedSlots = append(e.UnusedSlots, o.UnusedSlots...)
 	e.Answers = append(e.Answers, o.Answers...)
-	e.Ask = append(e.Ask, o.Ask...)
+	e.WitnessQueries = append(e.WitnessQueries, o.WitnessQueries...)
 }
--- a/fate/home.go
+++ b/fate/home.go
@@ -7,11 +7,11 @@
 type phase uint8
 
 const (
-	waiting   phase = iota // needs a place
-	asked                  // its permit is not acknowledged yet
-	started                // permitted: it may be running
-	inherited              // permitted by the home that this log took over from
-	over                   // its outcome is known, or never will be
+	waiting       phase = iota // waits for a slot at an upstream
+	permitPending              // has a slot; its permit is not acknowledged yet
+	started                    // its permit is acknowledged: it may be running
+	unresolved                 // the lost home may have started it; its upstreams are being asked
+	ended                      // has its outcome, which may be TaskUnknown
 )
 
 type homeTask struct {
@@ -22,91 +22,94 @@
 }
 
 type homeJob struct {
-	key     Key
-	job     *Job
-	digest  uint64
-	repeats bool
-	tasks   []homeTask
-	open    int // tasks that are not over
-	// named is true once an append that holds the job was made; acked, once the
-	// witness acknowledged one.
-	named, acked bool
-	// verdict is the fate that was decided; told is true once it may be said.
-	verdict *Answer
-	told    bool
-	// atWitness is true when only the witness can decide the fate.
-	atWitness bool
-	// adopted is true in a log that took the job over from a lost home;
-	// exclusive, once some task of it provably cannot finish at that home.
-	adopted   bool
-	exclusive bool
+	key        Key
+	job        *Job
+	digest     uint64
+	repeatable bool
+	tasks      []homeTask
+	openTasks  int // tasks that have not ended
+	// appended is true once the job is part of an append. acked is true once the
+	// witness has acknowledged an append with a record of the job.
+	appended, acked bool
+	// verdict is the decided fate. committed is true once callers may receive it.
+	verdict   *Answer
+	committed bool
+	// witnessDecides is true when only the witness can decide the fate.
+	witnessDecides bool
+	// takenOver is true if this log has taken the job over from a lost home.
+	// lostHomeIncomplete is true once it is proven that the lost home cannot have
+	// completed the job, because one of the tasks cannot have finished there.
+	takenOver          bool
+	lostHomeIncomplete bool
 }
 
 // Home runs the jobs of one permit log. It is not safe for concurrent use.
 type Home struct {
-	id       LogID
-	jobs     map[Key]*homeJob
-	kept     *kept
-	pending  map[Key]*Record
-	order    []Key // of pending
-	urgent   bool  // pending holds a permit or a verdict
-	unacked  []*outgoing
-	sequence uint64
-	sealed   bool
-	orphaned bool
-	closed   bool
-	active   int
+	id           LogID
+	jobs         map[Key]*homeJob
+	retained     *retainedKeys
+	pending      map[Key]*Record // records of the next append
+	pendingOrder []Key           // the keys of pending in the order in which they were added
+	urgent       bool            // pending contains a permit or a verdict
+	unacked      []*unackedAppend
+	sequence     uint64 // of the last append
+	sealed       bool
+	witnessLost  bool
+	closed       bool
+	active       int // submissions whose fate is not committed
 }
 
 // NewHome returns the home of a new log.
-func NewHome(id LogID, bound Retention) *Home {
-	return &Home{id: id, jobs: map[Key]*homeJob{}, kept: newKept(bound), pending: map[Key]*Record{}}
+func NewHome(id LogID, retention Retention) *Home {
+	return &Home{id: id, jobs: map[Key]*homeJob{}, retained: newRetainedKeys(retention), pending: map[Key]*Record{}}
 }
 
 // ID returns the log's id.
 func (h *Home) ID() LogID { return h.id }
 
-// Active returns the number of submissions without a fate.
-func (h *Home) Active() int { return h.active }
+// ActiveJobs returns the number of submissions whose fate is not committed.
+func (h *Home) ActiveJobs() int { return h.active }
 
-// Close makes the log take no new submission. Those that it has go on.
+// Close makes the log accept no new submissions. Its open submissions continue.
 func (h *Home) Close() { h.closed = true }
 
-// Closed reports whether the log takes new submissions.
+// Closed reports whether the log accepts no new submissions.
 func (h *Home) Closed() bool { return h.closed || h.sealed }
 
-func (h *Home) alone() bool { return h.id.Witness == "" }
+func (h *Home) hasNoWitness() bool { return h.id.Witness == "" }
 
-// Admission is what became of a call to Submit.
+// Admission is the result of Submit.
 type Admission uint8
 
-// The ways in which a submission is met.
+// The results of Submit.
 const (
-	Accepted  Admission = iota // it is new: its tasks wait for places
-	Joined                     // it runs already
-	Answered                   // its fate is known
-	AtWitness                  // only the witness can tell
+	Accepted       Admission = iota // the submission is new: its tasks wait for slots
+	Joined                          // the submission is already running
+	Answered                        // the fate of the submission is committed or no longer kept
+	WitnessDecides                  // only the witness can tell the fate
 )
 
-// Submit takes a submission, or finds the one that has the same key. A nil job
-// only asks. The errors are Conflict, for other work under the same key,
-// InvalidInput, for a generation that cannot be, NotFound, when only asking
-// for a key that never came, and SessionEnded.
+// Submit accepts a new submission, or finds the existing one with the same key.
+// With a nil job it only looks the key up. The errors are Conflict, for a
+// different job under the same key or a generation whose predecessor has no
+// committed fate, InvalidInput, for an invalid generation, NotFound, if a key
+// that is only looked up was never submitted, and SessionEnded, if the log
+// accepts no new submissions.
 func (h *Home) Submit(key Key, job *Job) (Admission, Answer, error) {
 	if j := h.jobs[key]; j != nil {
 		return h.resubmit(j, job)
 	}
-	if h.kept.mayHaveGone(key) {
+	if h.retained.mayBeEvicted(key) {
 		return Answered, Answer{Key: key, Kind: Unknown, Reason: ReasonNoLongerKept}, nil
 	}
 	if job == nil {
-		return Answered, Answer{}, failure.NotFound.New("no submission %s came here", key)
+		return Answered, Answer{}, failure.NotFound.New("no submission %s was received", key)
 	}
 	if err := h.checkGeneration(key, job); err != nil {
 		return Answered, Answer{}, err
 	}
 	if h.closed || h.sealed {
-		return Answered, Answer{}, failure.SessionEnded.New("the session takes no more jobs")
+		return Answered, Answer{}, failure.SessionEnded.New("the session accepts no more jobs")
 	}
 	h.accept(key, job)
 	return Accepted, Answer{}, nil
@@ -114,13 +117,13 @@
 
 func (h *Home) resubmit(j *homeJob, job *Job) (Admission, Answer, error) {
 	if job != nil && job.Digest != j.digest {
-		return Answered, Answer{}, failure.Field(failure.Conflict, "sequence", "other work was submitted under key %s", j.key)
+		return Answered, Answer{}, failure.Field(failure.Conflict, "sequence", "a different job was submitted under key %s", j.key)
 	}
 	switch {
-	case j.told:
+	case j.committed:
 		return Answered, *j.verdict, nil
-	case j.atWitness:
-		return AtWitness, Answer{}, nil
+	case j.witnessDecides:
+		return WitnessDecides, Answer{}, nil
 	default:
 		return Joined, Answer{}, nil
 	}
@@ -133,31 +136,31 @@
 	if !job.Repeatable {
 		return failure.Field(failure.InvalidInput, "generation", "a job that is not repeatable has generation 0 only")
 	}
-	before := key
-	before.Generation--
-	j := h.jobs[before]
-	if j != nil && !j.repeats {
+	previous := key
+	previous.Generation--
+	j := h.jobs[previous]
+	if j != nil && !j.repeatable {
 		return failure.Field(failure.InvalidInput, "generation", "the job was first submitted as not repeatable")
 	}
-	if j != nil && !j.told {
-		return failure.Field(failure.Conflict, "generation", "generation %d has no fate yet", before.Generation)
+	if j != nil && !j.committed {
+		return failure.Field(failure.Conflict, "generation", "generation %d has no fate yet", previous.Generation)
 	}
 	return nil
 }
 
 func (h *Home) accept(key Key, job *Job) *homeJob {
-	j := &homeJob{key: key, job: job, digest: job.Digest, repeats: job.Repeatable}
+	j := &homeJob{key: key, job: job, digest: job.Digest, repeatable: job.Repeatable}
 	j.tasks = make([]homeTask, len(job.Tasks))
-	j.open = len(job.Tasks)
+	j.openTasks = len(job.Tasks)
 	h.jobs[key] = j
 	h.active++
 	return j
 }
 
-// Waiting returns the tasks of key that need a place, or nil.
-func (h *Home) Waiting(key Key) []int {
+// WaitingTasks returns the tasks of key that wait for a slot, or nil.
+func (h *Home) WaitingTasks(key Key) []int {
 	j := h.jobs[key]
-	if j == nil || j.verdict != nil || j.atWitness {
+	if j == nil || j.verdict != nil || j.witnessDecides {
 		return nil
 	}
 	var tasks []int
@@ -169,7 +172,7 @@
 	return tasks
 }
 
-// JobOf returns the work of a submission that has no fate yet, or nil.
+// JobOf returns the job of a submission, or nil once its fate is committed.
 func (h *Home) JobOf(key Key) *Job {
 	if j := h.jobs[key]; j != nil {
 		return j.job
@@ -177,49 +180,51 @@
 	return nil
 }
 
-// Progress returns how many tasks of key are over, and how many it has.
+// Progress returns how many tasks of key have ended, and how many it has.
 func (h *Home) Progress(key Key) (done, total int) {
 	j := h.jobs[key]
 	if j == nil {
 		return 0, 0
 	}
-	return len(j.tasks) - j.open, len(j.tasks)
+	return len(j.tasks) - j.openTasks, len(j.tasks)
 }
 
-// Place gives a waiting task a place. It reports whether the place is used.
-// The task starts when the permit for it is acknowledged.
+// Place assigns a waiting task to a slot at upstream. It reports false if the
+// task does not need the slot. The task starts when its permit is acknowledged,
+// and at once in a log without a witness.
 func (h *Home) Place(key Key, task int, upstream string) (Effects, bool) {
 	var e Effects
 	j := h.jobs[key]
-	if j == nil || j.verdict != nil || j.atWitness || h.sealed || j.tasks[task].phase != waiting {
+	if j == nil || j.verdict != nil || j.witnessDecides || h.sealed || j.tasks[task].phase != waiting {
 		return e, false
 	}
 	t := &j.tasks[task]
 	t.attempt++
 	t.upstream = upstream
-	t.phase = asked
-	if h.alone() {
+	t.phase = permitPending
+	if h.hasNoWitness() {
 		t.phase = started
 		e.Starts = append(e.Starts, Start{Lease{key, task, t.attempt}, upstream})
 		return e, true
 	}
-	r := h.record(j)
+	r := h.pendingRecord(j)
 	r.Permits = append(r.Permits, Permit{task, t.attempt, upstream})
 	h.urgent = true
 	return e, true
 }
 
-// Finish takes the outcome of a started task; TaskUnknown where nobody can
-// tell. It reports false for one that is late, repeated or not awaited.
-func (h *Home) Finish(lease Lease, o Outcome) (Effects, bool) {
-	j, t := h.running(lease)
+// Finish records the outcome of a started task. Its state is TaskUnknown if the
+// outcome cannot be found out. Finish reports false if the outcome is late,
+// repeated or no longer awaited.
+func (h *Home) Finish(lease Lease, outcome Outcome) (Effects, bool) {
+	j, t := h.startedTask(lease)
 	if t == nil {
 		return Effects{}, false
 	}
-	return h.settle(j, lease.Task, o), true
+	return h.endTask(j, lease.Task, outcome), true
 }
 
-func (h *Home) running(lease Lease) (*homeJob, *homeTask) {
+func (h *Home) startedTask(lease Lease) (*homeJob, *homeTask) {
 	j := h.jobs[lease.Key]
 	if j == nil || j.verdict != nil || lease.Task >= len(j.tasks) {
 		return nil, nil
@@ -231,53 +236,56 @@
 	return j, t
 }
 
-func (h *Home) settle(j *homeJob, task int, o Outcome) Effects {
+func (h *Home) endTask(j *homeJob, task int, outcome Outcome) Effects {
 	t := &j.tasks[task]
-	t.phase = over
-	t.outcome = o
-	j.open--
-	if !h.alone() && !h.sealed {
-		r := h.record(j)
-		r.Results = append(r.Results, TaskResult{task, o})
+	t.phase = ended
+	t.outcome = outcome
+	j.openTasks--
+	if !h.hasNoWitness() && !h.sealed {
+		r := h.pendingRecord(j)
+		r.Results = append(r.Results, TaskResult{task, outcome})
 	}
 	var e Effects
 	switch {
-	case j.atWitness:
-	case o.State == TaskFailed:
+	case j.witnessDecides:
+	case outcome.State == TaskFailed:
 		h.decide(j, ReasonTaskFailed, &e)
-	case o.State == TaskUnknown:
+	case outcome.State == TaskUnknown:
 		h.decide(j, ReasonTaskLost, &e)
-	case j.open == 0:
+	case j.openTasks == 0:
 		h.complete(j, &e)
 	}
 	return e
 }
 
-// Refused takes a proof that a started task did not start. It waits again.
-func (h *Home) Refused(lease Lease) (Effects, bool) {
+// Requeue makes a task wait again for which a start was sent that provably had
+// no effect. It reports false if the outcome of lease is not awaited.
+func (h *Home) Requeue(lease Lease) (Effects, bool) {
 	var e Effects
-	j, t := h.running(lease)
+	j, t := h.startedTask(lease)
 	if t == nil {
 		return e, false
 	}
 	t.phase = waiting
 	if h.sealed {
-		h.leaveToWitness(j, &e)
+		h.deferToWitness(j, &e)
 	}
 	return e, true
 }
 
-// Keep bounds the answers that are kept from now on.
-func (h *Home) Keep(bound Retention) { h.kept.bound = bound }
+// SetRetention sets the limits on the answers kept from now on.
+func (h *Home) SetRetention(retention Retention) { h.retained.limits = retention }
 
-// Tick tells the time, in Unix milliseconds, and lets go of old answers.
-func (h *Home) Tick(now int64) { h.forget(h.kept.tick(now)) }
+// Tick sets the current time, in Unix milliseconds, and evicts expired answers.
+func (h *Home) Tick(now int64) { h.removeJobs(h.retained.evictExpired(now)) }
 
-// Awaits reports whether the outcome of a started task still matters.
-func (h *Home) Awaits(lease Lease) bool {
-	_, t := h.running(lease)
+// AwaitsOutcome reports whether the outcome of a started task is still needed.
+func (h *Home) AwaitsOutcome(lease Lease) bool {
+	_, t := h.startedTask(lease)
 	return t != nil
 }
 
-// Knows reports whether key came here, as far as is kept.
-func (h *Home) Knows(key Key) bool { return h.jobs[key] != nil || h.kept.mayHaveGone(key) }
+// MayHaveSeen reports whether key was submitted to this log. It may also report
+// true for a key that was not, if later submissions of its session have been
+// evicted.
+func (h *Home) MayHaveSeen(key Key) bool { return h.jobs[key] != nil || h.retained.mayBeEvicted(key) }
--- a/fate/home_test.go
+++ b/fate/home_test.go
@@ -7,8 +7,8 @@
 )
 
 var (
-	bound = Retention{MaxCount: 10, MaxBytes: 1 << 20, MaxAgeMs: 1000}
-	one   = Key{Session: "s", Sequence: 1}
+	testRetention = Retention{MaxCount: 10, MaxBytes: 1 << 20, MaxAgeMs: 1000}
+	firstKey      = Key{Session: "s", Sequence: 1}
 )
 
 func jobOf(tasks int) *Job { return &Job{Digest: uint64(tasks), Tasks: make([]Task, tasks)} }
@@ -30,16 +30,16 @@
 	return e.Answers[0]
 }
 
-// The model checker found this one: an acknowledgement that covers both a
-// permit and a later cancellation started the cancelled task.
+// TestCancelBeforePermitIsAcknowledged guards against a cancelled task that starts
+// because one acknowledgement covers both its permit and the later cancellation.
 func TestCancelBeforePermitIsAcknowledged(t *testing.T) {
-	h := NewHome(homeLogID, bound)
-	mustSubmit(t, h, one, jobOf(1), Accepted)
-	h.Place(one, 0, "u")
+	h := NewHome(homeLogID, testRetention)
+	mustSubmit(t, h, firstKey, jobOf(1), Accepted)
+	h.Place(firstKey, 0, "u")
 	if h.NextAppend(false) == nil {
 		t.Fatal("the permit was not appended")
 	}
-	h.GiveUp(one, ReasonCancelled)
+	h.Abort(firstKey, ReasonCancelled)
 	if h.NextAppend(false) == nil {
 		t.Fatal("the verdict was not appended")
 	}
@@ -51,10 +51,10 @@
 }
 
 func TestCompleteIsToldAtOnceAndKept(t *testing.T) {
-	h := NewHome(homeLogID, bound)
-	mustSubmit(t, h, one, jobOf(2), Accepted)
-	h.Place(one, 0, "u")
-	h.Place(one, 1, "v")
+	h := NewHome(homeLogID, testRetention)
+	mustSubmit(t, h, firstKey, jobOf(2), Accepted)
+	h.Place(firstKey, 0, "u")
+	h.Place(firstKey, 1, "v")
 	a := h.NextAppend(false)
 	starts := h.Ack(a.Sequence).Starts
 	if len(starts) != 2 {
@@ -69,65 +69,65 @@
 	if _, awaited := h.Finish(starts[0].Lease, Outcome{State: TaskFailed}); awaited {
 		t.Error("a second result was taken")
 	}
-	if again := mustSubmit(t, h, one, jobOf(2), Answered); again.Kind != Complete {
-		t.Errorf("resubmission was told %s", again.Kind)
+	if again := mustSubmit(t, h, firstKey, jobOf(2), Answered); again.Kind != Complete {
+		t.Errorf("resubmission was answered %s", again.Kind)
 	}
 }
 
 func TestOtherWorkUnderTheSameKey(t *testing.T) {
-	h := NewHome(homeLogID, bound)
-	mustSubmit(t, h, one, jobOf(2), Accepted)
-	if _, _, err := h.Submit(one, jobOf(3)); !failure.Is(err, failure.Conflict) {
+	h := NewHome(homeLogID, testRetention)
+	mustSubmit(t, h, firstKey, jobOf(2), Accepted)
+	if _, _, err := h.Submit(firstKey, jobOf(3)); !failure.Is(err, failure.Conflict) {
 		t.Errorf("error %v", err)
 	}
-	mustSubmit(t, h, one, jobOf(2), Joined)
+	mustSubmit(t, h, firstKey, jobOf(2), Joined)
 }
 
 func TestLetGoIsUnknownAndNeverRunAgain(t *testing.T) {
-	h := NewHome(LogID{Home: "h.1"}, bound)
+	h := NewHome(LogID{Home: "h.1"}, testRetention)
 	h.Tick(0)
-	mustSubmit(t, h, one, jobOf(1), Accepted)
-	onlyAnswer(t, h.GiveUp(one, ReasonDeadline), NotRun)
-	h.Tick(bound.MaxAgeMs)
-	if answer := mustSubmit(t, h, one, jobOf(1), Answered); answer.Kind != Unknown {
-		t.Errorf("told %s", answer.Kind)
+	mustSubmit(t, h, firstKey, jobOf(1), Accepted)
+	onlyAnswer(t, h.Abort(firstKey, ReasonDeadline), NotRun)
+	h.Tick(testRetention.MaxAgeMs)
+	if answer := mustSubmit(t, h, firstKey, jobOf(1), Answered); answer.Kind != Unknown {
+		t.Errorf("answered %s", answer.Kind)
 	}
 }
 
 func TestGenerations(t *testing.T) {
-	h := NewHome(LogID{Home: "h.1"}, bound)
+	h := NewHome(LogID{Home: "h.1"}, testRetention)
 	repeatable := &Job{Repeatable: true, Tasks: make([]Task, 1)}
-	second := Key{Session: "s", Sequence: 1, Generation: 1}
-	mustSubmit(t, h, one, repeatable, Accepted)
-	if _, _, err := h.Submit(second, repeatable); !failure.Is(err, failure.Conflict) {
-		t.Errorf("a generation was taken before the last had its fate: %v", err)
+	secondKey := Key{Session: "s", Sequence: 1, Generation: 1}
+	mustSubmit(t, h, firstKey, repeatable, Accepted)
+	if _, _, err := h.Submit(secondKey, repeatable); !failure.Is(err, failure.Conflict) {
+		t.Errorf("a generation was accepted before the fate of the previous one was committed: %v", err)
 	}
-	h.GiveUp(one, ReasonCancelled)
-	mustSubmit(t, h, second, repeatable, Accepted)
+	h.Abort(firstKey, ReasonCancelled)
+	mustSubmit(t, h, secondKey, repeatable, Accepted)
 
 	once := Key{Session: "s", Sequence: 2}
 	mustSubmit(t, h, once, jobOf(1), Accepted)
-	h.GiveUp(once, ReasonCancelled)
+	h.Abort(once, ReasonCancelled)
 	once.Generation = 1
 	for _, job := range []*Job{jobOf(1), repeatable} {
 		if _, _, err := h.Submit(once, job); failure.FieldOf(err) != "generation" {
-			t.Errorf("work that is not repeatable got a generation: %v", err)
+			t.Errorf("a job that is not repeatable was accepted with a generation: %v", err)
 		}
 	}
 }
 
 func TestGapIsFilled(t *testing.T) {
-	h, w := NewHome(homeLogID, bound), NewWitness(homeLogID, bound)
-	mustSubmit(t, h, one, jobOf(2), Accepted)
-	h.Place(one, 0, "u")
-	h.NextAppend(false) // lost on its way
-	h.Place(one, 1, "u")
+	h, w := NewHome(homeLogID, testRetention), NewWitness(homeLogID, testRetention)
+	mustSubmit(t, h, firstKey, jobOf(2), Accepted)
+	h.Place(firstKey, 0, "u")
+	h.NextAppend(false) // lost in the network
+	h.Place(firstKey, 1, "u")
 	r := w.Append(h.NextAppend(false))
 	if !r.Gap || r.Acked != 0 {
 		t.Fatalf("reply %+v", r)
 	}
 	started := 0
-	for _, a := range h.Unacked(r.Acked + 1) {
+	for _, a := range h.UnackedForResend(r.Acked + 1) {
 		started += len(h.Ack(w.Append(&a).Acked).Starts)
 	}
 	if started != 2 {
@@ -135,42 +135,45 @@
 	}
 }
 
-// A witness that has sealed tells not run of a key that never reached it, and
-// its home, sealed, never runs it.
+// TestSealedHomeStartsNothing checks that a job whose append reaches the witness
+// only after the seal never starts: the witness has answered NotRun for it, so
+// that neither the seal nor a late acknowledgement may start it at the home.
 func TestSealedHomeStartsNothing(t *testing.T) {
-	h, w := NewHome(homeLogID, bound), NewWitness(homeLogID, bound)
-	mustSubmit(t, h, one, jobOf(1), Accepted)
-	h.Place(one, 0, "u")
+	h, w := NewHome(homeLogID, testRetention), NewWitness(homeLogID, testRetention)
+	mustSubmit(t, h, firstKey, jobOf(1), Accepted)
+	h.Place(firstKey, 0, "u")
 	a := h.NextAppend(false)
 	w.Seal()
-	if answer, _ := w.Recall(one); answer.Kind != NotRun {
-		t.Fatalf("the witness tells %+v", answer)
+	if answer, _ := w.Lookup(firstKey); answer.Kind != NotRun {
+		t.Fatalf("the witness answers %+v", answer)
 	}
 	if r := w.Append(a); !r.Sealed {
 		t.Fatalf("reply %+v", r)
 	}
 	e := h.Seal()
-	if len(e.Starts) > 0 || len(e.Ask) != 1 {
+	if len(e.Starts) > 0 || len(e.WitnessQueries) != 1 {
 		t.Fatalf("effects %+v", e)
 	}
 	if e = h.Ack(a.Sequence); len(e.Starts) > 0 {
 		t.Errorf("a late acknowledgement started %v", e.Starts)
 	}
-	onlyAnswer(t, h.Learned(Answer{Key: one, Kind: NotRun}), NotRun)
+	onlyAnswer(t, h.ApplyWitnessAnswer(Answer{Key: firstKey, Kind: NotRun}), NotRun)
 }
 
-// An append of which no byte left cannot have reached the witness.
+// TestUnsentIsNotRunWhenTheWitnessIsLost checks that a job is answered NotRun when
+// no byte of its append was sent: the witness cannot know it. If the append may
+// have been sent, the witness has to be asked.
 func TestUnsentIsNotRunWhenTheWitnessIsLost(t *testing.T) {
 	for _, sent := range []bool{false, true} {
-		h := NewHome(homeLogID, bound)
-		mustSubmit(t, h, one, jobOf(1), Accepted)
-		h.Place(one, 0, "u")
+		h := NewHome(homeLogID, testRetention)
+		mustSubmit(t, h, firstKey, jobOf(1), Accepted)
+		h.Place(firstKey, 0, "u")
 		a := h.NextAppend(false)
 		if !sent {
-			h.Unsent(a.Sequence)
+			h.MarkUnsent(a.Sequence)
 		}
-		e := h.Orphan()
-		if sent && len(e.Ask) != 1 {
+		e := h.MarkWitnessLost()
+		if sent && len(e.WitnessQueries) != 1 {
 			t.Errorf("effects %+v of an append that was sent", e)
 		}
 		if !sent {
@@ -179,37 +182,40 @@
 	}
 }
 
-// A place whose task will not start comes back, however the job ends.
+// TestPlacesOfTasksThatNeverStartComeBack checks that the slot of a task that will
+// not start is released, whether the job is cancelled, the log sealed or the
+// witness lost.
 func TestPlacesOfTasksThatNeverStartComeBack(t *testing.T) {
 	for name, end := range map[string]func(*Home) Effects{
-		"cancelled": func(h *Home) Effects { return h.GiveUp(one, ReasonCancelled) },
-		"sealed":    (*Home).Seal,
-		"orphaned":  (*Home).Orphan,
+		"cancelled":    func(h *Home) Effects { return h.Abort(firstKey, ReasonCancelled) },
+		"sealed":       (*Home).Seal,
+		"witness lost": (*Home).MarkWitnessLost,
 	} {
 		for _, sent := range []bool{false, true} {
-			h := NewHome(homeLogID, bound)
-			mustSubmit(t, h, one, jobOf(2), Accepted)
-			h.Place(one, 0, "u")
+			h := NewHome(homeLogID, testRetention)
+			mustSubmit(t, h, firstKey, jobOf(2), Accepted)
+			h.Place(firstKey, 0, "u")
 			if sent {
 				h.NextAppend(false)
 			}
 			e := end(h)
-			if len(e.Unused) != 1 || e.Unused[0].Upstream != "u" {
-				t.Errorf("%s, sent %v: places back %v", name, sent, e.Unused)
+			if len(e.UnusedSlots) != 1 || e.UnusedSlots[0].Upstream != "u" {
+				t.Errorf("%s, sent %v: released slots %v", name, sent, e.UnusedSlots)
 			}
 		}
 	}
 }
 
-// TestAppendIsTheCallers: an append is read while it is sent, outside of the lock of
-// its home; what the home takes out of its own copy meanwhile does not reach it.
+// TestAppendIsTheCallers checks that an append owns its records. It is read while
+// it is sent, without the lock of its home: records that the home removes from its
+// own copy meanwhile must stay in it.
 func TestAppendIsTheCallers(t *testing.T) {
-	h := NewHome(homeLogID, bound)
-	mustSubmit(t, h, one, jobOf(1), Accepted)
-	h.Place(one, 0, "u")
+	h := NewHome(homeLogID, testRetention)
+	mustSubmit(t, h, firstKey, jobOf(1), Accepted)
+	h.Place(firstKey, 0, "u")
 	a := h.NextAppend(false)
-	h.withhold(h.jobs[one])
-	if len(a.Records) != 1 || a.Records[0].Key != one {
-		t.Errorf("the append that is on its way holds %+v", a.Records)
+	h.discardRecords(h.jobs[firstKey])
+	if len(a.Records) != 1 || a.Records[0].Key != firstKey {
+		t.Errorf("the append in flight holds %+v", a.Records)
 	}
 }
--- a/fate/key.go
+++ b/fate/key.go
@@ -8,8 +8,8 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// Incarnation names one run of one instance, as "instance.boot". A restarted
-// instance is another incarnation, which knows nothing of the one before.
+// Incarnation identifies one run of one instance, as "instance.boot". A
+// restarted instance is a new incarnation, without the state of the previous one.
 type Incarnation string
 
 // Instance returns the name of the instance without the boot id.
@@ -18,28 +18,29 @@
 	return name
 }
 
-// LogID names a permit log. Its two members never change. An empty Witness is
-// a log of one, which an instance that is alone keeps by itself.
+// LogID identifies a permit log. The home and the witness of a log never change.
+// An empty Witness means a log without a witness, which is not replicated.
 type LogID struct {
 	Home    Incarnation
 	Witness Incarnation
 	Number  uint64
 }
 
-// String returns the id as it stands in a session token.
+// String returns the id in the form that session tokens contain.
 func (l LogID) String() string {
 	return string(l.Home) + "~" + string(l.Witness) + "~" + strconv.FormatUint(l.Number, 10)
 }
 
-// Session is the token that a caller gets with a session. It names the log, so
-// that every entry finds home and witness from the token alone.
+// Session is the token of a caller's session. It contains the id of the log, so
+// that every instance can derive home and witness from the token alone.
 type Session string
 
-// maxSessionLength bounds a token, in bytes.
+// maxSessionLength is the maximum length of a token in bytes.
 const maxSessionLength = 300
 
-// NewSession makes the token of a caller's session in log, told apart by id.
-// The caller's name must not hold '~', the id neither that nor '.'.
+// NewSession returns the token of a session of caller in log. The id
+// distinguishes the sessions of one caller. The caller's name must not contain
+// '~', and the id must contain neither '~' nor '.'.
 func NewSession(log LogID, caller, id string) Session {
 	return Session(log.String() + "~" + caller + "." + id)
 }
@@ -51,7 +52,8 @@
 	return caller
 }
 
-// Log returns the log that the session belongs to, or an InvalidInput error.
+// Log returns the id of the log that the session belongs to, or an InvalidInput
+// error.
 func (s Session) Log() (LogID, error) {
 	if len(s) > maxSessionLength {
 		return LogID{}, failure.Field(failure.InvalidInput, "session", "is longer than %d bytes", maxSessionLength)
@@ -61,11 +63,11 @@
 		return LogID{}, failure.Field(failure.InvalidInput, "session", "is not a session token")
 	}
 	if !validIncarnation(parts[0]) || (parts[1] != "" && !validIncarnation(parts[1])) {
-		return LogID{}, failure.Field(failure.InvalidInput, "session", "names no instance")
+		return LogID{}, failure.Field(failure.InvalidInput, "session", "does not name an instance")
 	}
 	number, err := strconv.ParseUint(parts[2], 10, 64)
 	if err != nil || strconv.FormatUint(number, 10) != parts[2] {
-		return LogID{}, failure.Field(failure.InvalidInput, "session", "has a bad log number")
+		return LogID{}, failure.Field(failure.InvalidInput, "session", "has an invalid log number")
 	}
 	return LogID{Home: Incarnation(parts[0]), Witness: Incarnation(parts[1]), Number: number}, nil
 }
@@ -83,8 +85,8 @@
 	return s[:i], s[i+1:], true
 }
 
-// Key names one submission. A job that is repeatable may be submitted again as
-// the next Generation, which is a submission of its own with its own fate.
+// Key identifies one submission. A repeatable job may be submitted again as the
+// next Generation, which is a separate submission with a fate of its own.
 type Key struct {
 	Session    Session
 	Sequence   uint64
@@ -96,7 +98,8 @@
 	return string(k.Session) + "/" + strconv.FormatUint(k.Sequence, 10) + "/" + strconv.FormatUint(uint64(k.Generation), 10)
 }
 
-// compareKeys orders keys, so that what is done for many is done in one order.
+// compareKeys orders keys, so that operations on many submissions run in a
+// deterministic order.
 func compareKeys(a, b Key) int {
 	return cmp.Or(
 		cmp.Compare(a.Session, b.Session),
@@ -105,15 +108,15 @@
 	)
 }
 
-// Lease names one permitted start of one task of a submission at an upstream.
-// It is the primary key of the work at the place where the work happens.
+// Lease identifies one permitted start of a task at an upstream. Upstreams use
+// its string form as the primary key of the run.
 type Lease struct {
 	Key     Key
 	Task    int
 	Attempt uint32
 }
 
-// String returns the lease id that the upstream sees.
+// String returns the lease id as it is sent to the upstream.
 func (l Lease) String() string {
 	return l.Key.String() + "/" + strconv.Itoa(l.Task) + "/" + strconv.FormatUint(uint64(l.Attempt), 10)
 }
--- a/fate/model_test.go
+++ b/fate/model_test.go
@@ -16,20 +16,20 @@
 
 func (c rapidChooser) below(n int) int { return rapid.IntRange(0, n-1).Draw(c.t, "choice") }
 
-type seeded struct{ r *rand.Rand }
+type seededChooser struct{ r *rand.Rand }
 
-func (c seeded) below(n int) int { return c.r.IntN(n) }
+func (c seededChooser) below(n int) int { return c.r.IntN(n) }
 
-func seed(n uint64) seeded { return seeded{rand.New(rand.NewPCG(n, n))} }
+func newSeededChooser(n uint64) seededChooser { return seededChooser{rand.New(rand.NewPCG(n, n))} }
 
-// TestModel lets rapid look for a run that breaks a promise, and shrink it.
+// TestModel lets rapid search for a run that violates an invariant, and shrink it.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapidChooser{t}, healthy)
+		w := newWorld(rapidChooser{t}, noMutation)
 		for range 120 {
 			w.step()
-			if w.violate != nil {
-				t.Fatal(w.violate)
+			if w.violation != nil {
+				t.Fatal(w.violation)
 			}
 		}
 	})
@@ -40,15 +40,15 @@
 	seededSteps = 220
 )
 
-// firstViolation runs the model with fixed seeds, and returns the first run
-// that breaks a promise.
-func firstViolation(broken mutation, runs int) (run int, violation error) {
+// firstViolation runs the model with fixed seeds, and returns the first run that
+// violates an invariant.
+func firstViolation(m mutation, runs int) (run int, violation error) {
 	for run := range runs {
-		w := newWorld(seed(uint64(run)), broken)
+		w := newWorld(newSeededChooser(uint64(run)), m)
 		for range seededSteps {
 			w.step()
-			if w.violate != nil {
-				return run, w.violate
+			if w.violation != nil {
+				return run, w.violation
 			}
 		}
 	}
@@ -56,37 +56,37 @@
 }
 
 func TestModelSeeded(t *testing.T) {
-	if run, err := firstViolation(healthy, seededRuns); err != nil {
+	if run, err := firstViolation(noMutation, seededRuns); err != nil {
 		t.Fatalf("run %d: %v", run, err)
 	}
 }
 
-// TestMutation breaks each promise on purpose: the model must notice.
+// TestMutation introduces each mutation on purpose. The model must detect it.
 func TestMutation(t *testing.T) {
 	for _, m := range []mutation{
-		permitWithoutAck, sealIgnored, resubmissionNotMet, startSentAgain, barSkipped,
-		goneForgotten, verdictNotRecorded, orphanSaysNotRun, heirSaysFailed, refusedCountsAsLost,
+		permitWithoutAck, sealIgnored, resubmissionAsNewWork, startRetriedUnderNewLease, unseenLeaseNotBarred,
+		evictionForgotten, verdictBeforeAck, notRunWithoutWitness, failedAfterTakeover, cancelledAsNotRun,
 	} {
 		t.Run(string(m), func(t *testing.T) {
 			run, err := firstViolation(m, 4*seededRuns)
 			if err == nil {
-				t.Fatal("no run noticed")
+				t.Fatal("no run detected the mutation")
 			}
 			t.Logf("run %d: %v", run, err)
 		})
 	}
 }
 
-// FuzzModel lets the fuzzer make the choices.
+// FuzzModel lets the fuzzer make the random choices.
 func FuzzModel(f *testing.F) {
 	f.Add([]byte("sedgehatch"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c := &bytesChooser{data: data}
-		w := newWorld(c, healthy)
+		w := newWorld(c, noMutation)
 		for len(c.data) > 0 {
 			w.step()
-			if w.violate != nil {
-				t.Fatal(w.violate)
+			if w.violation != nil {
+				t.Fatal(w.violation)
 			}
 		}
 	})
--- a/fate/outbox.go
+++ b/fate/outbox.go
@@ -4,59 +4,61 @@
 	"slices"
 )
 
-// appendWindow is how many appends may be on their way without an
-// acknowledgement before further permits wait for the next one.
-const appendWindow = 4
+// maxAwaitedAppends is the maximum number of appends in flight that request an
+// acknowledgement. At the limit, new records wait until one is acknowledged.
+const maxAwaitedAppends = 4
 
-// quietAppends is how many appends may go unacknowledged before the home asks
-// for an acknowledgement only to free its memory.
-const quietAppends = 64
+// unackedThreshold is the number of unacknowledged appends from which on every
+// append requests an acknowledgement, so that the home can free their memory.
+const unackedThreshold = 64
 
-// outgoing is an append that is not acknowledged.
-type outgoing struct {
+// unackedAppend is an append that the witness has not acknowledged.
+type unackedAppend struct {
 	Append
-	// sends counts the times that it may have left. Zero proves that the witness
-	// cannot know what it says.
-	sends int
+	// sendCount counts the attempts in which the append may have reached the
+	// witness. Zero proves that the witness does not know its records.
+	sendCount int
 }
 
-// record returns the pending record of j, and makes it where there is none.
-func (h *Home) record(j *homeJob) *Record {
+// pendingRecord returns the record of j for the next append, and creates it if
+// there is none.
+func (h *Home) pendingRecord(j *homeJob) *Record {
 	r := h.pending[j.key]
 	if r != nil {
 		return r
 	}
 	r = &Record{Key: j.key}
-	if !j.named {
+	if !j.appended {
 		r.Job = j.job
 	}
 	h.pending[j.key] = r
-	h.order = append(h.order, j.key)
+	h.pendingOrder = append(h.pendingOrder, j.key)
 	return r
 }
 
-// NextAppend returns the next message for the witness, or nil. Without lazy it
-// holds back while nothing waits for an acknowledgement. It counts as sent
-// unless Unsent says otherwise. It is the caller's, who sends it while the home goes
-// on; the home has its own to send again.
-func (h *Home) NextAppend(lazy bool) *Append {
-	if len(h.order) == 0 || h.sealed || (!h.urgent && !lazy) || h.awaited() >= appendWindow {
+// NextAppend returns the next append to send to the witness, or nil. Without
+// force it returns an append only if a permit or a verdict waits for an
+// acknowledgement. The append counts as sent unless MarkUnsent is called. It
+// shares no list of records with the home, so that it can be sent while the home
+// changes; the home keeps a copy to send again.
+func (h *Home) NextAppend(force bool) *Append {
+	if len(h.pendingOrder) == 0 || h.sealed || (!h.urgent && !force) || h.awaitedAppends() >= maxAwaitedAppends {
 		return nil
 	}
 	h.sequence++
-	a := &outgoing{sends: 1, Append: Append{Log: h.id, Sequence: h.sequence, WantAck: h.urgent || len(h.unacked) >= quietAppends}}
-	for _, key := range h.order {
+	a := &unackedAppend{sendCount: 1, Append: Append{Log: h.id, Sequence: h.sequence, WantAck: h.urgent || len(h.unacked) >= unackedThreshold}}
+	for _, key := range h.pendingOrder {
 		r := h.pending[key]
 		if r == nil {
 			continue
 		}
 		if j := h.jobs[key]; j != nil {
-			j.named = true
+			j.appended = true
 		}
 		a.Records = append(a.Records, *r)
 	}
 	clear(h.pending)
-	h.order = h.order[:0]
+	h.pendingOrder = h.pendingOrder[:0]
 	h.urgent = false
 	h.unacked = append(h.unacked, a)
 	next := a.Append
@@ -64,37 +66,38 @@
 	return &next
 }
 
-// Unsent takes the proof that no byte of an append left the last time.
-func (h *Home) Unsent(sequence uint64) {
+// MarkUnsent records that no byte of an append was sent in the last attempt.
+func (h *Home) MarkUnsent(sequence uint64) {
 	for _, a := range h.unacked {
 		if a.Sequence == sequence {
-			a.sends--
+			a.sendCount--
 		}
 	}
 }
 
-// mayBeKnown reports whether the witness may know of j.
-func (h *Home) mayBeKnown(j *homeJob) bool {
+// witnessMayKnow reports whether the witness may have received a record of j.
+func (h *Home) witnessMayKnow(j *homeJob) bool {
 	if j.acked {
 		return true
 	}
-	return slices.ContainsFunc(h.unacked, func(a *outgoing) bool { return a.sends > 0 && a.holds(j.key) })
+	return slices.ContainsFunc(h.unacked, func(a *unackedAppend) bool { return a.sendCount > 0 && a.hasRecordOf(j.key) })
 }
 
-func (a *outgoing) holds(key Key) bool {
+func (a *unackedAppend) hasRecordOf(key Key) bool {
 	return slices.ContainsFunc(a.Records, func(r Record) bool { return r.Key == key })
 }
 
-// withhold takes j out of all that was not sent: its fate is told without the
-// witness, which must not learn of it later.
-func (h *Home) withhold(j *homeJob) {
+// discardRecords removes the records of j from all appends, none of which has
+// reached the witness. The fate of j is committed without the witness, which must
+// not receive them later.
+func (h *Home) discardRecords(j *homeJob) {
 	delete(h.pending, j.key)
 	for _, a := range h.unacked {
 		a.Records = slices.DeleteFunc(a.Records, func(r Record) bool { return r.Key == j.key })
 	}
 }
 
-func (h *Home) awaited() int {
+func (h *Home) awaitedAppends() int {
 	n := 0
 	for _, a := range h.unacked {
 		if a.WantAck {
@@ -104,52 +107,52 @@
 	return n
 }
 
-// Unacked returns the appends from sequence on, to send again in order after
-// the connection to the witness was lost. They count as sent, as in NextAppend.
-func (h *Home) Unacked(from uint64) []Append {
+// UnackedForResend returns the unacknowledged appends from sequence on, to be
+// sent again in order. They count as sent, as in NextAppend.
+func (h *Home) UnackedForResend(from uint64) []Append {
 	var list []Append
 	for _, a := range h.unacked {
 		if a.Sequence >= from {
-			a.sends++
+			a.sendCount++
 			list = append(list, a.Append)
 		}
 	}
 	return list
 }
 
-// Ack takes the witness's acknowledgement of every append up to sequence.
+// Ack applies the witness's acknowledgement of every append up to sequence.
 func (h *Home) Ack(sequence uint64) Effects {
 	var e Effects
 	for len(h.unacked) > 0 && h.unacked[0].Sequence <= sequence {
 		a := h.unacked[0]
 		h.unacked = h.unacked[1:]
 		for i := range a.Records {
-			e.add(h.acked(&a.Records[i]))
+			e.add(h.applyAck(&a.Records[i]))
 		}
 	}
 	return e
 }
 
-func (h *Home) acked(r *Record) Effects {
+func (h *Home) applyAck(r *Record) Effects {
 	var e Effects
 	j := h.jobs[r.Key]
 	if j == nil {
 		return e
 	}
 	j.acked = true
-	if j.told || j.atWitness || h.sealed {
+	if j.committed || j.witnessDecides || h.sealed {
 		return e
 	}
 	if r.Verdict != nil {
-		h.tell(j, &e)
+		h.commit(j, &e)
 		return e
 	}
 	if j.verdict != nil {
-		return e // decided without these tasks
+		return e // the job was decided before these tasks could start
 	}
 	for _, p := range r.Permits {
 		t := &j.tasks[p.Task]
-		if t.phase == asked && t.attempt == p.Attempt {
+		if t.phase == permitPending && t.attempt == p.Attempt {
 			t.phase = started
 			e.Starts = append(e.Starts, Start{Lease{r.Key, p.Task, p.Attempt}, p.Upstream})
 		}
@@ -157,9 +160,9 @@
 	return e
 }
 
-func (h *Home) dropPending() {
+func (h *Home) discardAppends() {
 	clear(h.pending)
-	h.order = nil
+	h.pendingOrder = nil
 	h.unacked = nil
 	h.urgent = false
 }
--- a/fate/retention.go
+++ b/fate/retention.go
@@ -2,79 +2,81 @@
 
 import "container/list"
 
-// Retention bounds what is kept of submissions that have their fate.
+// Retention limits the answers that are kept of decided submissions.
 type Retention struct {
-	MaxBytes int64 // of kept answers
+	MaxBytes int64 // total size of the kept answers
 	MaxCount int
-	MaxAgeMs int64 // milliseconds after which an answer is let go; zero is never
+	MaxAgeMs int64 // milliseconds after which an answer is evicted; zero means never
 }
 
-// kept remembers which submissions are over, oldest first, and which were let
-// go. A key that was let go is never mistaken for one that never came.
-type kept struct {
-	bound Retention
-	order *list.List
-	bytes int64
-	now   int64              // Unix milliseconds, as last told
-	gone  map[Session]uint64 // highest sequence number let go, per session
+// retainedKeys holds the keys of the decided submissions, and decides which to
+// evict. It never takes an evicted key for one that was never submitted.
+type retainedKeys struct {
+	limits         Retention
+	oldestFirst    *list.List
+	bytes          int64
+	now            int64              // Unix milliseconds, as of the last tick
+	evictedThrough map[Session]uint64 // highest evicted sequence number per session
 }
 
-type keptItem struct {
-	key  Key
-	size int64
-	at   int64
+type retainedKey struct {
+	key       Key
+	size      int64
+	decidedAt int64
 }
 
-func newKept(bound Retention) *kept {
-	return &kept{bound: bound, order: list.New(), gone: map[Session]uint64{}}
+func newRetainedKeys(limits Retention) *retainedKeys {
+	return &retainedKeys{limits: limits, oldestFirst: list.New(), evictedThrough: map[Session]uint64{}}
 }
 
-// add notes that key has its fate and returns the keys to let go for it.
-func (k *kept) add(key Key, size int64) []Key {
-	k.order.PushBack(keptItem{key, size, k.now})
-	k.bytes += size
-	var dropped []Key
-	for k.over() {
-		dropped = append(dropped, k.dropOldest())
+// add adds a decided key with the size of its answer, and returns the keys that
+// are evicted to stay within the limits.
+func (r *retainedKeys) add(key Key, size int64) []Key {
+	r.oldestFirst.PushBack(retainedKey{key, size, r.now})
+	r.bytes += size
+	var evicted []Key
+	for r.exceedsLimits() {
+		evicted = append(evicted, r.evictOldest())
 	}
-	return dropped
+	return evicted
 }
 
-// tick tells the time and returns the keys that have grown too old.
-func (k *kept) tick(now int64) []Key {
-	k.now = now
-	var dropped []Key
-	for k.bound.MaxAgeMs > 0 && k.order.Len() > 0 && k.order.Front().Value.(keptItem).at+k.bound.MaxAgeMs <= now {
-		dropped = append(dropped, k.dropOldest())
+// evictExpired sets the current time, and returns the keys evicted for their age.
+func (r *retainedKeys) evictExpired(now int64) []Key {
+	r.now = now
+	var evicted []Key
+	for r.limits.MaxAgeMs > 0 && r.oldestFirst.Len() > 0 && r.oldestFirst.Front().Value.(retainedKey).decidedAt+r.limits.MaxAgeMs <= now {
+		evicted = append(evicted, r.evictOldest())
 	}
-	return dropped
+	return evicted
 }
 
-func (k *kept) over() bool {
-	if k.order.Len() <= 1 {
+func (r *retainedKeys) exceedsLimits() bool {
+	if r.oldestFirst.Len() <= 1 {
 		return false
 	}
-	return k.bytes > k.bound.MaxBytes || k.order.Len() > k.bound.MaxCount
+	return r.bytes > r.limits.MaxBytes || r.oldestFirst.Len() > r.limits.MaxCount
 }
 
-func (k *kept) dropOldest() Key {
-	item := k.order.Remove(k.order.Front()).(keptItem)
-	k.bytes -= item.size
-	if item.key.Sequence > k.gone[item.key.Session] {
-		k.gone[item.key.Session] = item.key.Sequence
+func (r *retainedKeys) evictOldest() Key {
+	item := r.oldestFirst.Remove(r.oldestFirst.Front()).(retainedKey)
+	r.bytes -= item.size
+	if item.key.Sequence > r.evictedThrough[item.key.Session] {
+		r.evictedThrough[item.key.Session] = item.key.Sequence
 	}
 	return item.key
 }
 
-// mayHaveGone reports whether key can be one that was let go. It errs on the
-// safe side: an older key of the same session that never came counts as gone.
-func (k *kept) mayHaveGone(key Key) bool {
-	highest, some := k.gone[key.Session]
-	return some && key.Sequence <= highest
+// mayBeEvicted reports whether key may have been evicted. It errs on the safe
+// side: it is also true for a key that was never submitted, if a later key of the
+// same session has been evicted.
+func (r *retainedKeys) mayBeEvicted(key Key) bool {
+	highest, ok := r.evictedThrough[key.Session]
+	return ok && key.Sequence <= highest
 }
 
-func sizeOf(outcomes []Outcome) int64 {
-	const perTask = 64 // the struct and its headers
+func answerSize(outcomes []Outcome) int64 {
+	const perTask = 64 // bytes of the struct and its headers
 	size := int64(perTask)
 	for i := range outcomes {
 		size += perTask + int64(len(outcomes[i].Result)) + int64(len(outcomes[i].Error))
--- a/fate/seal.go
+++ b/fate/seal.go
@@ -5,11 +5,13 @@
 	"slices"
 )
 
-// Sealed reports whether the log starts nothing more.
+// Sealed reports whether the log is sealed: no task of it will start any more.
 func (h *Home) Sealed() bool { return h.sealed }
 
-// Seal takes the news that the witness sealed the log: nothing more starts
-// here. Tasks that started go on; jobs that need more are the witness's.
+// Seal applies the notification that the witness has sealed the log: no further
+// task starts here. Started tasks continue. Jobs that need further starts or an
+// acknowledgement are decided by the witness, and jobs that the witness cannot
+// know have not run.
 func (h *Home) Seal() Effects {
 	var e Effects
 	if h.sealed {
@@ -19,57 +21,59 @@
 	for _, key := range slices.SortedFunc(maps.Keys(h.jobs), compareKeys) {
 		j := h.jobs[key]
 		if j == nil {
-			continue // let go for the one before
+			continue // evicted when a previous job was committed
 		}
 		switch {
-		case j.told:
-		case !h.mayBeKnown(j):
-			h.neverReached(j, &e)
+		case j.committed:
+		case !h.witnessMayKnow(j):
+			h.decideNotRun(j, &e)
 		case j.verdict != nil || !allStarted(j):
-			h.leaveToWitness(j, &e)
+			h.deferToWitness(j, &e)
 		}
-		if !j.told {
-			j.acked = true // from now on it counts as known
+		if !j.committed {
+			j.acked = true // the appends are discarded below: the witness may know the job
 		}
 	}
-	h.dropPending()
+	h.discardAppends()
 	return e
 }
 
-// Orphan takes the news that the witness is lost. It has the effects of Seal,
-// but there is nobody to ask: the runtime tells unknown for what Ask names.
-func (h *Home) Orphan() Effects {
-	h.orphaned = true
+// MarkWitnessLost applies the notification that the witness is lost. It has the
+// effects of Seal, but the witness may not be there to ask: package dispatch
+// answers Unknown for WitnessQueries that the witness does not answer.
+func (h *Home) MarkWitnessLost() Effects {
+	h.witnessLost = true
 	return h.Seal()
 }
 
-// Orphaned reports whether the witness is lost.
-func (h *Home) Orphaned() bool { return h.orphaned }
+// WitnessLost reports whether the witness is lost.
+func (h *Home) WitnessLost() bool { return h.witnessLost }
 
-// neverReached tells not run of a job that no append has named: the witness
-// cannot know it, and this home will not start it.
-func (h *Home) neverReached(j *homeJob, e *Effects) {
+// decideNotRun commits NotRun for a job of which no record can have reached the
+// witness: the witness cannot run the job, and this home will not start it.
+func (h *Home) decideNotRun(j *homeJob, e *Effects) {
 	j.verdict = &Answer{Key: j.key, Kind: NotRun, Reason: ReasonWitnessLost}
-	j.retract(e)
-	h.tell(j, e)
+	j.cancelPermits(e)
+	h.commit(j, e)
 }
 
-func (h *Home) leaveToWitness(j *homeJob, e *Effects) {
-	if j.atWitness {
+func (h *Home) deferToWitness(j *homeJob, e *Effects) {
+	if j.witnessDecides {
 		return
 	}
-	j.atWitness = true
+	j.witnessDecides = true
 	j.verdict = nil
-	j.retract(e)
-	e.Ask = append(e.Ask, j.key)
+	j.cancelPermits(e)
+	e.WitnessQueries = append(e.WitnessQueries, j.key)
 }
 
-// Learned takes the fate that the witness told for a key named in Ask. An
-// answer of unknown is passed on but not kept: a later call may learn more.
-func (h *Home) Learned(answer Answer) Effects {
+// ApplyWitnessAnswer applies the witness's answer to one of WitnessQueries. The
+// answer Unknown is returned to callers but not kept, because the witness may
+// know more when it is asked again.
+func (h *Home) ApplyWitnessAnswer(answer Answer) Effects {
 	var e Effects
 	j := h.jobs[answer.Key]
-	if j == nil || !j.atWitness || j.told {
+	if j == nil || !j.witnessDecides || j.committed {
 		return e
 	}
 	if answer.Kind == Unknown {
@@ -77,13 +81,13 @@
 		return e
 	}
 	j.verdict = &answer
-	h.tell(j, &e)
+	h.commit(j, &e)
 	return e
 }
 
 func allStarted(j *homeJob) bool {
 	for i := range j.tasks {
-		if p := j.tasks[i].phase; p == waiting || p == asked {
+		if p := j.tasks[i].phase; p == waiting || p == permitPending {
 			return false
 		}
 	}
--- /dev/null
+++ b/fate/takeover.go
@@ -0,0 +1,71 @@
+package fate
+
+// TakeOver continues a job whose home is lost and whose log is sealed. The log
+// that takes it over must have no witness. Tasks that the lost home may have
+// started are resolved with ResolveTask once their upstreams have been asked.
+func (h *Home) TakeOver(key Key, recovered *RecoveredJob) Effects {
+	var e Effects
+	if h.jobs[key] != nil {
+		return e
+	}
+	j := h.accept(key, recovered.Job)
+	j.takenOver = true
+	for i := range recovered.Tasks {
+		j.applyRecovered(i, &recovered.Tasks[i])
+	}
+	h.decideRecovered(j, &e)
+	return e
+}
+
+func (j *homeJob) applyRecovered(task int, recovered *RecoveredTask) {
+	t := &j.tasks[task]
+	switch {
+	case recovered.Outcome != nil:
+		t.phase = ended
+		t.outcome = *recovered.Outcome
+		j.openTasks--
+	case len(recovered.Permits) > 0:
+		t.phase = unresolved
+		t.attempt = recovered.Permits[len(recovered.Permits)-1].Attempt
+	default:
+		j.lostHomeIncomplete = true
+	}
+}
+
+// decideRecovered decides the fate of j if the recovered outcomes suffice for it.
+func (h *Home) decideRecovered(j *homeJob, e *Effects) {
+	for i := range j.tasks {
+		if j.tasks[i].phase == ended && j.tasks[i].outcome.State == TaskFailed {
+			h.decide(j, ReasonTaskFailed, e)
+			return
+		}
+	}
+	if j.openTasks == 0 {
+		h.complete(j, e)
+	}
+}
+
+// ResolveTask records what the upstreams answered about a task that the lost home
+// may have started: its outcome, or nil if every upstream with a permit for it has
+// barred the lease. The task has then never started and may start here. ResolveTask
+// reports false if the task is not unresolved.
+func (h *Home) ResolveTask(key Key, task int, outcome *Outcome) (Effects, bool) {
+	var e Effects
+	j := h.jobs[key]
+	if j == nil || j.verdict != nil || j.tasks[task].phase != unresolved {
+		return e, false
+	}
+	if outcome != nil {
+		return h.endTask(j, task, *outcome), true
+	}
+	j.tasks[task].phase = waiting
+	j.lostHomeIncomplete = true
+	return e, true
+}
+
+// IsUnresolved reports whether it still has to be found out whether the lost home
+// started a task.
+func (h *Home) IsUnresolved(key Key, task int) bool {
+	j := h.jobs[key]
+	return j != nil && j.verdict == nil && j.tasks[task].phase == unresolved
+}
--- a/fate/verdict.go
+++ b/fate/verdict.go
@@ -1,52 +1,57 @@
 package fate
 
 func (h *Home) complete(j *homeJob, e *Effects) {
-	j.verdict = &Answer{Key: j.key, Kind: Complete, Tasks: outcomes(j)}
-	h.tell(j, e)
+	j.verdict = &Answer{Key: j.key, Kind: Complete, Tasks: taskOutcomes(j)}
+	h.commit(j, e)
 }
 
-// GiveUp ends a submission early: cancelled, past its deadline or refused.
-func (h *Home) GiveUp(key Key, reason Reason) Effects {
+// Abort ends a submission early: cancelled, past its deadline or rejected.
+func (h *Home) Abort(key Key, reason Reason) Effects {
 	var e Effects
 	j := h.jobs[key]
-	if j != nil && j.verdict == nil && !j.atWitness {
+	if j != nil && j.verdict == nil && !j.witnessDecides {
 		h.decide(j, reason, &e)
 	}
 	return e
 }
 
-// decide gives j a fate other than complete, and tells it once it is recorded.
+// decide decides a fate of j other than Complete. The fate is committed when the
+// witness has acknowledged the verdict, or at once if the log has no witness, if
+// the witness cannot know the job, or if the log is sealed.
 func (h *Home) decide(j *homeJob, reason Reason, e *Effects) {
-	verdict := verdictOf(j, reason)
-	if h.mustAsk(j, verdict) {
-		h.leaveToWitness(j, e)
+	verdict := incompleteVerdict(j, reason)
+	if h.needsWitness(j, verdict) {
+		h.deferToWitness(j, e)
 		return
 	}
 	j.verdict = verdict
-	j.stop(e)
-	j.retract(e)
-	if h.alone() || !h.mayBeKnown(j) {
-		h.withhold(j)
-		h.tell(j, e)
+	j.stopStarted(e)
+	j.cancelPermits(e)
+	if h.hasNoWitness() || !h.witnessMayKnow(j) {
+		h.discardRecords(j)
+		h.commit(j, e)
 		return
 	}
 	if h.sealed {
-		h.tell(j, e)
+		h.commit(j, e)
 		return
 	}
-	h.record(j).Verdict = j.verdict
+	h.pendingRecord(j).Verdict = j.verdict
 	h.urgent = true
 }
 
-// mustAsk reports whether a verdict needs a witness that will not record it.
-// A task that its upstream says has failed needs none: no one can say complete.
-func (h *Home) mustAsk(j *homeJob, v *Answer) bool {
-	return h.sealed && h.mayBeKnown(j) && v.Reason != ReasonTaskFailed
+// needsWitness reports whether only the witness can decide the fate of j, because
+// the log is sealed and cannot record the verdict. If a task has failed at its
+// upstream, the witness is not needed: it cannot decide Complete either.
+func (h *Home) needsWitness(j *homeJob, v *Answer) bool {
+	return h.sealed && h.witnessMayKnow(j) && v.Reason != ReasonTaskFailed
 }
 
-func verdictOf(j *homeJob, reason Reason) *Answer {
-	v := &Answer{Key: j.key, Kind: Failed, Reason: reason, Tasks: outcomes(j)}
-	ran, mayComplete := false, j.adopted && !j.exclusive
+// incompleteVerdict returns NotRun if no task has started, Unknown if a lost home
+// may have completed the job, and Failed otherwise.
+func incompleteVerdict(j *homeJob, reason Reason) *Answer {
+	v := &Answer{Key: j.key, Kind: Failed, Reason: reason, Tasks: taskOutcomes(j)}
+	ran, mayComplete := false, j.takenOver && !j.lostHomeIncomplete
 	for i := range v.Tasks {
 		ran = ran || v.Tasks[i].State != TaskNotRun
 		mayComplete = mayComplete && v.Tasks[i].State != TaskFailed
@@ -60,23 +65,23 @@
 	return v
 }
 
-func outcomes(j *homeJob) []Outcome {
-	list := make([]Outcome, len(j.tasks))
+func taskOutcomes(j *homeJob) []Outcome {
+	outcomes := make([]Outcome, len(j.tasks))
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		switch t.phase {
-		case over:
-			list[i] = t.outcome
-		case started, inherited:
-			list[i].State = TaskUnknown
+		case ended:
+			outcomes[i] = t.outcome
+		case started, unresolved:
+			outcomes[i].State = TaskUnknown
 		default:
-			list[i].State = TaskNotRun
+			outcomes[i].State = TaskNotRun
 		}
 	}
-	return list
+	return outcomes
 }
 
-func (j *homeJob) stop(e *Effects) {
+func (j *homeJob) stopStarted(e *Effects) {
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if t.phase == started {
@@ -85,31 +90,32 @@
 	}
 }
 
-// retract takes back the places of tasks whose permit is not acknowledged. They
-// never start here.
-func (j *homeJob) retract(e *Effects) {
+// cancelPermits frees the slots of tasks whose permits are not acknowledged. These
+// tasks will not start here.
+func (j *homeJob) cancelPermits(e *Effects) {
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.phase == asked {
+		if t.phase == permitPending {
 			t.phase = waiting
-			e.Unused = append(e.Unused, Start{Lease{j.key, i, t.attempt}, t.upstream})
+			e.UnusedSlots = append(e.UnusedSlots, Start{Lease{j.key, i, t.attempt}, t.upstream})
 		}
 	}
 }
 
-// tell makes the verdict of j sayable and lets go of what it no longer needs.
-func (h *Home) tell(j *homeJob, e *Effects) {
-	if j.verdict == nil || j.told {
+// commit makes the verdict of j available to callers and releases what is no
+// longer needed of j.
+func (h *Home) commit(j *homeJob, e *Effects) {
+	if j.verdict == nil || j.committed {
 		return
 	}
-	j.told = true
+	j.committed = true
 	j.job = nil
 	h.active--
 	e.Answers = append(e.Answers, *j.verdict)
-	h.forget(h.kept.add(j.key, sizeOf(j.verdict.Tasks)))
+	h.removeJobs(h.retained.add(j.key, answerSize(j.verdict.Tasks)))
 }
 
-func (h *Home) forget(keys []Key) {
+func (h *Home) removeJobs(keys []Key) {
 	for _, key := range keys {
 		delete(h.jobs, key)
 	}
--- a/fate/witness.go
+++ b/fate/witness.go
@@ -1,44 +1,44 @@
 package fate
 
-// Witness holds the other half of one permit log. It is not safe for
-// concurrent use.
+// Witness holds the replica of one permit log. It is not safe for concurrent use.
 type Witness struct {
-	id     LogID
-	next   uint64 // the sequence number that it expects
-	sealed bool
-	jobs   map[Key]*witnessJob
-	kept   *kept
+	id           LogID
+	nextSequence uint64 // of the next append that it accepts
+	sealed       bool
+	jobs         map[Key]*witnessJob
+	retained     *retainedKeys
 }
 
 type witnessJob struct {
-	job     *Job
-	tasks   []InheritedTask
-	open    int // tasks without an outcome
-	verdict *Answer
+	job       *Job
+	tasks     []RecoveredTask
+	openTasks int // tasks without an outcome
+	verdict   *Answer
 }
 
-// InheritedTask is what a witness knows of one task.
-type InheritedTask struct {
-	Outcome *Outcome
-	Permits []Permit // every place where the home may have started it
+// RecoveredTask is the state of one task of a RecoveredJob.
+type RecoveredTask struct {
+	Outcome *Outcome // nil if the log has no outcome
+	Permits []Permit // all starts that the lost home may have made
 }
 
-// Inheritance is what a witness knows of one submission.
-type Inheritance struct {
+// RecoveredJob is the state of an undecided submission that is recovered from the
+// witness of a sealed log.
+type RecoveredJob struct {
 	Job   *Job
-	Tasks []InheritedTask
+	Tasks []RecoveredTask
 }
 
-// AppendReply is the witness's answer to an append.
+// AppendReply is the witness's reply to an append.
 type AppendReply struct {
-	Acked  uint64 // every append up to this one is held
+	Acked  uint64 // every append up to this sequence number is stored
 	Gap    bool   // appends before this one are missing: send from Acked+1
-	Sealed bool   // the log is sealed: nothing more is acknowledged
+	Sealed bool   // the log is sealed: no further append is acknowledged
 }
 
 // NewWitness returns the witness of a new log.
-func NewWitness(id LogID, bound Retention) *Witness {
-	return &Witness{id: id, next: 1, jobs: map[Key]*witnessJob{}, kept: newKept(bound)}
+func NewWitness(id LogID, retention Retention) *Witness {
+	return &Witness{id: id, nextSequence: 1, jobs: map[Key]*witnessJob{}, retained: newRetainedKeys(retention)}
 }
 
 // ID returns the log's id.
@@ -47,30 +47,30 @@
 // Sealed reports whether the log is sealed.
 func (w *Witness) Sealed() bool { return w.sealed }
 
-// Append takes one message of the home. Repeated ones change nothing.
+// Append applies one append of the home. A repeated append changes nothing.
 func (w *Witness) Append(a *Append) AppendReply {
 	if w.sealed {
 		return AppendReply{Sealed: true}
 	}
-	if a.Sequence > w.next {
-		return AppendReply{Acked: w.next - 1, Gap: true}
+	if a.Sequence > w.nextSequence {
+		return AppendReply{Acked: w.nextSequence - 1, Gap: true}
 	}
-	if a.Sequence == w.next {
-		w.next++
+	if a.Sequence == w.nextSequence {
+		w.nextSequence++
 		for i := range a.Records {
 			w.apply(&a.Records[i])
 		}
 	}
-	return AppendReply{Acked: w.next - 1}
+	return AppendReply{Acked: w.nextSequence - 1}
 }
 
 func (w *Witness) apply(r *Record) {
 	j := w.jobs[r.Key]
 	if j == nil {
 		if r.Job == nil {
-			return // let go already
+			return // the submission was evicted
 		}
-		j = &witnessJob{job: r.Job, tasks: make([]InheritedTask, len(r.Job.Tasks)), open: len(r.Job.Tasks)}
+		j = &witnessJob{job: r.Job, tasks: make([]RecoveredTask, len(r.Job.Tasks)), openTasks: len(r.Job.Tasks)}
 		w.jobs[r.Key] = j
 	}
 	if j.verdict != nil {
@@ -82,39 +82,39 @@
 		}
 	}
 	for i := range r.Results {
-		w.result(j, &r.Results[i])
+		w.recordOutcome(j, &r.Results[i])
 	}
-	w.judge(r.Key, j, r.Verdict)
+	w.decide(r.Key, j, r.Verdict)
 }
 
-func (w *Witness) result(j *witnessJob, r *TaskResult) {
+func (w *Witness) recordOutcome(j *witnessJob, r *TaskResult) {
 	if r.Task >= len(j.tasks) || j.tasks[r.Task].Outcome != nil {
 		return
 	}
 	j.tasks[r.Task].Outcome = &r.Outcome
-	j.open--
+	j.openTasks--
 }
 
-func (w *Witness) judge(key Key, j *witnessJob, verdict *Answer) {
+func (w *Witness) decide(key Key, j *witnessJob, verdict *Answer) {
 	switch {
 	case verdict != nil:
 		j.verdict = verdict
-	case j.open == 0:
-		j.verdict = allDone(key, j)
+	case j.openTasks == 0:
+		j.verdict = completeAnswer(key, j)
 	}
 	if j.verdict == nil {
 		return
 	}
 	j.job = nil
 	j.tasks = nil
-	for _, gone := range w.kept.add(key, sizeOf(j.verdict.Tasks)) {
-		delete(w.jobs, gone)
+	for _, evicted := range w.retained.add(key, answerSize(j.verdict.Tasks)) {
+		delete(w.jobs, evicted)
 	}
 }
 
-// allDone returns complete when every task finished, else nil: what the fate
-// is when one did not is for the home to say, or for a takeover.
-func allDone(key Key, j *witnessJob) *Answer {
+// completeAnswer returns the answer Complete if every task finished, and nil
+// otherwise: the fate is then decided by the home, or by a takeover.
+func completeAnswer(key Key, j *witnessJob) *Answer {
 	answer := &Answer{Key: key, Kind: Complete, Tasks: make([]Outcome, len(j.tasks))}
 	for i := range j.tasks {
 		if j.tasks[i].Outcome.State != TaskFinished {
@@ -125,22 +125,22 @@
 	return answer
 }
 
-// Keep bounds the answers that are kept from now on.
-func (w *Witness) Keep(bound Retention) { w.kept.bound = bound }
+// SetRetention sets the limits on the answers kept from now on.
+func (w *Witness) SetRetention(retention Retention) { w.retained.limits = retention }
 
-// Tick tells the time, in Unix milliseconds, and lets go of old answers.
+// Tick sets the current time, in Unix milliseconds, and evicts expired answers.
 func (w *Witness) Tick(now int64) {
-	for _, gone := range w.kept.tick(now) {
-		delete(w.jobs, gone)
+	for _, evicted := range w.retained.evictExpired(now) {
+		delete(w.jobs, evicted)
 	}
 }
 
-// Seal ends the log: from now on nothing is acknowledged, so its home, dead,
-// paused or cut off, starts nothing more.
+// Seal ends the log: no further append is acknowledged, so that the home starts
+// no further task, even if it was only paused or partitioned.
 func (w *Witness) Seal() { w.sealed = true }
 
-// Open returns the submissions without a fate.
-func (w *Witness) Open() []Key {
+// OpenJobs returns the keys of the undecided submissions.
+func (w *Witness) OpenJobs() []Key {
 	var keys []Key
 	for key, j := range w.jobs {
 		if j.verdict == nil {
@@ -150,19 +150,20 @@
 	return keys
 }
 
-// Pending returns the number of submissions whose home may still need this
-// witness: none once the log is sealed.
-func (w *Witness) Pending() int {
+// PendingJobs returns the number of undecided submissions whose home may still
+// need this witness. It is zero once the log is sealed.
+func (w *Witness) PendingJobs() int {
 	if w.sealed {
 		return 0
 	}
-	return len(w.Open())
+	return len(w.OpenJobs())
 }
 
-// Recall returns the fate of key as this witness alone can tell it, or what it
-// holds of a submission that has none yet. Unsealed, it tells only recorded
-// fates: for the rest both results are nil, and the home has to be asked.
-func (w *Witness) Recall(key Key) (*Answer, *Inheritance) {
+// Lookup returns the fate of key if the witness can tell it by itself, or the
+// state to recover of a submission that is undecided. As long as the log is not
+// sealed, it returns recorded fates only: otherwise both results are nil, and the
+// home has to be asked.
+func (w *Witness) Lookup(key Key) (*Answer, *RecoveredJob) {
 	j := w.jobs[key]
 	switch {
 	case j != nil && j.verdict != nil:
@@ -170,8 +171,8 @@
 	case !w.sealed:
 		return nil, nil
 	case j != nil:
-		return nil, &Inheritance{Job: j.job, Tasks: j.tasks}
-	case w.kept.mayHaveGone(key):
+		return nil, &RecoveredJob{Job: j.job, Tasks: j.tasks}
+	case w.retained.mayBeEvicted(key):
 		return &Answer{Key: key, Kind: Unknown, Reason: ReasonNoLongerKept}, nil
 	default:
 		return &Answer{Key: key, Kind: NotRun, Reason: ReasonNeverReachedWitness}, nil
--- a/fate/world_test.go
+++ b/fate/world_test.go
@@ -7,29 +7,29 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// chooser makes every choice of a run: below returns a number in [0, n).
+// chooser makes all random choices of a run. below returns a number in [0, n).
 type chooser interface{ below(n int) int }
 
-// mutation is one deliberate break of a promise.
+// mutation is a deliberately introduced fault that violates an invariant.
 type mutation string
 
 const (
-	healthy             mutation = ""
-	permitWithoutAck    mutation = "a task starts before its permit is acknowledged"
-	sealIgnored         mutation = "a sealed witness goes on acknowledging"
-	resubmissionNotMet  mutation = "a resubmission is taken for new work"
-	startSentAgain      mutation = "a start without an answer is sent again under a new lease"
-	barSkipped          mutation = "a lease that was never seen is not barred"
-	goneForgotten       mutation = "an answer that was let go is taken for work that never came"
-	verdictNotRecorded  mutation = "not run and failed are told before they are recorded"
-	orphanSaysNotRun    mutation = "a home without its witness says not run of what the witness may know"
-	heirSaysFailed      mutation = "a takeover says failed of what the home may have completed"
-	refusedCountsAsLost mutation = "a cancelled job's started tasks count as not run"
+	noMutation                mutation = ""
+	permitWithoutAck          mutation = "a task starts before its permit is acknowledged"
+	sealIgnored               mutation = "a sealed witness continues to acknowledge appends"
+	resubmissionAsNewWork     mutation = "a resubmission is accepted as a new job"
+	startRetriedUnderNewLease mutation = "a start without an answer is sent again under a new lease"
+	unseenLeaseNotBarred      mutation = "a lease that was never seen is not barred"
+	evictionForgotten         mutation = "the key of an evicted answer is taken for one that was never submitted"
+	verdictBeforeAck          mutation = "not run and failed are returned before the witness has recorded them"
+	notRunWithoutWitness      mutation = "a home that lost its witness answers not run for jobs that the witness may know"
+	failedAfterTakeover       mutation = "a takeover answers failed for jobs that the home may have completed"
+	cancelledAsNotRun         mutation = "a cancelled job's started tasks count as not run"
 )
 
-type lostStart struct {
+type sentStart struct {
 	Start
-	heir bool
+	byTakeover bool // sent by takeoverHome
 }
 
 type leaseState int
@@ -42,40 +42,40 @@
 	barred
 )
 
-// world is a home, its witness, upstreams and a network that loses, delays,
-// repeats and reorders. It checks the promises at every step.
+// world simulates a home, its witness, upstreams and a network that loses, delays,
+// duplicates and reorders messages. It checks the invariants after every step.
 type world struct {
-	choose  chooser
-	broken  mutation
-	home    *Home
-	witness *Witness
-	heir    *Home
-	homeUp  bool
-	witUp   bool
-
-	appends []Append
-	replies []AppendReply
-	starts  []lostStart // on their way to upstreams
-	out     []lostStart // whose end somebody waits for
-	asks    []Key
-	leases  map[string]leaseState // by upstream and lease
-	started map[string][]string   // leases started, by task
-	told    map[Key][]Answer
-	keys    []Key
-	permits map[Key][][]Permit // inherited
-	violate error
+	choose       chooser
+	mutation     mutation
+	home         *Home
+	witness      *Witness
+	takeoverHome *Home
+	homeUp       bool
+	witnessUp    bool
+
+	appends          []Append
+	replies          []AppendReply
+	starts           []sentStart // in flight to upstreams
+	unresolvedStarts []sentStart // starts whose sender waits for the outcome
+	witnessQueries   []Key
+	leases           map[string]leaseState // by leaseKey
+	started          map[string][]string   // leaseKeys of the starts that took effect, by taskName
+	answers          map[Key][]Answer
+	keys             []Key
+	recoveredPermits map[Key][][]Permit // of unresolved tasks: permits by task index
+	violation        error
 }
 
 var homeLogID = LogID{Home: "h.1", Witness: "w.1", Number: 1}
 
-func newWorld(c chooser, broken mutation) *world {
-	bound := Retention{MaxCount: 1 + c.below(3), MaxBytes: 1 << 20}
+func newWorld(choose chooser, m mutation) *world {
+	retention := Retention{MaxCount: 1 + choose.below(3), MaxBytes: 1 << 20}
 	return &world{
-		choose: c, broken: broken, homeUp: true, witUp: true,
-		home: NewHome(homeLogID, bound), witness: NewWitness(homeLogID, bound),
-		heir:   NewHome(LogID{Home: "w.1"}, Retention{MaxCount: 100, MaxBytes: 1 << 20}),
-		leases: map[string]leaseState{}, started: map[string][]string{}, told: map[Key][]Answer{},
-		permits: map[Key][][]Permit{},
+		choose: choose, mutation: m, homeUp: true, witnessUp: true,
+		home: NewHome(homeLogID, retention), witness: NewWitness(homeLogID, retention),
+		takeoverHome: NewHome(LogID{Home: "w.1"}, Retention{MaxCount: 100, MaxBytes: 1 << 20}),
+		leases:       map[string]leaseState{}, started: map[string][]string{}, answers: map[Key][]Answer{},
+		recoveredPermits: map[Key][][]Permit{},
 	}
 }
 
@@ -87,7 +87,8 @@
 	return list[w.choose.below(len(list))], true
 }
 
-// pull removes one element, or, as a network may, leaves it to come again.
+// pull returns a random element and removes it. With repeat it sometimes leaves
+// the element in the list, as a network that duplicates messages does.
 func pull[T any](w *world, list *[]T, repeat bool) (T, bool) {
 	var none T
 	if len(*list) == 0 {
@@ -105,13 +106,14 @@
 	return []func(){
 		w.submit, w.submit, w.place, w.place, w.place, w.flush, w.flush, w.resend,
 		w.deliverAppend, w.deliverAppend, w.deliverAppend, w.dropAppend, w.deliverReply, w.deliverReply, w.deliverReply,
-		w.deliverStart, w.deliverStart, w.deliverStart, w.finishLease, w.finishLease, w.learnEnd, w.learnEnd, w.learnEnd, w.lookUp,
-		w.loseTrack, w.cancel, w.seal, w.orphan, w.killHome, w.killWitness,
-		w.settle, w.settle, w.heirPlace, w.heirPlace, w.heirCancel, w.recall, w.answerAsk, w.answerAsk,
+		w.deliverStart, w.deliverStart, w.deliverStart, w.finishLease, w.finishLease, w.deliverOutcome, w.deliverOutcome, w.deliverOutcome, w.barUnseenLease,
+		w.loseOutcome, w.cancel, w.takeOver, w.loseWitness, w.killHome, w.killWitness,
+		w.resolveTask, w.resolveTask, w.placeAfterTakeover, w.placeAfterTakeover, w.abortAfterTakeover, w.resubmitToWitness, w.answerWitnessQuery, w.answerWitnessQuery,
 	}
 }
 
-// rare holds the steps that would end every run early.
+// step runs one random step and checks the invariants. Steps that would end most
+// runs early, like the loss of an instance, are skipped five times out of six.
 func (w *world) step() {
 	all := w.steps()
 	i := w.choose.below(len(all))
@@ -123,29 +125,29 @@
 	w.check()
 }
 
-// effects does what a machine asked for.
-func (w *world) effects(e Effects, heir bool) {
+// perform carries out the effects that a state machine returned.
+func (w *world) perform(e Effects, byTakeover bool) {
 	for _, s := range e.Starts {
-		w.starts = append(w.starts, lostStart{s, heir})
-		w.out = append(w.out, lostStart{s, heir})
+		w.starts = append(w.starts, sentStart{s, byTakeover})
+		w.unresolvedStarts = append(w.unresolvedStarts, sentStart{s, byTakeover})
 	}
 	for _, s := range e.Stops {
-		w.stop(s)
+		w.stopLease(s)
 	}
 	for _, a := range e.Answers {
-		w.tell(a)
+		w.recordAnswer(a)
 	}
-	w.asks = append(w.asks, e.Ask...)
+	w.witnessQueries = append(w.witnessQueries, e.WitnessQueries...)
 }
 
-func (w *world) tell(a Answer) {
-	if w.broken == refusedCountsAsLost && a.Kind == Failed && a.Reason == ReasonCancelled {
+func (w *world) recordAnswer(a Answer) {
+	if w.mutation == cancelledAsNotRun && a.Kind == Failed && a.Reason == ReasonCancelled {
 		a.Kind = NotRun
 	}
-	w.told[a.Key] = append(w.told[a.Key], a)
+	w.answers[a.Key] = append(w.answers[a.Key], a)
 }
 
-func at(s Start) string { return s.Upstream + "|" + s.Lease.String() }
+func leaseKey(s Start) string { return s.Upstream + "|" + s.Lease.String() }
 
 func taskName(l Lease) string { return fmt.Sprintf("%s/%d", l.Key, l.Task) }
 
@@ -154,23 +156,23 @@
 		return
 	}
 	key := Key{Session: "s", Sequence: uint64(1 + w.choose.below(4))}
-	if w.broken == resubmissionNotMet {
+	if w.mutation == resubmissionAsNewWork {
 		delete(w.home.jobs, key)
 	}
-	if w.broken == goneForgotten {
-		clear(w.home.kept.gone)
+	if w.mutation == evictionForgotten {
+		clear(w.home.retained.evictedThrough)
 	}
 	job := &Job{Digest: key.Sequence, Tasks: make([]Task, 1+key.Sequence%3)}
 	admission, answer, err := w.home.Submit(key, job)
 	if err != nil {
 		if !failure.Is(err, failure.SessionEnded) {
-			w.violate = err
+			w.violation = err
 		}
-		w.tell(Answer{Key: key, Kind: NotRun})
+		w.recordAnswer(Answer{Key: key, Kind: NotRun})
 		return
 	}
 	if admission == Answered {
-		w.tell(answer)
+		w.recordAnswer(answer)
 	}
 	if !slices.Contains(w.keys, key) {
 		w.keys = append(w.keys, key)
@@ -184,12 +186,12 @@
 	if !ok || !w.homeUp {
 		return
 	}
-	if task, ok := pick(w, w.home.Waiting(key)); ok {
+	if task, ok := pick(w, w.home.WaitingTasks(key)); ok {
 		e, _ := w.home.Place(key, task, upstreamNames[w.choose.below(2)])
-		w.effects(e, false)
-		if w.broken == permitWithoutAck {
+		w.perform(e, false)
+		if w.mutation == permitWithoutAck {
 			w.flush()
-			w.effects(w.home.Ack(w.home.sequence), false)
+			w.perform(w.home.Ack(w.home.sequence), false)
 		}
 	}
 }
@@ -201,21 +203,21 @@
 	if a := w.home.NextAppend(w.choose.below(2) == 0); a != nil {
 		w.send(*a)
 	}
-	if w.broken == verdictNotRecorded {
+	if w.mutation == verdictBeforeAck {
 		for _, j := range w.home.jobs {
-			if j.verdict != nil && !j.told {
+			if j.verdict != nil && !j.committed {
 				var e Effects
-				w.home.tell(j, &e)
-				w.effects(e, false)
+				w.home.commit(j, &e)
+				w.perform(e, false)
 			}
 		}
 	}
 }
 
-// send puts an append on its way, or fails before its first byte has left.
+// send puts an append in flight, or fails before its first byte is sent.
 func (w *world) send(a Append) {
 	if w.choose.below(4) == 0 {
-		w.home.Unsent(a.Sequence)
+		w.home.MarkUnsent(a.Sequence)
 		return
 	}
 	w.appends = append(w.appends, a)
@@ -223,7 +225,7 @@
 
 func (w *world) resend() {
 	if w.homeUp {
-		w.sendAll(w.home.Unacked(0))
+		w.sendAll(w.home.UnackedForResend(0))
 	}
 }
 
@@ -235,10 +237,10 @@
 
 func (w *world) deliverAppend() {
 	a, ok := pull(w, &w.appends, true)
-	if !ok || !w.witUp {
+	if !ok || !w.witnessUp {
 		return
 	}
-	if w.broken == sealIgnored && w.witness.sealed {
+	if w.mutation == sealIgnored && w.witness.sealed {
 		w.replies = append(w.replies, AppendReply{Acked: a.Sequence})
 		return
 	}
@@ -253,26 +255,27 @@
 		return
 	}
 	if r.Sealed {
-		w.effects(w.home.Seal(), false)
+		w.perform(w.home.Seal(), false)
 		return
 	}
-	w.effects(w.home.Ack(r.Acked), false)
+	w.perform(w.home.Ack(r.Acked), false)
 	if r.Gap {
-		w.sendAll(w.home.Unacked(r.Acked + 1))
+		w.sendAll(w.home.UnackedForResend(r.Acked + 1))
 	}
 }
 
-// deliverStart brings a start to its upstream, perhaps long after it was sent
-// and after its sender's death. A start is one request: it arrives once.
+// deliverStart delivers a start to its upstream, possibly long after it was sent
+// and after its sender was lost. A start is a single request: it arrives at most
+// once.
 func (w *world) deliverStart() {
 	s, ok := pull(w, &w.starts, false)
-	if !ok || w.leases[at(s.Start)] != neverSeen {
+	if !ok || w.leases[leaseKey(s.Start)] != neverSeen {
 		return
 	}
-	w.leases[at(s.Start)] = running
+	w.leases[leaseKey(s.Start)] = running
 	name := taskName(s.Lease)
-	w.started[name] = append(w.started[name], at(s.Start))
-	if w.broken == startSentAgain && w.choose.below(4) == 0 {
+	w.started[name] = append(w.started[name], leaseKey(s.Start))
+	if w.mutation == startRetriedUnderNewLease && w.choose.below(4) == 0 {
 		s.Lease.Attempt += 100
 		w.starts = append(w.starts, s)
 	}
@@ -294,81 +297,82 @@
 	}
 }
 
-func (w *world) stop(s Start) {
-	switch w.leases[at(s)] {
+func (w *world) stopLease(s Start) {
+	switch w.leases[leaseKey(s)] {
 	case neverSeen:
-		w.leases[at(s)] = barred
+		w.leases[leaseKey(s)] = barred
 	case running:
-		w.leases[at(s)] = failed
+		w.leases[leaseKey(s)] = failed
 	}
 }
 
-func (w *world) machine(heir bool) (*Home, bool) {
-	if heir {
-		return w.heir, w.witUp
+func (w *world) sender(byTakeover bool) (*Home, bool) {
+	if byTakeover {
+		return w.takeoverHome, w.witnessUp
 	}
 	return w.home, w.homeUp
 }
 
-func outcomeAt(l leaseState, name string) Outcome {
-	if l == failed {
+func outcomeOf(state leaseState, result string) Outcome {
+	if state == failed {
 		return Outcome{State: TaskFailed}
 	}
-	return Outcome{State: TaskFinished, Result: []byte(name)}
+	return Outcome{State: TaskFinished, Result: []byte(result)}
 }
 
-// learnEnd brings what became of a start to who sent it.
-func (w *world) learnEnd() {
-	s, ok := pull(w, &w.out, true)
+// deliverOutcome tells the sender of a start the state of its lease.
+func (w *world) deliverOutcome() {
+	s, ok := pull(w, &w.unresolvedStarts, true)
 	if !ok {
 		return
 	}
-	h, up := w.machine(s.heir)
+	h, up := w.sender(s.byTakeover)
 	if !up {
 		return
 	}
 	var e Effects
-	switch state := w.leases[at(s.Start)]; state {
+	switch state := w.leases[leaseKey(s.Start)]; state {
 	case finished, failed:
-		e, _ = h.Finish(s.Lease, outcomeAt(state, at(s.Start)))
+		e, _ = h.Finish(s.Lease, outcomeOf(state, leaseKey(s.Start)))
 	case barred:
-		e, _ = h.Refused(s.Lease)
+		e, _ = h.Requeue(s.Lease)
 	default:
-		w.out = append(w.out, s)
+		w.unresolvedStarts = append(w.unresolvedStarts, s)
 	}
-	w.effects(e, s.heir)
+	w.perform(e, s.byTakeover)
 }
 
-// lookUp asks after a start that was not heard of, and bars it.
-func (w *world) lookUp() {
-	s, ok := pick(w, w.out)
+// barUnseenLease looks up a lease that its upstream has not seen, which bars it,
+// and requeues the task.
+func (w *world) barUnseenLease() {
+	s, ok := pick(w, w.unresolvedStarts)
 	if !ok {
 		return
 	}
-	h, up := w.machine(s.heir)
-	if !up || w.leases[at(s.Start)] != neverSeen {
+	h, up := w.sender(s.byTakeover)
+	if !up || w.leases[leaseKey(s.Start)] != neverSeen {
 		return
 	}
-	if w.broken != barSkipped {
-		w.leases[at(s.Start)] = barred
+	if w.mutation != unseenLeaseNotBarred {
+		w.leases[leaseKey(s.Start)] = barred
 	}
-	e, _ := h.Refused(s.Lease)
-	w.effects(e, s.heir)
+	e, _ := h.Requeue(s.Lease)
+	w.perform(e, s.byTakeover)
 }
 
-func (w *world) loseTrack() {
-	s, ok := pick(w, w.out)
+func (w *world) loseOutcome() {
+	s, ok := pick(w, w.unresolvedStarts)
 	if !ok {
 		return
 	}
-	if h, up := w.machine(s.heir); up {
+	if h, up := w.sender(s.byTakeover); up {
 		e, _ := h.Finish(s.Lease, Outcome{State: TaskUnknown})
-		w.effects(e, s.heir)
+		w.perform(e, s.byTakeover)
 	}
 }
 
 func (w *world) cancel() {
 	if key, ok := pick(w, w.keys); ok && w.homeUp {
-		w.effects(w.home.GiveUp(key, ReasonCancelled), false)
+		w.perform(w.home.Abort(key, ReasonCancelled), false)
 	}
 }
