--- a/fate/home.go
+++ b/fate/home.go
@@ -258,8 +258,8 @@
 	return e
 }
 
-// Requeue makes a task wait again for which a start was sent that provably had
-// no effect. It reports false if the outcome of lease is not awaited.
+// Requeue makes a started task wait for a slot again, after proof that its start
+// had no effect. It reports false if the outcome of lease is not awaited.
 func (h *Home) Requeue(lease Lease) (Effects, bool) {
 	var e Effects
 	j, t := h.startedTask(lease)
@@ -273,7 +273,7 @@
 	return e, true
 }
 
-// SetRetention sets the limits on the answers kept from now on.
+// SetRetention replaces the limits on kept answers, from the next eviction on.
 func (h *Home) SetRetention(retention Retention) { h.retained.limits = retention }
 
 // Tick sets the current time, in Unix milliseconds, and evicts expired answers.
--- a/fate/home_test.go
+++ b/fate/home_test.go
@@ -67,7 +67,7 @@
 		t.Errorf("results out of order: %v", answer.Tasks)
 	}
 	if _, awaited := h.Finish(starts[0].Lease, Outcome{State: TaskFailed}); awaited {
-		t.Error("a second result was taken")
+		t.Error("a second result was accepted")
 	}
 	if again := mustSubmit(t, h, firstKey, jobOf(2), Answered); again.Kind != Complete {
 		t.Errorf("resubmission was answered %s", again.Kind)
@@ -83,7 +83,7 @@
 	mustSubmit(t, h, firstKey, jobOf(2), Joined)
 }
 
-func TestLetGoIsUnknownAndNeverRunAgain(t *testing.T) {
+func TestEvictedIsUnknownAndNeverRunAgain(t *testing.T) {
 	h := NewHome(LogID{Home: "h.1"}, testRetention)
 	h.Tick(0)
 	mustSubmit(t, h, firstKey, jobOf(1), Accepted)
@@ -182,10 +182,10 @@
 	}
 }
 
-// TestPlacesOfTasksThatNeverStartComeBack checks that the slot of a task that will
+// TestSlotsOfTasksThatNeverStartAreReleased checks that the slot of a task that will
 // not start is released, whether the job is cancelled, the log sealed or the
 // witness lost.
-func TestPlacesOfTasksThatNeverStartComeBack(t *testing.T) {
+func TestSlotsOfTasksThatNeverStartAreReleased(t *testing.T) {
 	for name, end := range map[string]func(*Home) Effects{
 		"cancelled":    func(h *Home) Effects { return h.Abort(firstKey, ReasonCancelled) },
 		"sealed":       (*Home).Seal,
@@ -206,10 +206,10 @@
 	}
 }
 
-// TestAppendIsTheCallers checks that an append owns its records. It is read while
+// TestAppendOwnsItsRecords checks that an append owns its records. It is read while
 // it is sent, without the lock of its home: records that the home removes from its
 // own copy meanwhile must stay in it.
-func TestAppendIsTheCallers(t *testing.T) {
+func TestAppendOwnsItsRecords(t *testing.T) {
 	h := NewHome(homeLogID, testRetention)
 	mustSubmit(t, h, firstKey, jobOf(1), Accepted)
 	h.Place(firstKey, 0, "u")
--- a/fate/takeover.go
+++ b/fate/takeover.go
@@ -63,8 +63,8 @@
 	return e, true
 }
 
-// IsUnresolved reports whether it still has to be found out whether the lost home
-// started a task.
+// IsUnresolved reports whether the upstreams still have to be asked about a task
+// that the lost home may have started.
 func (h *Home) IsUnresolved(key Key, task int) bool {
 	j := h.jobs[key]
 	return j != nil && j.verdict == nil && j.tasks[task].phase == unresolved
--- a/fate/witness.go
+++ b/fate/witness.go
@@ -125,7 +125,7 @@
 	return answer
 }
 
-// SetRetention sets the limits on the answers kept from now on.
+// SetRetention replaces the limits on kept answers, from the next eviction on.
 func (w *Witness) SetRetention(retention Retention) { w.retained.limits = retention }
 
 // Tick sets the current time, in Unix milliseconds, and evicts expired answers.
