--- a/dispatch/appender.go
+++ b/dispatch/appender.go
@@ -11,32 +11,34 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// appender carries the appends of one log to its witness, in order, and the
-// acknowledgements back. Its lock is taken before the log's, never after.
+// appender sends the appends of one log to its witness, in order, and applies the
+// acknowledgements. Its lock is always taken before that of the log.
 type appender struct {
-	l *homeLog
+	log *homeLog
 
-	mu      sync.Mutex
-	lazyAt  time.Time // when results were last sent without waiting for company
-	waiting time.Time // since when an acknowledgement is awaited; zero is none
-	silent  time.Time // since when the witness does not answer; zero when it does
-	retryAt time.Time // when what is missing is sent again; zero is not at all
+	mu                sync.Mutex
+	lastForcedFlushAt time.Time // when pending results were last sent without waiting for a permit or verdict
+	ackAwaitedSince   time.Time // since when an acknowledgement is awaited; zero if none is
+	silentSince       time.Time // since when sends fail or acknowledgements are missing; zero if the witness answers
+	resendAt          time.Time // when unacknowledged appends are sent again; zero if they need not be
 }
 
-// resendEvery is how often a silent witness is tried again.
-const resendEvery = 50 * time.Millisecond
+// resendInterval is the interval at which a peer that does not answer is tried
+// again.
+const resendInterval = 50 * time.Millisecond
 
-// flush sends what is due. What was not acknowledged goes first.
-func (a *appender) flush(lazy bool) {
-	if a.l.id.Witness == "" {
+// flush sends the appends that are due, unless unacknowledged appends have to be
+// sent again first. With force, results do not wait for a permit or verdict.
+func (a *appender) flush(force bool) {
+	if a.log.id.Witness == "" {
 		return
 	}
 	a.mu.Lock()
 	lost := false
-	for a.retryAt.IsZero() && !lost {
-		a.l.mu.Lock()
-		next := a.l.home.NextAppend(lazy)
-		a.l.mu.Unlock()
+	for a.resendAt.IsZero() && !lost {
+		a.log.mu.Lock()
+		next := a.log.home.NextAppend(force)
+		a.log.mu.Unlock()
 		if next == nil {
 			break
 		}
@@ -44,151 +46,154 @@
 	}
 	a.mu.Unlock()
 	if lost {
-		a.orphan()
+		a.markWitnessLost()
 	}
 }
 
-// send sends one append, and reports whether the witness is to be taken for
-// lost. An error proves that no byte of the append has left. The lock is held.
+// send sends one append, and reports whether the witness has to be considered
+// lost. An error of the connection to it proves that no byte of the append was
+// sent. The lock must be held.
 func (a *appender) send(next fate.Append) (lost bool) {
 	f := &inner.Frame{Body: &inner.Frame_Append{Append: inner.FromAppend(&next)}}
-	peers, witness := a.l.d.peers, a.l.id.Witness
+	peers, witness := a.log.d.peers, a.log.id.Witness
 	var err error
 	if next.WantAck {
-		if a.waiting.IsZero() {
-			a.waiting = time.Now()
+		if a.ackAwaitedSince.IsZero() {
+			a.ackAwaitedSince = time.Now()
 		}
-		err = peers.Notify(witness, f, a.replied)
+		err = peers.Notify(witness, f, a.handleReply)
 	} else {
 		err = peers.Post(witness, f)
 	}
 	if err == nil {
 		return false
 	}
-	a.l.mu.Lock()
-	a.l.home.MarkUnsent(next.Sequence)
-	a.l.home.Close() // new work goes to another log
-	a.l.mu.Unlock()
-	return a.failed(err)
+	a.log.mu.Lock()
+	a.log.home.MarkUnsent(next.Sequence)
+	a.log.home.Close() // new jobs go to another log
+	a.log.mu.Unlock()
+	return a.scheduleResend(err)
 }
 
-// replied takes what came of an append.
-func (a *appender) replied(f *inner.Frame, err error) {
-	if a.l.d.stop.Err() != nil {
+// handleReply handles the witness's reply to an append, or the error in its place.
+func (a *appender) handleReply(f *inner.Frame, err error) {
+	if a.log.d.ctx.Err() != nil {
 		return
 	}
 	if err != nil {
 		a.mu.Lock()
-		lost := a.failed(err)
+		lost := a.scheduleResend(err)
 		a.mu.Unlock()
 		if lost {
-			a.orphan()
+			a.markWitnessLost()
 		}
 		return
 	}
-	a.acked(f.GetAppendReply())
+	a.handleAppendReply(f.GetAppendReply())
 }
 
-func (a *appender) acked(r *inner.AppendReply) {
+func (a *appender) handleAppendReply(r *inner.AppendReply) {
 	if r.GetSealed() {
-		event.LogSealed.Log(a.l.d.cfg.Log, slog.String("log", a.l.id.String()))
-		a.l.step(func(h *fate.Home) fate.Effects { return h.Seal() })
+		event.LogSealed.Log(a.log.d.cfg.Log, slog.String("log", a.log.id.String()))
+		a.log.apply(func(h *fate.Home) fate.Effects { return h.Seal() })
 		return
 	}
 	if r.GetUnknownLog() {
-		a.orphan()
+		a.markWitnessLost()
 		return
 	}
 	a.mu.Lock()
-	a.silent, a.waiting = time.Time{}, time.Time{}
+	a.silentSince, a.ackAwaitedSince = time.Time{}, time.Time{}
 	a.mu.Unlock()
-	a.l.step(func(h *fate.Home) fate.Effects { return h.Ack(r.GetAcked()) })
+	a.log.apply(func(h *fate.Home) fate.Effects { return h.Ack(r.GetAcked()) })
 	if r.GetGap() {
 		a.resend(r.GetAcked() + 1)
 	}
 }
 
-// failed has what is missing sent again later, or reports that the witness is
-// to be taken for lost. The lock is held.
-func (a *appender) failed(err error) (lost bool) {
+// scheduleResend schedules unacknowledged appends to be sent again after err, and
+// reports whether the witness has to be considered lost. The lock must be held.
+func (a *appender) scheduleResend(err error) (lost bool) {
 	now := time.Now()
-	if a.silent.IsZero() {
-		a.silent = now
+	if a.silentSince.IsZero() {
+		a.silentSince = now
 	}
-	a.waiting = time.Time{}
-	a.retryAt = now.Add(resendEvery)
-	return failure.Is(err, failure.Gone) || now.Sub(a.silent) > a.l.d.cfg.WitnessTimeout
+	a.ackAwaitedSince = time.Time{}
+	a.resendAt = now.Add(resendInterval)
+	return failure.Is(err, failure.Gone) || now.Sub(a.silentSince) > a.log.d.cfg.WitnessTimeout
 }
 
-// tick sends results that waited long enough, and notices a silent witness.
+// tick sends results that have waited for ResultAppendDelay, and detects a
+// witness that does not answer.
 func (a *appender) tick(now time.Time) {
-	if a.l.id.Witness == "" || a.over() {
+	if a.log.id.Witness == "" || a.sealed() {
 		return
 	}
 	a.mu.Lock()
-	retry := !a.retryAt.IsZero() && !now.Before(a.retryAt)
-	lazy := now.Sub(a.lazyAt) >= a.l.d.cfg.ResultAppendDelay
-	if lazy {
-		a.lazyAt = now
+	resendDue := !a.resendAt.IsZero() && !now.Before(a.resendAt)
+	forceDue := now.Sub(a.lastForcedFlushAt) >= a.log.d.cfg.ResultAppendDelay
+	if forceDue {
+		a.lastForcedFlushAt = now
 	}
 	lost := false
-	if !a.waiting.IsZero() && now.Sub(a.waiting) > a.l.d.cfg.WitnessTimeout/2 {
-		lost = a.failed(failure.Timeout.New("the witness does not acknowledge"))
+	if !a.ackAwaitedSince.IsZero() && now.Sub(a.ackAwaitedSince) > a.log.d.cfg.WitnessTimeout/2 {
+		lost = a.scheduleResend(failure.Timeout.New("the witness did not acknowledge an append in time"))
 	}
 	a.mu.Unlock()
 	switch {
 	case lost:
-		a.orphan()
-	case retry:
+		a.markWitnessLost()
+	case resendDue:
 		a.resend(0)
-	case lazy:
+	case forceDue:
 		a.flush(true)
 	}
 }
 
-// over reports whether the log will never append again.
-func (a *appender) over() bool {
-	a.l.mu.Lock()
-	defer a.l.mu.Unlock()
-	return a.l.home.Sealed()
+// sealed reports whether the log is sealed, so that it sends no further appends.
+func (a *appender) sealed() bool {
+	a.log.mu.Lock()
+	defer a.log.mu.Unlock()
+	return a.log.home.Sealed()
 }
 
-func (a *appender) orphan() {
-	if a.over() {
+func (a *appender) markWitnessLost() {
+	if a.sealed() {
 		return
 	}
-	event.WitnessLost.Log(a.l.d.cfg.Log, slog.String("log", a.l.id.String()))
-	a.l.step(func(h *fate.Home) fate.Effects { return h.MarkWitnessLost() })
+	event.WitnessLost.Log(a.log.d.cfg.Log, slog.String("log", a.log.id.String()))
+	a.log.apply(func(h *fate.Home) fate.Effects { return h.MarkWitnessLost() })
 }
 
-// resend sends again what the witness has not acknowledged.
+// resend sends the unacknowledged appends again, from a sequence number on. Only
+// the last one requests an acknowledgement.
 func (a *appender) resend(from uint64) {
 	a.mu.Lock()
-	a.retryAt = time.Time{}
-	a.l.mu.Lock()
-	missing := a.l.home.UnackedForResend(from)
-	a.l.mu.Unlock()
+	a.resendAt = time.Time{}
+	a.log.mu.Lock()
+	missing := a.log.home.UnackedForResend(from)
+	a.log.mu.Unlock()
 	lost := false
-	for i, again := range missing {
-		again.WantAck = i == len(missing)-1
-		if lost = a.send(again); lost || !a.retryAt.IsZero() {
-			a.unsent(missing[i+1:])
+	for i, next := range missing {
+		next.WantAck = i == len(missing)-1
+		if lost = a.send(next); lost || !a.resendAt.IsZero() {
+			a.markUnsent(missing[i+1:])
 			break
 		}
 	}
 	a.mu.Unlock()
 	if lost {
-		a.orphan()
+		a.markWitnessLost()
 		return
 	}
 	a.flush(false)
 }
 
-// unsent takes back what Unacked counted as sent.
-func (a *appender) unsent(list []fate.Append) {
-	a.l.mu.Lock()
-	defer a.l.mu.Unlock()
+// markUnsent marks appends as unsent that UnackedForResend has counted as sent.
+func (a *appender) markUnsent(list []fate.Append) {
+	a.log.mu.Lock()
+	defer a.log.mu.Unlock()
 	for i := range list {
-		a.l.home.MarkUnsent(list[i].Sequence)
+		a.log.home.MarkUnsent(list[i].Sequence)
 	}
 }
--- a/dispatch/brokers.go
+++ b/dispatch/brokers.go
@@ -13,22 +13,22 @@
 	"github.com/samber/lo"
 )
 
-// brokers holds the pools that this instance hands out.
+// brokers holds the brokers of the pools whose slots this instance grants.
 type brokers struct {
 	d     *Dispatcher
 	mu    sync.RWMutex
 	pools map[string]*brokerPool
 }
 
-// brokerPool is one placement.Broker: a shard with its own lock.
+// brokerPool is the broker of one pool, with a lock of its own.
 type brokerPool struct {
-	id     string
-	mu     sync.Mutex
-	broker *placement.Broker
-	homes  map[fate.Incarnation]bool // those that hold places
-	hurry  bool                      // homes were told that work waits
-	// gathering is true while places that came back wait for others.
-	gathering bool
+	id           string
+	mu           sync.Mutex
+	broker       *placement.Broker
+	grantedHomes map[fate.Incarnation]bool // homes that were granted slots since they were last asked to release without delay
+	queueing     bool                      // tasks were queued after the last input
+	// grantsScheduled is true while released slots wait for GrantDelay.
+	grantsScheduled bool
 }
 
 func (b *brokers) init(d *Dispatcher) {
@@ -36,9 +36,9 @@
 	b.pools = map[string]*brokerPool{}
 }
 
-// pool returns the broker of a pool, and makes it on first use. Whoever asks
-// believes this instance to be the broker; should two instances both be, that
-// costs refusals at upstreams and no more.
+// pool returns the broker of a pool, and creates it on first use: the sender of a
+// request assumes that this instance is the broker. If two instances act as the
+// broker of one pool, upstreams refuse some tasks, with no other consequence.
 func (b *brokers) pool(id string) *brokerPool {
 	b.mu.RLock()
 	p := b.pools[id]
@@ -49,25 +49,27 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.pools[id] == nil {
-		p = &brokerPool{id: id, broker: placement.NewBroker(b.d.cfg.Broker, b.quietUntil()), homes: map[fate.Incarnation]bool{}}
-		b.describe(p, b.d.view.Load())(p.broker)
+		p = &brokerPool{id: id, broker: placement.NewBroker(b.d.cfg.Broker, b.grantsStartMs()), grantedHomes: map[fate.Incarnation]bool{}}
+		b.poolUpdate(p, b.d.view.Load())(p.broker)
 		b.pools[id] = p
 	}
 	return b.pools[id]
 }
 
-// settleMs is how long a new broker waits for homes to say what they hold,
-// where there are others.
-const settleMs = 150
+// syncGraceMs is how long a new broker waits, before its first grant, for homes to
+// report the slots that they hold. It does not wait if there are no other
+// instances.
+const syncGraceMs = 150
 
-func (b *brokers) quietUntil() int64 {
+func (b *brokers) grantsStartMs() int64 {
 	if len(b.d.view.Load().Members) <= 1 {
 		return 0
 	}
-	return nowMs() + settleMs
+	return nowMs() + syncGraceMs
 }
 
-// upstreamsOf returns the upstreams of a pool, those seen leaving marked.
+// upstreamsOf returns the upstreams of a pool. Those that are known to be leaving
+// are marked so, even if the view does not have it yet.
 func (b *brokers) upstreamsOf(v *View, id string) []placement.Upstream {
 	p := v.pools[id]
 	if p == nil {
@@ -80,74 +82,76 @@
 	return list
 }
 
-// rebind takes a new view: pools of other brokers are let go.
-func (b *brokers) rebind(v *View) {
+// applyView applies a new view. Pools whose broker is now another instance are
+// dropped.
+func (b *brokers) applyView(v *View) {
 	b.mu.Lock()
-	var mine []*brokerPool
+	var kept []*brokerPool
 	for id, p := range b.pools {
 		if pv := v.pools[id]; pv == nil || pv.broker != b.d.cfg.Self {
 			delete(b.pools, id)
 			continue
 		}
-		mine = append(mine, p)
+		kept = append(kept, p)
 	}
 	b.mu.Unlock()
-	for _, p := range mine {
-		b.run(p, b.describe(p, v))
+	for _, p := range kept {
+		b.apply(p, b.poolUpdate(p, v))
 	}
 }
 
-// describe returns the input that tells a pool's broker of its upstreams, and
-// of what operators have set.
-func (b *brokers) describe(p *brokerPool, v *View) func(*placement.Broker) []placement.Grant {
-	list, shares, maxQueued := b.upstreamsOf(v, p.id), b.sharesOf(v, p.id), b.d.tuning.Load().MaxQueued
-	return func(k *placement.Broker) []placement.Grant {
-		k.SetShares(shares)
-		k.SetMaxQueued(maxQueued)
-		return k.SetUpstreams(list, nowMs())
+// poolUpdate returns the input that updates the upstreams and the operators'
+// settings of a pool's broker.
+func (b *brokers) poolUpdate(p *brokerPool, v *View) func(*placement.Broker) []placement.Grant {
+	list, shares, maxQueued := b.upstreamsOf(v, p.id), b.poolShares(v, p.id), b.d.tuning.Load().MaxQueued
+	return func(broker *placement.Broker) []placement.Grant {
+		broker.SetShares(shares)
+		broker.SetMaxQueued(maxQueued)
+		return broker.SetUpstreams(list, nowMs())
 	}
 }
 
-// sharesOf returns the parts of services in a pool. A bound on slots is that of
-// the fleet: each pool holds its part of it, so that no counter spans the fleet.
-func (b *brokers) sharesOf(v *View, id string) map[string]placement.Share {
-	p, fleet := v.pools[id], 0
+// poolShares returns the shares of the services in a pool. A service's limit on
+// slots applies to the whole fleet. Each pool enforces its proportional part of
+// it, so that no counter has to span the fleet.
+func (b *brokers) poolShares(v *View, id string) map[string]placement.Share {
+	p, fleetSlots := v.pools[id], 0
 	for _, o := range v.pools {
-		fleet += o.slots
+		fleetSlots += o.slots
 	}
-	if p == nil || fleet == 0 {
+	if p == nil || fleetSlots == 0 {
 		return nil
 	}
 	return lo.MapValues(b.d.tuning.Load().Shares, func(s placement.Share, _ string) placement.Share {
 		if s.Slots > 0 {
-			s.Slots = max((s.Slots*p.slots+fleet/2)/fleet, 1)
+			s.Slots = max((s.Slots*p.slots+fleetSlots/2)/fleetSlots, 1)
 		}
 		return s
 	})
 }
 
-// run gives a broker one input and sends what it grants.
-func (b *brokers) run(p *brokerPool, input func(*placement.Broker) []placement.Grant) {
+// apply applies one input to a broker and sends the resulting grants.
+func (b *brokers) apply(p *brokerPool, input func(*placement.Broker) []placement.Grant) {
 	p.mu.Lock()
 	grants := input(p.broker)
 	var messages []*inner.SlotGrant
 	for i := range grants {
-		p.homes[fate.Incarnation(grants[i].Home)] = true
-		messages = append(messages, p.message(&grants[i]))
+		p.grantedHomes[fate.Incarnation(grants[i].Home)] = true
+		messages = append(messages, p.grantMessage(&grants[i]))
 	}
-	hasten := p.pressure()
+	hurried := p.homesToHurry()
 	p.mu.Unlock()
 	for i, m := range messages {
-		b.deliver(fate.Incarnation(grants[i].Home), m)
+		b.sendGrant(fate.Incarnation(grants[i].Home), m)
 	}
-	for _, home := range hasten {
-		b.deliver(home, &inner.SlotGrant{Hurry: true, Pool: p.id})
+	for _, home := range hurried {
+		b.sendGrant(home, &inner.SlotGrant{Hurry: true, Pool: p.id})
 	}
 }
 
-// message returns a grant as it is sent, with how the pool stands. The lock is
-// held.
-func (p *brokerPool) message(g *placement.Grant) *inner.SlotGrant {
+// grantMessage returns the message for a grant, with the current load of the pool.
+// The lock must be held.
+func (p *brokerPool) grantMessage(g *placement.Grant) *inner.SlotGrant {
 	m := &inner.SlotGrant{
 		Pool: p.id, Ticket: g.Ticket, Service: g.Service, Sequence: g.Sequence, Refused: string(g.Refused), RetryAfterMs: uint32(g.RetryAfterMs),
 		Hurry: p.broker.Queued() > 0, Free: uint32(p.broker.Free()), Queued: uint32(p.broker.Queued()),
@@ -158,25 +162,25 @@
 	return m
 }
 
-// pressure returns the homes to be told that work waits, each time that it
-// begins to. The lock is held.
-func (p *brokerPool) pressure() []fate.Incarnation {
-	waits := p.broker.Queued() > 0
-	began := waits && !p.hurry
-	p.hurry = waits
-	if !began {
+// homesToHurry returns the homes that have to release free slots without delay. It
+// returns them once, whenever tasks begin to queue. The lock must be held.
+func (p *brokerPool) homesToHurry() []fate.Incarnation {
+	queueing := p.broker.Queued() > 0
+	queueStarted := queueing && !p.queueing
+	p.queueing = queueing
+	if !queueStarted {
 		return nil
 	}
-	hasten := slices.Collect(maps.Keys(p.homes))
-	clear(p.homes)
-	return hasten
+	homes := slices.Collect(maps.Keys(p.grantedHomes))
+	clear(p.grantedHomes)
+	return homes
 }
 
-// deliver sends a grant to a home, which may be this instance. One that does
-// not arrive is noticed at the home's next sync.
-func (b *brokers) deliver(home fate.Incarnation, m *inner.SlotGrant) {
+// sendGrant sends a grant to a home, which may be this instance. A grant that gets
+// lost is detected at the next sync of the home.
+func (b *brokers) sendGrant(home fate.Incarnation, m *inner.SlotGrant) {
 	if home == b.d.cfg.Self {
-		b.d.slots.granted(home, m)
+		b.d.slots.handleGrant(home, m)
 		return
 	}
 	if err := b.d.peers.Post(home, &inner.Frame{Body: &inner.Frame_SlotGrant{SlotGrant: m}}); err != nil {
@@ -184,8 +188,8 @@
 	}
 }
 
-// take takes a frame of a home. Frames of one home come in order.
-func (b *brokers) take(home fate.Incarnation, f *inner.Frame) {
+// handleFrame handles a frame of a home. Frames of one home arrive in order.
+func (b *brokers) handleFrame(home fate.Incarnation, f *inner.Frame) {
 	switch body := f.GetBody().(type) {
 	case *inner.Frame_SlotRequest:
 		b.request(home, body.SlotRequest)
@@ -199,7 +203,7 @@
 }
 
 func (b *brokers) request(home fate.Incarnation, m *inner.SlotRequest) {
-	b.run(b.pool(m.GetPool()), func(k *placement.Broker) []placement.Grant { return k.Request(toRequest(home, m), nowMs()) })
+	b.apply(b.pool(m.GetPool()), func(broker *placement.Broker) []placement.Grant { return broker.Request(toRequest(home, m), nowMs()) })
 }
 
 func toRequest(home fate.Incarnation, m *inner.SlotRequest) placement.Request {
@@ -215,8 +219,8 @@
 		return placement.Place{Upstream: h.GetUpstream(), Service: h.GetService(), Count: int(h.GetCount())}
 	})
 	waiting := lo.Map(m.GetWaiting(), func(r *inner.SlotRequest, _ int) placement.Request { return toRequest(home, r) })
-	b.run(b.pool(m.GetPool()), func(k *placement.Broker) []placement.Grant {
-		return k.Sync(string(home), m.GetSequence(), held, waiting, nowMs())
+	b.apply(b.pool(m.GetPool()), func(broker *placement.Broker) []placement.Grant {
+		return broker.Sync(string(home), m.GetSequence(), held, waiting, nowMs())
 	})
 }
 
@@ -232,44 +236,44 @@
 		}
 	}
 	p := b.pool(m.GetPool())
-	b.run(p, func(k *placement.Broker) []placement.Grant {
-		k.Release(string(home), usages, nowMs())
-		b.gather(p)
+	b.apply(p, func(broker *placement.Broker) []placement.Grant {
+		broker.Release(string(home), usages, nowMs())
+		b.scheduleGrants(p)
 		return nil
 	})
 }
 
-// gather grants what came back, a moment later and all at once. The lock is
-// held.
-func (b *brokers) gather(p *brokerPool) {
-	if p.gathering || p.broker.Queued() == 0 {
+// scheduleGrants grants the released slots together after GrantDelay. The lock
+// must be held.
+func (b *brokers) scheduleGrants(p *brokerPool) {
+	if p.grantsScheduled || p.broker.Queued() == 0 {
 		return
 	}
-	p.gathering = true
+	p.grantsScheduled = true
 	time.AfterFunc(b.d.cfg.GrantDelay, func() {
-		b.run(p, func(k *placement.Broker) []placement.Grant {
-			p.gathering = false
-			return k.Tick(nowMs())
+		b.apply(p, func(broker *placement.Broker) []placement.Grant {
+			p.grantsScheduled = false
+			return broker.Tick(nowMs())
 		})
 	})
 }
 
 func (b *brokers) withdraw(home fate.Incarnation, m *inner.SlotWithdraw) {
-	b.run(b.pool(m.GetPool()), func(k *placement.Broker) []placement.Grant {
-		k.Withdraw(string(home), m.GetTickets())
+	b.apply(b.pool(m.GetPool()), func(broker *placement.Broker) []placement.Grant {
+		broker.Withdraw(string(home), m.GetTickets())
 		return nil
 	})
 }
 
-func (b *brokers) homeGone(home fate.Incarnation) {
+func (b *brokers) handleHomeLoss(home fate.Incarnation) {
 	for _, p := range b.all() {
-		b.run(p, func(k *placement.Broker) []placement.Grant { return k.HomeGone(string(home), nowMs()) })
+		b.apply(p, func(broker *placement.Broker) []placement.Grant { return broker.HomeGone(string(home), nowMs()) })
 	}
 }
 
 func (b *brokers) tick(now time.Time) {
 	for _, p := range b.all() {
-		b.run(p, func(k *placement.Broker) []placement.Grant { return k.Tick(millis(now)) })
+		b.apply(p, func(broker *placement.Broker) []placement.Grant { return broker.Tick(millis(now)) })
 	}
 }
 
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,9 +1,14 @@
-// Package dispatch runs the decisions of fate and placement: it carries the
-// permits to witnesses, the requests for places to brokers, the starts to
-// upstreams, and the answers to whoever waits for them.
+// Package dispatch carries out the decisions of packages fate and placement: it
+// sends permits to witnesses, requests for slots to brokers, starts to upstreams
+// and answers to waiting callers.
 //
-// State is in shards, each under its own lock: one per permit log, one per log
-// witnessed, one per pool brokered. No lock is held over I/O.
+// An instance has three roles. It is the home of the permit logs in which it
+// accepts jobs, the witness of logs of other instances, and the broker of pools:
+// a broker grants the slots of the upstreams of its pool to the homes that request
+// them. A ticket is one request for slots.
+//
+// State is sharded, with one lock for each permit log, each witnessed log and
+// each pool that the instance is the broker of. No lock is held during I/O.
 package dispatch
 
 import (
@@ -21,39 +26,40 @@
 	"github.com/sedgehatch/sedgehatch/upstream"
 )
 
-// Peers carries frames to other instances; inner.Mesh does.
+// Peers sends frames to other instances. It is implemented by inner.Mesh.
 type Peers interface {
 	Post(peer fate.Incarnation, f *inner.Frame) error
 	Notify(peer fate.Incarnation, f *inner.Frame, done func(*inner.Frame, error)) error
 	Call(ctx context.Context, peer fate.Incarnation, f *inner.Frame) (*inner.Frame, error)
 }
 
-// Config is what a Dispatcher needs to know. Zero values get the defaults.
+// Config configures a Dispatcher. Zero values are replaced by the defaults.
 type Config struct {
 	Self   fate.Incarnation
 	Region string
 	Zone   string
 	Rack   string
-	Shards int // logs that take sessions side by side, per scope
-	// Retention bounds the answers that are kept, per log.
+	Shards int // number of logs that accept sessions at the same time, per witness scope
+	// Retention limits the answers kept, per log.
 	Retention fate.Retention
-	// RotateLogsAfter is how long a log takes sessions before the next one does.
+	// RotateLogsAfter is how long a log accepts new sessions before the next log
+	// replaces it.
 	RotateLogsAfter time.Duration
 	// LeaseDuration is how long an upstream may run a task without a renewal.
 	LeaseDuration time.Duration
-	// UpstreamLostAfter is how long an upstream may be silent about a lease before its
-	// task's outcome is unknown.
+	// UpstreamLostAfter is how long an upstream may leave requests about a lease
+	// unanswered before the outcome of the task counts as unknown.
 	UpstreamLostAfter time.Duration
-	// WitnessTimeout is how long a witness, or a home asked by its witness, may
-	// be silent before it is taken for lost.
+	// WitnessTimeout is how long a witness, or a home contacted by its witness, may
+	// leave requests unanswered before it is considered lost.
 	WitnessTimeout time.Duration
-	// ResultAppendDelay is how long results may wait for the next append.
+	// ResultAppendDelay is how long task results may wait to be sent in one append
+	// with a permit or verdict.
 	ResultAppendDelay time.Duration
-	// ReleaseDelay is how long free places may wait for company on their way
-	// back to a broker where nobody waits for them.
+	// ReleaseDelay is how long free slots may wait to be released to their broker
+	// together with others, as long as no task is queued there.
 	ReleaseDelay time.Duration
-	// GrantDelay is how long places that came back wait for others before they are
-	// granted together.
+	// GrantDelay is how long released slots wait to be granted together with others.
 	GrantDelay   time.Duration
 	Broker       placement.BrokerConfig
 	Placement    PlacementMode
@@ -63,20 +69,22 @@
 	Log          *slog.Logger
 }
 
-// PlacementMode is how entries share upstreams. All but PlacementBroker are there to be
-// compared with.
+// PlacementMode is the way in which instances share upstreams. Modes other than
+// PlacementBroker exist for comparison in experiments.
 type PlacementMode string
 
-// The ways to share upstreams.
+// The placement modes.
 const (
-	// PlacementBroker has one broker for each pool, that knows its slots exactly.
+	// PlacementBroker uses one broker per pool, which tracks the slots of the pool
+	// exactly.
 	PlacementBroker PlacementMode = "broker"
-	// PlacementStatic gives each entry upstreams of its own.
+	// PlacementStatic gives each instance upstreams of its own.
 	PlacementStatic PlacementMode = "static"
-	// PlacementGuess has each entry place on all upstreams as if it were alone.
+	// PlacementGuess lets each instance use all upstreams as if it were the only
+	// instance.
 	PlacementGuess PlacementMode = "guess"
-	// PlacementProbe asks two upstreams drawn at random for each task, and takes
-	// the first that is free.
+	// PlacementProbe requests a slot of two random upstreams for each task, and
+	// uses the first one granted.
 	PlacementProbe PlacementMode = "probe"
 )
 
@@ -95,19 +103,19 @@
 // DefaultRetention is the retention of one log.
 var DefaultRetention = fate.Retention{MaxBytes: 8 << 20, MaxCount: 20000, MaxAgeMs: (10 * time.Minute).Milliseconds()}
 
-func (c *Config) fill() {
-	or := func(d *time.Duration, v time.Duration) {
+func (c *Config) setDefaults() {
+	setDefault := func(d *time.Duration, v time.Duration) {
 		if *d == 0 {
 			*d = v
 		}
 	}
-	or(&c.RotateLogsAfter, DefaultRotateLogsAfter)
-	or(&c.LeaseDuration, DefaultLeaseDuration)
-	or(&c.UpstreamLostAfter, DefaultUpstreamLostAfter)
-	or(&c.WitnessTimeout, DefaultWitnessTimeout)
-	or(&c.ResultAppendDelay, DefaultResultAppendDelay)
-	or(&c.ReleaseDelay, DefaultReleaseDelay)
-	or(&c.GrantDelay, DefaultGrantDelay)
+	setDefault(&c.RotateLogsAfter, DefaultRotateLogsAfter)
+	setDefault(&c.LeaseDuration, DefaultLeaseDuration)
+	setDefault(&c.UpstreamLostAfter, DefaultUpstreamLostAfter)
+	setDefault(&c.WitnessTimeout, DefaultWitnessTimeout)
+	setDefault(&c.ResultAppendDelay, DefaultResultAppendDelay)
+	setDefault(&c.ReleaseDelay, DefaultReleaseDelay)
+	setDefault(&c.GrantDelay, DefaultGrantDelay)
 	if c.Placement == "" {
 		c.Placement = PlacementBroker
 	}
@@ -128,72 +136,74 @@
 	}
 }
 
-// Tuning is what operators may change while an instance runs.
+// Tuning holds the settings that operators can change while an instance runs.
 type Tuning struct {
 	Retention    fate.Retention
-	MaxQueued    int
+	MaxQueued    int // tasks that may be queued at a broker, per pool
 	ReleaseDelay time.Duration
-	// Shares are the parts of services in the fleet.
+	// Shares holds the shares of the fleet by service.
 	Shares map[string]placement.Share
 }
 
-// ConfiguredTuning returns the tuning that the instance was configured with.
+// ConfiguredTuning returns the values that the instance was started with.
 func (d *Dispatcher) ConfiguredTuning() Tuning {
 	return Tuning{Retention: d.cfg.Retention, MaxQueued: d.cfg.Broker.MaxQueued, ReleaseDelay: d.cfg.ReleaseDelay}
 }
 
-// SetTuning puts t in force.
+// SetTuning applies t.
 func (d *Dispatcher) SetTuning(t Tuning) {
 	d.tuning.Store(&t)
-	d.brokers.rebind(d.view.Load())
+	d.brokers.applyView(d.view.Load())
 }
 
-// Dispatcher is one instance's share of the fleet's work: home, witness and
-// broker at once.
+// Dispatcher runs the jobs of one instance, in its roles as home, witness and
+// broker.
 type Dispatcher struct {
-	cfg       Config
-	peers     Peers
-	view      atomic.Pointer[View]
-	upstreams upstreams
-	homes     homes
-	witnesses witnesses
-	slots     slots
-	brokers   brokers
-	leaving   atomic.Bool
-	tuning    atomic.Pointer[Tuning]
-
-	stop    context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	cfg         Config
+	peers       Peers
+	view        atomic.Pointer[View]
+	upstreams   upstreamClients
+	homeLogs    homeLogs
+	witnessLogs witnessLogs
+	slots       slots
+	brokers     brokers
+	draining    atomic.Bool
+	tuning      atomic.Pointer[Tuning]
+
+	ctx        context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 }
 
-// New returns a dispatcher that knows nobody yet; Run makes it work.
+// New returns a dispatcher without a view of the fleet. It has to be given one
+// with SetView, and started with Run.
 func New(cfg Config, peers Peers) *Dispatcher {
-	cfg.fill()
+	cfg.setDefaults()
 	d := &Dispatcher{cfg: cfg, peers: peers}
-	d.stop, d.cancel = context.WithCancel(context.Background())
+	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.view.Store(&View{OtherInstances: -1})
-	tuned := d.ConfiguredTuning()
-	d.tuning.Store(&tuned)
+	tuning := d.ConfiguredTuning()
+	d.tuning.Store(&tuning)
 	d.upstreams.init(d)
-	d.homes.init(d)
-	d.witnesses.init(d)
+	d.homeLogs.init(d)
+	d.witnessLogs.init(d)
 	d.slots.init(d)
 	d.brokers.init(d)
 	return d
 }
 
-// tickEvery is how often time passes for brokers and answers.
-const tickEvery = 50 * time.Millisecond
+// tickInterval is the interval of the periodic work, such as resends, syncs with
+// brokers and the eviction of answers.
+const tickInterval = 50 * time.Millisecond
 
-// Run lets time pass until Close.
+// Run starts the periodic work, which continues until Close.
 func (d *Dispatcher) Run() {
-	d.running.Go(func() {
-		ticker := time.NewTicker(tickEvery)
+	d.background.Go(func() {
+		ticker := time.NewTicker(tickInterval)
 		defer ticker.Stop()
 		for {
 			select {
-			case <-d.stop.Done():
+			case <-d.ctx.Done():
 				return
 			case now := <-ticker.C:
 				d.tick(now)
@@ -205,29 +215,29 @@
 func (d *Dispatcher) tick(now time.Time) {
 	d.brokers.tick(now)
 	d.slots.tick(now)
-	d.homes.tick(now)
-	d.witnesses.tick(now)
+	d.homeLogs.tick(now)
+	d.witnessLogs.tick(now)
 }
 
-// Close ends everything at once. What is in flight is left to the witnesses.
+// Close stops the dispatcher immediately. Open jobs are left to the witnesses.
 func (d *Dispatcher) Close() {
 	d.cancel()
 	d.slots.close()
 	d.upstreams.close()
-	d.running.Wait()
+	d.background.Wait()
 }
 
-// ActiveJobs returns the number of submissions that this instance is home to and
-// that have no fate yet.
-func (d *Dispatcher) ActiveJobs() int { return d.homes.active() }
+// ActiveJobs returns the number of submissions with this instance as home whose
+// fate is not committed.
+func (d *Dispatcher) ActiveJobs() int { return d.homeLogs.active() }
 
-// Load returns the free slots and the queued tasks of the pools that this
-// instance brokers.
+// Load returns the numbers of free slots and queued tasks in the pools that this
+// instance is the broker of.
 func (d *Dispatcher) Load() (free, queued int) { return d.brokers.load() }
 
-// Drain makes the instance take no new sessions and jobs. Those that it has go
-// on; Active tells when none is left.
-func (d *Dispatcher) Drain() { d.leaving.Store(true) }
+// Drain makes the instance accept no new sessions and jobs. Accepted jobs
+// continue; ActiveJobs returns zero once none is left.
+func (d *Dispatcher) Drain() { d.draining.Store(true) }
 
 func millis(t time.Time) int64 { return t.UnixMilli() }
 
--- a/dispatch/frames.go
+++ b/dispatch/frames.go
@@ -8,40 +8,40 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// HandleFrame takes a frame of another instance, as inner.Handler. It reports false
-// for a frame that is not the dispatcher's. Appends and slots are taken in
-// order; what waits runs on a goroutine of its own.
+// HandleFrame handles a frame of another instance. It reports false if frames of
+// this kind are not handled by the dispatcher. Appends and messages about slots
+// are handled in order; requests that may block run in goroutines of their own.
 func (d *Dispatcher) HandleFrame(from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) bool {
 	switch body := f.GetBody().(type) {
 	case *inner.Frame_Append:
-		d.takeAppend(f, body.Append, reply)
+		d.handleAppend(f, body.Append, reply)
 	case *inner.Frame_OpenLog:
-		replyWith(reply, d.witnesses.open(inner.ToLogID(body.OpenLog.GetLog())))
+		replyDone(reply, d.witnessLogs.open(inner.ToLogID(body.OpenLog.GetLog())))
 	case *inner.Frame_Submit:
 		go d.serveSubmit(body.Submit, reply)
 	case *inner.Frame_Cancel:
 		go func() {
-			d.cancelled(body.Cancel)
-			replyWith(reply, nil)
+			d.handleCancel(body.Cancel)
+			replyDone(reply, nil)
 		}()
 	case *inner.Frame_SlotGrant:
-		d.slots.granted(from, body.SlotGrant)
+		d.slots.handleGrant(from, body.SlotGrant)
 	case *inner.Frame_SlotRequest, *inner.Frame_SlotRelease, *inner.Frame_SlotWithdraw, *inner.Frame_SlotSync:
-		d.brokers.take(from, f)
+		d.brokers.handleFrame(from, f)
 	default:
 		return false
 	}
 	return true
 }
 
-func (d *Dispatcher) takeAppend(f *inner.Frame, a *inner.Append, reply func(*inner.Frame)) {
-	r := d.witnesses.append(a)
+func (d *Dispatcher) handleAppend(f *inner.Frame, a *inner.Append, reply func(*inner.Frame)) {
+	r := d.witnessLogs.append(a)
 	if f.GetId() != 0 {
 		reply(&inner.Frame{Body: &inner.Frame_AppendReply{AppendReply: r}})
 	}
 }
 
-func replyWith(reply func(*inner.Frame), err error) {
+func replyDone(reply func(*inner.Frame), err error) {
 	if err != nil {
 		reply(&inner.Frame{Body: &inner.Frame_Problem{Problem: inner.FromError(err)}})
 		return
@@ -49,46 +49,48 @@
 	reply(&inner.Frame{Body: &inner.Frame_Done{Done: &inner.Done{}}})
 }
 
-// serveSubmit answers a call that another instance passed on. Only this
-// instance's own state answers it, so that no call goes round in circles.
+// serveSubmit answers a request that another instance has forwarded. A home
+// answers it from its own state, and a witness forwards it at most to the home, so
+// that no request is forwarded in circles.
 func (d *Dispatcher) serveSubmit(m *inner.Submit, reply func(*inner.Frame)) {
-	c := Request{
+	req := Request{
 		Key: inner.ToKey(m.GetKey()), Job: inner.ToJob(m.GetJob()), Attempt: m.GetAttempt(),
 		Wait: min(time.Duration(m.GetWaitMs())*time.Millisecond, maxWait), Trace: m.GetTrace(),
 	}
 	if m.GetSeal() {
-		d.sealFor(c.Key)
+		d.sealLogOf(req.Key)
 	}
-	r, err := d.answer(c, m.GetAsWitness())
+	r, err := d.answerForwarded(req, m.GetAsWitness())
 	if err != nil {
-		replyWith(reply, err)
+		replyDone(reply, err)
 		return
 	}
 	reply(&inner.Frame{Body: &inner.Frame_Answer{Answer: fromResult(&r)}})
 }
 
-func (d *Dispatcher) answer(c Request, asWitness bool) (Result, error) {
-	log, err := c.Key.Session.Log()
+func (d *Dispatcher) answerForwarded(req Request, asWitness bool) (Result, error) {
+	log, err := req.Key.Session.Log()
 	if err != nil {
 		return Result{}, err
 	}
 	switch {
 	case asWitness && log.Witness == d.cfg.Self:
-		return d.asWitness(d.stop, log, c)
+		return d.answerAsWitness(d.ctx, log, req)
 	case !asWitness && log.Home == d.cfg.Self:
-		return d.atHome(d.stop, log, c)
+		return d.submitAtHome(d.ctx, log, req)
 	default:
-		return Result{}, failure.Gone.New("%s is no member of log %s", d.cfg.Self, log)
+		return Result{}, failure.Gone.New("%s is not a member of log %s", d.cfg.Self, log)
 	}
 }
 
-// sealFor seals the log of a key whose home has given the log up.
-func (d *Dispatcher) sealFor(key fate.Key) {
+// sealLogOf seals the log of a key on request of its home, which starts no further
+// task in it.
+func (d *Dispatcher) sealLogOf(key fate.Key) {
 	log, err := key.Session.Log()
 	if err != nil {
 		return
 	}
-	if l := d.witnesses.get(log); l != nil {
+	if l := d.witnessLogs.get(log); l != nil {
 		d.takeOver(l)
 	}
 }
--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -14,41 +14,43 @@
 	"github.com/sedgehatch/sedgehatch/tracing"
 )
 
-// homeLog runs one fate.Home: a shard with its own lock.
+// homeLog runs one permit log that this instance is the home of, with a lock of
+// its own.
 type homeLog struct {
-	d      *Dispatcher
-	id     fate.LogID
-	opened time.Time
-	append appender
+	d        *Dispatcher
+	id       fate.LogID
+	openedAt time.Time
+	appender appender
 
-	mu   sync.Mutex
-	home *fate.Home
-	runs map[fate.Key]*run
+	mu          sync.Mutex
+	home        *fate.Home
+	submissions map[fate.Key]*submission
 }
 
-// run is what the runtime keeps of a submission until it has its fate.
-type run struct {
-	waiters    []chan told
-	deadline   *time.Timer
-	tickets    []string
-	retryAfter uint32 // milliseconds, after a refusal
-	span       *tracing.Span
-	service    string
+// submission is the state kept for a submission until its fate is committed, in
+// addition to that in fate.Home.
+type submission struct {
+	waiters       []chan response
+	deadlineTimer *time.Timer
+	tickets       []string
+	retryAfterMs  uint32 // when the caller may retry if the job is refused
+	span          *tracing.Span
+	service       string
 }
 
-// told is an answer on its way to a waiter.
-type told struct {
-	answer     fate.Answer
-	retryAfter uint32
+// response is the answer sent to a waiting caller.
+type response struct {
+	answer       fate.Answer
+	retryAfterMs uint32
 }
 
 func newHomeLog(d *Dispatcher, id fate.LogID) *homeLog {
 	l := &homeLog{
-		d: d, id: id, opened: time.Now(),
-		home: fate.NewHome(id, d.tuning.Load().Retention), runs: map[fate.Key]*run{},
+		d: d, id: id, openedAt: time.Now(),
+		home: fate.NewHome(id, d.tuning.Load().Retention), submissions: map[fate.Key]*submission{},
 	}
 	l.home.Tick(nowMs())
-	l.append.l = l
+	l.appender.log = l
 	return l
 }
 
@@ -58,9 +60,9 @@
 	return l.home.ActiveJobs()
 }
 
-// closed reports whether the log gives out no more sessions.
+// closed reports whether no new sessions are opened in the log.
 func (l *homeLog) closed() bool {
-	if time.Since(l.opened) > l.d.cfg.RotateLogsAfter {
+	if time.Since(l.openedAt) > l.d.cfg.RotateLogsAfter {
 		return true
 	}
 	l.mu.Lock()
@@ -69,197 +71,201 @@
 }
 
 func (l *homeLog) tick(now time.Time) {
-	l.append.tick(now)
+	l.appender.tick(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.home.SetRetention(l.d.tuning.Load().Retention)
 	l.home.Tick(millis(now))
-	if now.Sub(l.opened) > 2*l.d.cfg.RotateLogsAfter && l != l.d.homes.heir {
+	if now.Sub(l.openedAt) > 2*l.d.cfg.RotateLogsAfter && l != l.d.homeLogs.takeoverLog {
 		l.home.Close()
 	}
 }
 
-// expired reports whether nothing of the log is needed any more.
+// expired reports whether the log is no longer needed: it has no open jobs, and all
+// of its answers have expired.
 func (l *homeLog) expired(now time.Time) bool {
-	keep := time.Duration(l.d.tuning.Load().Retention.MaxAgeMs) * time.Millisecond
-	if now.Sub(l.opened) < 2*l.d.cfg.RotateLogsAfter+keep {
+	retention := time.Duration(l.d.tuning.Load().Retention.MaxAgeMs) * time.Millisecond
+	if now.Sub(l.openedAt) < 2*l.d.cfg.RotateLogsAfter+retention {
 		return false
 	}
 	return l.active() == 0
 }
 
-// retire makes the log take no new jobs. Those that it has go on.
+// retire makes the log accept no new jobs. Its open jobs continue.
 func (l *homeLog) retire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.home.Close()
 }
 
-// orders is what has to be done once the lock is free.
-type orders struct {
-	starts  []order
-	stops   []fate.Start
-	unused  []placement.Usage
-	told    []delivery
-	ask     []fate.Key
-	tickets []string
+// actions lists what has to be done after the lock is released.
+type actions struct {
+	starts         []startOrder
+	stops          []fate.Start
+	unusedSlots    []placement.Usage
+	deliveries     []delivery
+	witnessQueries []fate.Key
+	tickets        []string
 }
 
-// order is a start with the work that it starts.
-type order struct {
+// startOrder is a start to send to an upstream.
+type startOrder struct {
 	fate.Start
-	job *fate.Job
-	// trace is the span of the submission here.
-	trace string
+	job         *fate.Job
+	traceparent string // of the span of the submission at this instance
 }
 
+// delivery is a response with the callers that wait for it.
 type delivery struct {
-	told
-	waiters []chan told
+	response
+	waiters []chan response
 }
 
-// step gives the machine one input and does what comes of it.
-func (l *homeLog) step(input func(h *fate.Home) fate.Effects) {
+// apply applies one input to the state machine and performs the resulting actions.
+func (l *homeLog) apply(input func(h *fate.Home) fate.Effects) {
 	l.mu.Lock()
 	e := input(l.home)
-	o := l.prepare(e)
+	todo := l.actionsFor(e)
 	l.mu.Unlock()
-	l.carryOut(o)
+	l.perform(todo)
 }
 
-// prepare turns effects into orders. The lock is held.
-func (l *homeLog) prepare(e fate.Effects) orders {
-	o := orders{stops: e.Stops, ask: e.WitnessQueries}
+// actionsFor turns effects into actions. The lock must be held.
+func (l *homeLog) actionsFor(e fate.Effects) actions {
+	todo := actions{stops: e.Stops, witnessQueries: e.WitnessQueries}
 	for _, u := range e.UnusedSlots {
-		if r := l.runs[u.Lease.Key]; r != nil {
-			o.unused = append(o.unused, placement.Usage{Upstream: u.Upstream, Service: r.service, Count: 1})
+		if r := l.submissions[u.Lease.Key]; r != nil {
+			todo.unusedSlots = append(todo.unusedSlots, placement.Usage{Upstream: u.Upstream, Service: r.service, Count: 1})
 		}
 	}
 	for _, s := range e.Starts {
-		o.starts = append(o.starts, order{Start: s, job: l.home.JobOf(s.Lease.Key), trace: l.traceOf(s.Lease.Key)})
+		todo.starts = append(todo.starts, startOrder{Start: s, job: l.home.JobOf(s.Lease.Key), traceparent: l.traceparentOf(s.Lease.Key)})
 	}
 	for _, a := range e.Answers {
-		o.told = append(o.told, l.deliver(a))
-		if r := l.runs[a.Key]; r != nil {
-			o.tickets = append(o.tickets, r.tickets...)
-			l.finishRun(a, r)
+		todo.deliveries = append(todo.deliveries, l.deliveryOf(a))
+		if r := l.submissions[a.Key]; r != nil {
+			todo.tickets = append(todo.tickets, r.tickets...)
+			l.endSubmission(a, r)
 		}
 	}
-	return o
+	return todo
 }
 
-func (l *homeLog) traceOf(key fate.Key) string {
-	if r := l.runs[key]; r != nil {
+func (l *homeLog) traceparentOf(key fate.Key) string {
+	if r := l.submissions[key]; r != nil {
 		return r.span.Traceparent()
 	}
 	return ""
 }
 
-func (l *homeLog) deliver(a fate.Answer) delivery {
-	r := l.runs[a.Key]
+func (l *homeLog) deliveryOf(a fate.Answer) delivery {
+	r := l.submissions[a.Key]
 	if r == nil {
 		return delivery{}
 	}
-	return delivery{told{a, r.retryAfter}, r.waiters}
+	return delivery{response{a, r.retryAfterMs}, r.waiters}
 }
 
-func (l *homeLog) finishRun(a fate.Answer, r *run) {
-	if r.deadline != nil {
-		r.deadline.Stop()
+func (l *homeLog) endSubmission(a fate.Answer, r *submission) {
+	if r.deadlineTimer != nil {
+		r.deadlineTimer.Stop()
 	}
 	r.span.Set("fate", string(a.Kind))
 	r.span.End()
-	delete(l.runs, a.Key)
+	delete(l.submissions, a.Key)
 	l.d.cfg.Metrics.Add("fate_"+string(a.Kind), 1)
 	if a.Kind == fate.Unknown {
 		event.UnknownFate.Log(l.d.cfg.Log, slog.String("key", a.Key.String()), slog.String("reason", string(a.Reason)))
 	}
 }
 
-func (l *homeLog) carryOut(o orders) {
-	for i := range o.starts {
-		go l.start(o.starts[i])
+func (l *homeLog) perform(todo actions) {
+	for i := range todo.starts {
+		go l.start(todo.starts[i])
 	}
-	for i := range o.told {
-		for _, w := range o.told[i].waiters {
-			w <- o.told[i].told
+	for i := range todo.deliveries {
+		for _, w := range todo.deliveries[i].waiters {
+			w <- todo.deliveries[i].response
 		}
 	}
-	if len(o.tickets) > 0 {
-		l.d.slots.withdraw(o.tickets)
+	if len(todo.tickets) > 0 {
+		l.d.slots.withdraw(todo.tickets)
 	}
-	for _, u := range o.unused {
-		l.d.slots.giveBack(u)
+	for _, u := range todo.unusedSlots {
+		l.d.slots.release(u)
 	}
-	l.d.stopTasks(o.stops)
-	if len(o.ask) > 0 {
-		go l.askWitness(o.ask)
+	l.d.stopTasks(todo.stops)
+	if len(todo.witnessQueries) > 0 {
+		go l.queryWitness(todo.witnessQueries)
 	}
-	l.append.flush(false)
+	l.appender.flush(false)
 }
 
-// submit takes a submission, or finds it, and returns its answer, or where it
-// will come.
-func (l *homeLog) submit(key fate.Key, job *fate.Job, trace string) (fate.Answer, chan told, error) {
+// submit accepts a submission, or finds the existing one with the same key. It
+// returns the answer, or a channel that will receive it.
+func (l *homeLog) submit(key fate.Key, job *fate.Job, trace string) (fate.Answer, chan response, error) {
 	l.mu.Lock()
 	admission, answer, err := l.admit(key, job)
 	if err != nil || admission == fate.Answered {
 		l.mu.Unlock()
 		return answer, nil, err
 	}
-	r := l.runOf(key, trace)
-	wait := make(chan told, 1)
+	r := l.submissionOf(key, trace)
+	wait := make(chan response, 1)
 	r.waiters = append(r.waiters, wait)
 	if admission == fate.Accepted {
 		r.service = job.Service
-		r.deadline = time.AfterFunc(time.Until(time.UnixMilli(job.DeadlineMs)), func() { l.giveUp(key, fate.ReasonDeadline, 0) })
+		r.deadlineTimer = time.AfterFunc(time.Until(time.UnixMilli(job.DeadlineMs)), func() { l.abort(key, fate.ReasonDeadline, 0) })
 	}
 	l.mu.Unlock()
 	switch admission {
 	case fate.Accepted:
 		l.d.cfg.Metrics.Add("jobs", 1)
-		l.begin(key, job)
+		l.placeOrReject(key, job)
 	case fate.WitnessDecides:
-		go l.askWitness([]fate.Key{key})
+		go l.queryWitness([]fate.Key{key})
 	default:
 		l.d.cfg.Metrics.Add("joined", 1)
 	}
 	return fate.Answer{}, wait, nil
 }
 
-// begin seeks places for a new submission, or refuses one that can never run.
-func (l *homeLog) begin(key fate.Key, job *fate.Job) {
-	if !l.d.canEver(job) {
-		l.giveUp(key, fate.ReasonNeverFits, 0)
+// placeOrReject requests slots for a new submission, or ends it if it can never
+// run.
+func (l *homeLog) placeOrReject(key fate.Key, job *fate.Job) {
+	if !l.d.fitsSomeUpstream(job) {
+		l.abort(key, fate.ReasonNeverFits, 0)
 		return
 	}
-	l.seek(key)
+	l.requestSlots(key)
 }
 
-// admit is Submit, but new work is refused while this instance is leaving. The
-// lock is held.
+// admit is fate.Home.Submit, except that it rejects new jobs while this instance
+// is draining. The lock must be held.
 func (l *homeLog) admit(key fate.Key, job *fate.Job) (fate.Admission, fate.Answer, error) {
-	if job == nil || !l.d.leaving.Load() {
+	if job == nil || !l.d.draining.Load() {
 		return l.home.Submit(key, job)
 	}
 	admission, answer, err := l.home.Submit(key, nil)
 	if failure.Is(err, failure.NotFound) {
-		err = failure.Stopping.New("instance %s is leaving", l.d.cfg.Self.Instance())
+		err = failure.Stopping.New("instance %s is shutting down", l.d.cfg.Self.Instance())
 	}
 	return admission, answer, err
 }
 
-func (l *homeLog) runOf(key fate.Key, trace string) *run {
-	r := l.runs[key]
+// submissionOf returns the state kept for key, and creates it if there is none.
+// The lock must be held.
+func (l *homeLog) submissionOf(key fate.Key, trace string) *submission {
+	r := l.submissions[key]
 	if r == nil {
-		r = &run{span: l.d.cfg.Tracer.Start(trace, "home")}
-		l.runs[key] = r
+		r = &submission{span: l.d.cfg.Tracer.Start(trace, "home")}
+		l.submissions[key] = r
 	}
 	return r
 }
 
-// seek asks for places for the tasks of key that wait for one.
-func (l *homeLog) seek(key fate.Key) {
+// requestSlots requests slots for all waiting tasks of key.
+func (l *homeLog) requestSlots(key fate.Key) {
 	l.mu.Lock()
 	job := l.home.JobOf(key)
 	tasks := l.home.WaitingTasks(key)
@@ -269,8 +275,8 @@
 	}
 }
 
-// seekTask asks for another place for one task.
-func (l *homeLog) seekTask(key fate.Key, task int) {
+// requestSlot requests another slot for one task.
+func (l *homeLog) requestSlot(key fate.Key, task int) {
 	l.mu.Lock()
 	job := l.home.JobOf(key)
 	l.mu.Unlock()
@@ -279,12 +285,12 @@
 	}
 }
 
-// noteTicket remembers a ticket, to be withdrawn when the job has its fate. It
-// reports false when the job has it already.
-func (l *homeLog) noteTicket(key fate.Key, ticket string) bool {
+// addTicket records a ticket of a submission, to be withdrawn when the fate of the
+// submission is committed. It reports false if that has already happened.
+func (l *homeLog) addTicket(key fate.Key, ticket string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.runs[key]
+	r := l.submissions[key]
 	if r == nil {
 		return false
 	}
@@ -292,15 +298,15 @@
 	return true
 }
 
-// assignment is a place for a task.
+// assignment is a slot for a task.
 type assignment struct {
 	task     int
 	upstream string
 }
 
-// place gives tasks their places, and returns those that were not used.
+// place assigns slots to tasks, and returns the assignments that are not needed.
 func (l *homeLog) place(key fate.Key, list []assignment) (unused []assignment) {
-	l.step(func(h *fate.Home) fate.Effects {
+	l.apply(func(h *fate.Home) fate.Effects {
 		var all fate.Effects
 		for _, a := range list {
 			e, used := h.Place(key, a.task, a.upstream)
@@ -314,72 +320,76 @@
 	return unused
 }
 
-func (l *homeLog) giveUp(key fate.Key, reason fate.Reason, retryAfterMs uint32) {
-	l.step(func(h *fate.Home) fate.Effects {
-		if r := l.runs[key]; r != nil {
-			r.retryAfter = retryAfterMs
+func (l *homeLog) abort(key fate.Key, reason fate.Reason, retryAfterMs uint32) {
+	l.apply(func(h *fate.Home) fate.Effects {
+		if r := l.submissions[key]; r != nil {
+			r.retryAfterMs = retryAfterMs
 		}
 		return h.Abort(key, reason)
 	})
 }
 
-// finish takes the outcome of a task, and reports whether it was awaited.
-func (l *homeLog) finish(lease fate.Lease, o fate.Outcome) (awaited bool) {
-	l.step(func(h *fate.Home) (e fate.Effects) {
-		e, awaited = h.Finish(lease, o)
+// finish records the outcome of a task, and reports whether it was awaited.
+func (l *homeLog) finish(lease fate.Lease, outcome fate.Outcome) (awaited bool) {
+	l.apply(func(h *fate.Home) (e fate.Effects) {
+		e, awaited = h.Finish(lease, outcome)
 		return e
 	})
 	return awaited
 }
 
-// refused takes a proof that a task did not start, and seeks another place.
-func (l *homeLog) refused(lease fate.Lease) {
-	again := false
-	l.step(func(h *fate.Home) (e fate.Effects) {
-		e, again = h.Requeue(lease)
+// requeue requests another slot for a task that provably did not start, or ends
+// its job after maxAttempts.
+func (l *homeLog) requeue(lease fate.Lease) {
+	requeued := false
+	l.apply(func(h *fate.Home) (e fate.Effects) {
+		e, requeued = h.Requeue(lease)
 		return e
 	})
 	switch {
-	case !again:
+	case !requeued:
 	case lease.Attempt >= maxAttempts:
-		l.giveUp(lease.Key, fate.ReasonOverloaded, uint32(l.d.cfg.UpstreamLostAfter.Milliseconds()))
+		l.abort(lease.Key, fate.ReasonOverloaded, uint32(l.d.cfg.UpstreamLostAfter.Milliseconds()))
 	default:
-		l.seekTask(lease.Key, lease.Task)
+		l.requestSlot(lease.Key, lease.Task)
 	}
 }
 
-// maxAttempts is how often a task may be refused before its job is given up.
+// maxAttempts is the number of attempts to start a task after which its job is
+// ended as overloaded.
 const maxAttempts = 12
 
-// progress returns the answer so far.
+// progress returns how many tasks of key have ended, and how many it has.
 func (l *homeLog) progress(key fate.Key) (done, total int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.home.Progress(key)
 }
 
-// askWitness learns the fates that only the witness of the sealed log can tell.
-func (l *homeLog) askWitness(keys []fate.Key) {
+// queryWitness asks the witness of the sealed log for the fates that only the
+// witness can tell.
+func (l *homeLog) queryWitness(keys []fate.Key) {
 	for _, key := range keys {
 		answer := fate.Answer{Key: key, Kind: fate.Unknown, Reason: fate.ReasonWitnessLost}
-		if learned, ok := l.learn(key); ok {
-			answer = learned
+		if found, ok := l.fetchFromWitness(key); ok {
+			answer = found
 		}
-		l.step(func(h *fate.Home) fate.Effects { return h.ApplyWitnessAnswer(answer) })
+		l.apply(func(h *fate.Home) fate.Effects { return h.ApplyWitnessAnswer(answer) })
 	}
 }
 
-// learn asks the witness, which may be there after all where it was taken for
-// lost.
-func (l *homeLog) learn(key fate.Key) (fate.Answer, bool) {
+// fetchFromWitness asks the witness for the fate of key. It does so even if the
+// witness is considered lost, because that may be wrong, but then with a short
+// timeout.
+func (l *homeLog) fetchFromWitness(key fate.Key) (fate.Answer, bool) {
 	l.mu.Lock()
-	orphaned := l.home.WitnessLost()
+	witnessLost := l.home.WitnessLost()
 	l.mu.Unlock()
 	wait := maxWait
-	if orphaned {
+	if witnessLost {
 		wait = l.d.cfg.WitnessTimeout
 	}
-	ctx, cancel := context.WithTimeout(l.d.stop, wait)
+	ctx, cancel := context.WithTimeout(l.d.ctx, wait)
 	defer cancel()
 	f := &inner.Frame{Body: &inner.Frame_Submit{Submit: &inner.Submit{
 		Key: inner.FromKey(key), AsWitness: true, Seal: true, WaitMs: uint32(wait.Milliseconds()),
@@ -391,11 +401,12 @@
 	return *inner.ToAnswer(reply.GetAnswer()), true
 }
 
-// canEver reports whether some upstream could run every task of job.
-func (d *Dispatcher) canEver(job *fate.Job) bool {
-	fits := d.view.Load().fits
+// fitsSomeUpstream reports whether each task of job fits an upstream that runs
+// nothing else.
+func (d *Dispatcher) fitsSomeUpstream(job *fate.Job) bool {
+	upstreams := d.view.Load().upstreams
 	for i := range job.Tasks {
-		if !placement.CanEver(fits, needsOf(&job.Tasks[i])) {
+		if !placement.CanEver(upstreams, needsOf(&job.Tasks[i])) {
 			return false
 		}
 	}
--- a/dispatch/homes.go
+++ b/dispatch/homes.go
@@ -17,94 +17,97 @@
 	"github.com/samber/lo"
 )
 
-// homes holds the logs that this instance is home to.
-type homes struct {
-	d      *Dispatcher
-	number atomic.Uint64
-	turn   atomic.Uint64
-
-	mu     sync.RWMutex
-	logs   map[fate.LogID]*homeLog
-	lanes  map[lane]*homeLog // the log that takes new sessions
-	opened sync.Mutex        // one log is opened at a time
-	heir   *homeLog          // goes on with the jobs of lost homes
+// homeLogs holds the permit logs that this instance is the home of.
+type homeLogs struct {
+	d            *Dispatcher
+	lastNumber   atomic.Uint64
+	sessionCount atomic.Uint64
+
+	mu          sync.RWMutex
+	logs        map[fate.LogID]*homeLog
+	currentLogs map[logShard]*homeLog // the log of each shard in which new sessions are opened
+	openMu      sync.Mutex            // held while a log is opened, so that logs are opened one at a time
+	takeoverLog *homeLog              // continues the jobs of lost homes; has no witness
 }
 
-// lane is one of the logs that take sessions side by side.
-type lane struct {
+// logShard identifies one of the logs that accept sessions at the same time.
+type logShard struct {
 	scope placement.Scope
 	shard uint64
 }
 
-func (h *homes) init(d *Dispatcher) {
+func (h *homeLogs) init(d *Dispatcher) {
 	h.d = d
 	h.logs = map[fate.LogID]*homeLog{}
-	h.lanes = map[lane]*homeLog{}
+	h.currentLogs = map[logShard]*homeLog{}
 	id := fate.LogID{Home: d.cfg.Self}
-	h.heir = newHomeLog(d, id)
-	h.logs[id] = h.heir
+	h.takeoverLog = newHomeLog(d, id)
+	h.logs[id] = h.takeoverLog
 }
 
-// OpenSession opens a session for a caller, in a log whose witness is as far
-// away as scope asks. The error is Stopping when this instance is leaving.
+// OpenSession opens a session for a caller, in a log whose witness is chosen by
+// scope. It returns the session, and for how long new jobs should be submitted in
+// it. The error is Stopping if this instance is draining.
 func (d *Dispatcher) OpenSession(caller string, scope placement.Scope) (fate.Session, time.Duration, error) {
-	if d.leaving.Load() {
-		return "", 0, failure.Stopping.New("instance %s is leaving", d.cfg.Self.Instance())
+	if d.draining.Load() {
+		return "", 0, failure.Stopping.New("instance %s is shutting down", d.cfg.Self.Instance())
 	}
-	l := d.homes.current(lane{scope, d.homes.turn.Add(1) % uint64(d.cfg.Shards)})
+	l := d.homeLogs.currentLog(logShard{scope, d.homeLogs.sessionCount.Add(1) % uint64(d.cfg.Shards)})
 	d.cfg.Metrics.Add("sessions", 1)
 	id := uuid.New()
-	return fate.NewSession(l.id, caller, uuidText(id)), time.Until(l.opened.Add(d.cfg.RotateLogsAfter)), nil
+	return fate.NewSession(l.id, caller, shortID(id)), time.Until(l.openedAt.Add(d.cfg.RotateLogsAfter)), nil
 }
 
-func uuidText(id uuid.UUID) string { return id.String()[:18] }
+func shortID(id uuid.UUID) string { return id.String()[:18] }
 
-// current returns the log of a lane, and opens one where there is none or the
-// last takes no more sessions.
-func (h *homes) current(at lane) *homeLog {
-	if l := h.usable(at); l != nil {
+// currentLog returns the log of a shard in which new sessions are opened. It opens
+// a new one if there is none, or if the last one accepts no more sessions.
+func (h *homeLogs) currentLog(shard logShard) *homeLog {
+	if l := h.usableLog(shard); l != nil {
 		return l
 	}
-	h.opened.Lock()
-	defer h.opened.Unlock()
-	if l := h.usable(at); l != nil {
+	h.openMu.Lock()
+	defer h.openMu.Unlock()
+	if l := h.usableLog(shard); l != nil {
 		return l
 	}
-	l := h.open(at.scope)
+	l := h.open(shard.scope)
 	h.mu.Lock()
 	h.logs[l.id] = l
-	h.lanes[at] = l
+	h.currentLogs[shard] = l
 	h.mu.Unlock()
 	return l
 }
 
-func (h *homes) usable(at lane) *homeLog {
+func (h *homeLogs) usableLog(shard logShard) *homeLog {
 	h.mu.RLock()
-	l := h.lanes[at]
+	l := h.currentLogs[shard]
 	h.mu.RUnlock()
-	if l == nil || l.closed() || h.outgrown(l, at.scope) {
+	if l == nil || l.closed() || h.canGetWitness(l, shard.scope) {
 		return nil
 	}
 	return l
 }
 
-// outgrown reports whether l is alone though a witness is there by now.
-func (h *homes) outgrown(l *homeLog, scope placement.Scope) bool {
+// canGetWitness reports whether l has no witness although a new log could have
+// one by now.
+func (h *homeLogs) canGetWitness(l *homeLog, scope placement.Scope) bool {
 	return l.id.Witness == "" && scope != placement.ScopeNone && len(h.d.view.Load().Members) > 1
 }
 
-// open opens a log with a witness, or alone when nobody can be one.
-func (h *homes) open(scope placement.Scope) *homeLog {
-	id := fate.LogID{Home: h.d.cfg.Self, Number: h.number.Add(1)}
-	view := h.awaitOthers(scope)
+// open opens a log with a witness, or without one if no instance can be its
+// witness.
+func (h *homeLogs) open(scope placement.Scope) *homeLog {
+	id := fate.LogID{Home: h.d.cfg.Self, Number: h.lastNumber.Add(1)}
+	view := h.awaitOtherInstances(scope)
 	self := placement.Entry{Instance: h.d.cfg.Self.Instance(), Region: h.d.cfg.Region, Zone: h.d.cfg.Zone, Rack: h.d.cfg.Rack}
-	for others := view.entries; ; {
-		m, there := view.member(placement.WitnessOf(self, id.Number, scope, others))
+	for candidates := view.instances; ; {
+		m, found := view.member(placement.WitnessOf(self, id.Number, scope, candidates))
 		id.Witness = m.Incarnation
-		if !there || h.invite(id) == nil {
+		if !found || h.openAtWitness(id) == nil {
 			break
 		}
-		others = lo.Reject(others, func(e placement.Entry, _ int) bool { return e.Instance == m.Instance })
+		candidates = lo.Reject(candidates, func(e placement.Entry, _ int) bool { return e.Instance == m.Instance })
 	}
 	switch {
 	case id.Witness != "":
@@ -115,42 +118,43 @@
 	return newHomeLog(h.d, id)
 }
 
-// awaitOthers returns the view once it has somebody to be witness, or there is
-// nobody, or after WitnessTimeout: an instance that has just started may not
-// have heard the others yet.
-func (h *homes) awaitOthers(scope placement.Scope) *View {
-	until := time.Now().Add(h.d.cfg.WitnessTimeout)
+// awaitOtherInstances returns the view as soon as it has another instance that can
+// be witness, or none is listed, but after WitnessTimeout at the latest. An
+// instance that has just started may not have received heartbeats of others yet.
+func (h *homeLogs) awaitOtherInstances(scope placement.Scope) *View {
+	deadline := time.Now().Add(h.d.cfg.WitnessTimeout)
 	for {
 		v := h.d.view.Load()
-		if scope == placement.ScopeNone || len(v.Members) > 1 || v.OtherInstances == 0 || time.Now().After(until) {
+		if scope == placement.ScopeNone || len(v.Members) > 1 || v.OtherInstances == 0 || time.Now().After(deadline) {
 			return v
 		}
 		select {
-		case <-time.After(othersPoll):
-		case <-h.d.stop.Done():
+		case <-time.After(viewPollInterval):
+		case <-h.d.ctx.Done():
 			return v
 		}
 	}
 }
 
-// othersPoll is how often a new instance looks whether it has heard others.
-const othersPoll = 5 * time.Millisecond
+// viewPollInterval is the interval at which awaitOtherInstances checks the view.
+const viewPollInterval = 5 * time.Millisecond
 
-// invite makes the witness know the log, before any session of it is given out.
-func (h *homes) invite(id fate.LogID) error {
-	ctx, cancel := context.WithTimeout(h.d.stop, h.d.cfg.WitnessTimeout)
+// openAtWitness registers the log at its witness, which has to know it before a
+// session is opened in it.
+func (h *homeLogs) openAtWitness(id fate.LogID) error {
+	ctx, cancel := context.WithTimeout(h.d.ctx, h.d.cfg.WitnessTimeout)
 	defer cancel()
 	_, err := h.d.peers.Call(ctx, id.Witness, &inner.Frame{Body: &inner.Frame_OpenLog{OpenLog: &inner.OpenLog{Log: inner.FromLogID(id)}}})
 	return err
 }
 
-func (h *homes) get(id fate.LogID) *homeLog {
+func (h *homeLogs) get(id fate.LogID) *homeLog {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.logs[id]
 }
 
-func (h *homes) all() []*homeLog {
+func (h *homeLogs) all() []*homeLog {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	list := make([]*homeLog, 0, len(h.logs))
@@ -160,7 +164,7 @@
 	return list
 }
 
-func (h *homes) active() int {
+func (h *homeLogs) active() int {
 	n := 0
 	for _, l := range h.all() {
 		n += l.active()
@@ -168,22 +172,22 @@
 	return n
 }
 
-func (h *homes) tick(now time.Time) {
+func (h *homeLogs) tick(now time.Time) {
 	for _, l := range h.all() {
 		l.tick(now)
-		if l != h.heir && l.expired(now) {
-			h.drop(l)
+		if l != h.takeoverLog && l.expired(now) {
+			h.remove(l)
 		}
 	}
 }
 
-// drop lets a whole log go.
-func (h *homes) drop(l *homeLog) {
+// remove removes a log with all of its answers.
+func (h *homeLogs) remove(l *homeLog) {
 	h.mu.Lock()
 	delete(h.logs, l.id)
-	for at, current := range h.lanes {
+	for shard, current := range h.currentLogs {
 		if current == l {
-			delete(h.lanes, at)
+			delete(h.currentLogs, shard)
 		}
 	}
 	h.mu.Unlock()
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -9,163 +9,166 @@
 	"github.com/sedgehatch/sedgehatch/placement"
 )
 
-// slots is this instance's side of the brokers: the tickets that wait for
-// places, the places in use, and those on their way back.
+// slots requests and releases the slots that the jobs of this instance need. It
+// holds the tickets that wait for slots, the slots in use, and those that are
+// about to be released.
 type slots struct {
-	d       *Dispatcher
-	mu      sync.Mutex
-	number  uint64
-	tickets map[string]*ticket
-	held    map[heldKey]int // places in use
-	returns map[string]*returning
-	load    map[string]poolLoad
-	seen    map[string]seen // the last grant of each pool
-	unsure  map[string]bool // pools that something may not have reached
-	synced  time.Time
-	closed  bool
+	d                *Dispatcher
+	mu               sync.Mutex
+	lastTicketNumber uint64
+	tickets          map[string]*ticket
+	held             map[slotKey]int // slots in use
+	releases         map[string]*pendingRelease
+	loads            map[string]poolLoad
+	lastGrants       map[string]lastGrant // by pool
+	unsynced         map[string]bool      // pools whose broker may have missed a message
+	lastSync         time.Time
+	closed           bool
 }
 
-// heldKey says where places are held, and for which service.
-type heldKey struct{ upstream, service string }
+// slotKey groups the slots held by upstream and service.
+type slotKey struct{ upstream, service string }
 
-// ticket is a request for places that is not filled yet.
+// ticket is a request for slots of one pool that is not completely granted yet.
 type ticket struct {
-	id       string
-	pool     string
-	log      *homeLog
-	key      fate.Key
-	tasks    []int // that wait
-	needs    placement.Needs
-	runMs    uint32
-	service  string
-	deadline int64
-	tried    map[string]bool // pools that refused
-	twin     string          // the ticket for the same task at another upstream, when probing
+	id           string
+	pool         string
+	log          *homeLog
+	key          fate.Key
+	waitingTasks []int // task indexes
+	needs        placement.Needs
+	runMs        uint32
+	service      string
+	deadlineMs   int64
+	refusedBy    map[string]bool // pools that have refused the request
+	otherProbe   string          // in mode PlacementProbe, id of the ticket for the same task at another upstream
 }
 
 func (s *slots) init(d *Dispatcher) {
 	s.d = d
 	s.tickets = map[string]*ticket{}
-	s.held = map[heldKey]int{}
-	s.returns = map[string]*returning{}
-	s.load = map[string]poolLoad{}
-	s.seen = map[string]seen{}
-	s.unsure = map[string]bool{}
+	s.held = map[slotKey]int{}
+	s.releases = map[string]*pendingRelease{}
+	s.loads = map[string]poolLoad{}
+	s.lastGrants = map[string]lastGrant{}
+	s.unsynced = map[string]bool{}
 }
 
 func (s *slots) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	for _, r := range s.returns {
+	for _, r := range s.releases {
 		if r.timer != nil {
 			r.timer.Stop()
 		}
 	}
 }
 
-// request asks for places for tasks of one job.
+// request requests slots for tasks of one job.
 func (s *slots) request(l *homeLog, key fate.Key, job *fate.Job, tasks []int) {
-	for _, alike := range groupByNeeds(job, tasks) {
-		first := &job.Tasks[alike[0]]
-		s.spread(&ticket{
-			log: l, key: key, tasks: alike, needs: needsOf(first), runMs: first.RunMs,
-			service: job.Service, deadline: job.DeadlineMs, tried: map[string]bool{},
+	for _, group := range groupByNeeds(job, tasks) {
+		first := &job.Tasks[group[0]]
+		s.distribute(&ticket{
+			log: l, key: key, waitingTasks: group, needs: needsOf(first), runMs: first.RunMs,
+			service: job.Service, deadlineMs: job.DeadlineMs, refusedBy: map[string]bool{},
 		})
 	}
 }
 
-// open sends a ticket to its broker, with what is to be given back there.
-func (s *slots) open(v *View, t *ticket) {
-	if !t.log.noteTicket(t.key, t.id) {
+// sendRequest sends a ticket to its broker, after the pending release of the pool.
+func (s *slots) sendRequest(v *View, t *ticket) {
+	if !t.log.addTicket(t.key, t.id) {
 		return
 	}
-	s.flush(t.pool)
+	s.flushReleases(t.pool)
 	s.mu.Lock()
 	s.tickets[t.id] = t
 	m := s.requestOf(v, t)
 	s.mu.Unlock()
 	if p := v.pools[t.pool]; p != nil {
-		s.post(p, &inner.Frame{Body: &inner.Frame_SlotRequest{SlotRequest: m}})
+		s.sendToBroker(p, &inner.Frame{Body: &inner.Frame_SlotRequest{SlotRequest: m}})
 	}
 }
 
-// requestOf returns what t asks for. The lock is held.
+// requestOf returns the message for t. The lock must be held.
 func (s *slots) requestOf(v *View, t *ticket) *inner.SlotRequest {
 	return &inner.SlotRequest{
-		Ticket: t.id, Pool: t.pool, Count: uint32(len(t.tasks)), Needs: fromNeeds(t.needs), RunMs: t.runMs,
-		Service: t.service, DeadlineMs: t.deadline, Zone: s.d.cfg.Zone, AvoidZones: v.avoid,
+		Ticket: t.id, Pool: t.pool, Count: uint32(len(t.waitingTasks)), Needs: fromNeeds(t.needs), RunMs: t.runMs,
+		Service: t.service, DeadlineMs: t.deadlineMs, Zone: s.d.cfg.Zone, AvoidZones: v.partitionedZones,
 	}
 }
 
-// post sends a frame to the broker of a pool, which may be this instance. What
-// does not arrive is made up for by the next sync.
-func (s *slots) post(p *poolView, f *inner.Frame) {
+// sendToBroker sends a frame to the broker of a pool, which may be this instance.
+// The next sync makes up for frames that get lost.
+func (s *slots) sendToBroker(p *poolView, f *inner.Frame) {
 	if p.broker == s.d.cfg.Self {
-		s.d.brokers.take(s.d.cfg.Self, f)
+		s.d.brokers.handleFrame(s.d.cfg.Self, f)
 		return
 	}
 	if err := s.d.peers.Post(p.broker, f); err != nil {
 		s.mu.Lock()
-		s.unsure[p.ID] = true
+		s.unsynced[p.ID] = true
 		s.mu.Unlock()
 	}
 }
 
-// granted takes places from a broker.
-func (s *slots) granted(from fate.Incarnation, m *inner.SlotGrant) {
+// handleGrant handles a grant or refusal of a broker.
+func (s *slots) handleGrant(from fate.Incarnation, m *inner.SlotGrant) {
 	s.mu.Lock()
 	t := s.tickets[m.GetTicket()]
 	if m.GetSequence() > 0 {
-		s.seen[m.GetPool()] = seen{from, m.GetSequence()}
+		s.lastGrants[m.GetPool()] = lastGrant{from, m.GetSequence()}
 	}
 	if m.GetHurry() {
-		s.hasten(m.GetPool())
+		s.hurryRelease(m.GetPool())
 	}
 	if m.GetTicket() != "" {
-		s.load[m.GetPool()] = poolLoad{int(m.GetFree()), int(m.GetQueued())}
+		s.loads[m.GetPool()] = poolLoad{int(m.GetFree()), int(m.GetQueued())}
 	}
-	list, spare := s.assign(t, m)
-	if t != nil && (len(t.tasks) == 0 || m.GetRefused() != "") {
+	assigned, spare := s.assign(t, m)
+	if t != nil && (len(t.waitingTasks) == 0 || m.GetRefused() != "") {
 		delete(s.tickets, t.id)
 	}
 	s.mu.Unlock()
 	for _, upstream := range spare {
-		s.giveBack(placement.Usage{Upstream: upstream, Service: m.GetService(), Count: 1})
+		s.release(placement.Usage{Upstream: upstream, Service: m.GetService(), Count: 1})
 	}
 	if t == nil {
 		return
 	}
-	if len(list) > 0 && t.twin != "" {
-		s.withdraw([]string{t.twin})
+	if len(assigned) > 0 && t.otherProbe != "" {
+		s.withdraw([]string{t.otherProbe})
 	}
-	if len(list) > 0 {
-		for _, a := range t.log.place(t.key, list) {
-			s.giveBack(placement.Usage{Upstream: a.upstream, Service: t.service, Needs: t.needs, Count: 1})
+	if len(assigned) > 0 {
+		for _, a := range t.log.place(t.key, assigned) {
+			s.release(placement.Usage{Upstream: a.upstream, Service: t.service, Needs: t.needs, Count: 1})
 		}
 	}
 	if m.GetRefused() != "" {
-		s.refused(t, m.GetRetryAfterMs())
+		s.retryElsewhere(t, m.GetRetryAfterMs())
 	}
 }
 
-// assign gives the places to tasks of t. The lock is held.
-func (s *slots) assign(t *ticket, m *inner.SlotGrant) (list []assignment, spare []string) {
+// assign assigns the granted slots to tasks of t, and returns the upstreams of the
+// slots that are not needed as spare. The lock must be held.
+func (s *slots) assign(t *ticket, m *inner.SlotGrant) (assigned []assignment, spare []string) {
 	for _, p := range m.GetPlaces() {
-		s.held[heldKey{p.GetUpstream(), m.GetService()}] += int(p.GetCount())
+		s.held[slotKey{p.GetUpstream(), m.GetService()}] += int(p.GetCount())
 		for range p.GetCount() {
-			if t == nil || len(t.tasks) == 0 {
+			if t == nil || len(t.waitingTasks) == 0 {
 				spare = append(spare, p.GetUpstream())
 				continue
 			}
-			list = append(list, assignment{t.tasks[0], p.GetUpstream()})
-			t.tasks = t.tasks[1:]
+			assigned = append(assigned, assignment{t.waitingTasks[0], p.GetUpstream()})
+			t.waitingTasks = t.waitingTasks[1:]
 		}
 	}
-	return list, spare
+	return assigned, spare
 }
 
-// withdraw takes back what waits of tickets, one message for each broker.
+// withdraw withdraws the remaining requests of tickets, with one message per
+// pool.
 func (s *slots) withdraw(ids []string) {
 	byPool := map[string][]string{}
 	s.mu.Lock()
@@ -185,11 +188,11 @@
 		if p.broker != s.d.cfg.Self {
 			s.d.cfg.Metrics.CountWasted("slot_withdraw")
 		}
-		s.post(p, &inner.Frame{Body: &inner.Frame_SlotWithdraw{SlotWithdraw: &inner.SlotWithdraw{Pool: pool, Tickets: tickets}}})
+		s.sendToBroker(p, &inner.Frame{Body: &inner.Frame_SlotWithdraw{SlotWithdraw: &inner.SlotWithdraw{Pool: pool, Tickets: tickets}}})
 	}
 }
 
-// HeldSlots returns how many places are in use by this instance's jobs.
+// HeldSlots returns the number of slots in use by the jobs of this instance.
 func (d *Dispatcher) HeldSlots() int {
 	d.slots.mu.Lock()
 	defer d.slots.mu.Unlock()
--- a/dispatch/spread.go
+++ b/dispatch/spread.go
@@ -11,13 +11,13 @@
 	"github.com/sedgehatch/sedgehatch/placement"
 )
 
-// poolLoad is what was last heard of a pool.
+// poolLoad is the last known load of a pool.
 type poolLoad struct {
 	free   int
 	queued int
 }
 
-// groupByNeeds splits tasks into groups that need the same.
+// groupByNeeds splits tasks into groups with the same needs.
 func groupByNeeds(job *fate.Job, tasks []int) [][]int {
 	var order []placement.Needs
 	groups := map[placement.Needs][]int{}
@@ -35,129 +35,131 @@
 	return list
 }
 
-// spread sends the tasks of t to the pools that can take them.
-func (s *slots) spread(t *ticket) {
+// distribute requests slots for the tasks of t at the pools that can run them.
+func (s *slots) distribute(t *ticket) {
 	view := s.d.view.Load()
 	s.mu.Lock()
 	var parts []*ticket
 	if s.d.cfg.Placement == PlacementProbe {
-		parts = s.probes(view, t)
+		parts = s.probeTickets(view, t)
 	} else {
-		parts = s.parts(view, t)
+		parts = s.splitTicket(view, t)
 	}
 	s.mu.Unlock()
 	if len(parts) == 0 {
-		t.log.giveUp(t.key, fate.ReasonOverloaded, noPoolRetryMs)
+		t.log.abort(t.key, fate.ReasonOverloaded, noPoolRetryAfterMs)
 		return
 	}
 	for _, part := range parts {
-		s.open(view, part)
+		s.sendRequest(view, part)
 	}
 }
 
-// parts splits t over pools. The lock is held.
-func (s *slots) parts(view *View, t *ticket) []*ticket {
+// splitTicket splits t over pools by their load. The lock must be held.
+func (s *slots) splitTicket(view *View, t *ticket) []*ticket {
 	var parts []*ticket
-	rest := t.tasks
-	for _, share := range s.shares(view, t) {
-		part := s.part(t, share.pool, rest[:share.count:share.count])
-		rest = rest[share.count:]
+	rest := t.waitingTasks
+	for _, portion := range s.splitByLoad(view, t) {
+		part := s.partOf(t, portion.pool, rest[:portion.count:portion.count])
+		rest = rest[portion.count:]
 		parts = append(parts, part)
 	}
 	return parts
 }
 
-// part returns a ticket for some tasks of t at one pool. The lock is held.
-func (s *slots) part(t *ticket, pool string, tasks []int) *ticket {
+// partOf returns a ticket for some tasks of t at one pool. The lock must be held.
+func (s *slots) partOf(t *ticket, pool string, tasks []int) *ticket {
 	part := *t
-	part.pool, part.tasks = pool, tasks
-	s.number++
-	part.id = strconv.FormatUint(s.number, 36)
+	part.pool, part.waitingTasks = pool, tasks
+	s.lastTicketNumber++
+	part.id = strconv.FormatUint(s.lastTicketNumber, 36)
 	return &part
 }
 
-// probes makes two tickets for each task, at upstreams drawn at random. The
-// lock is held.
-func (s *slots) probes(view *View, t *ticket) []*ticket {
+// probeTickets returns two tickets for each task, at random upstreams. The lock
+// must be held.
+func (s *slots) probeTickets(view *View, t *ticket) []*ticket {
 	pools := s.candidates(view, t)
 	var parts []*ticket
-	for _, task := range t.tasks {
+	for _, task := range t.waitingTasks {
 		if len(pools) < 2 {
 			break
 		}
 		first := rand.IntN(len(pools))
 		second := (first + 1 + rand.IntN(len(pools)-1)) % len(pools)
-		a := s.part(t, pools[first].ID, []int{task})
-		b := s.part(t, pools[second].ID, []int{task})
-		a.twin, b.twin = b.id, a.id
+		a := s.partOf(t, pools[first].ID, []int{task})
+		b := s.partOf(t, pools[second].ID, []int{task})
+		a.otherProbe, b.otherProbe = b.id, a.id
 		parts = append(parts, a, b)
 	}
 	return parts
 }
 
-// noPoolRetryMs is when to come back where every pool refused or none is known.
-const noPoolRetryMs = 1000
+// noPoolRetryAfterMs is the retry-after of a job that is refused because no pool
+// can take it.
+const noPoolRetryAfterMs = 1000
 
-type share struct {
+// poolTasks is the number of tasks to request slots for at one pool.
+type poolTasks struct {
 	pool  string
 	count int
 }
 
-// shares splits the tasks of t over the pools that have not refused it: first
-// what is free, this zone's before others', then all the rest to the one with
-// the shortest queue. The lock is held.
-func (s *slots) shares(v *View, t *ticket) []share {
+// splitByLoad splits the tasks of t over the pools that have not refused it. Free
+// slots are used first, the nearest before others. All remaining tasks go to the
+// pool with the shortest queue relative to its slots. The lock must be held.
+func (s *slots) splitByLoad(v *View, t *ticket) []poolTasks {
 	pools := s.candidates(v, t)
 	if len(pools) == 0 {
 		return nil
 	}
-	var list []share
-	missing := len(t.tasks)
+	var list []poolTasks
+	missing := len(t.waitingTasks)
 	for _, p := range pools {
-		n := min(missing, s.free(p))
+		n := min(missing, s.freeSlots(p))
 		if n > 0 {
-			list = append(list, share{p.ID, n})
-			s.expect(p.ID, n)
+			list = append(list, poolTasks{p.ID, n})
+			s.countRequested(p.ID, n)
 			missing -= n
 		}
 	}
 	if missing == 0 {
 		return list
 	}
-	least := slices.MinFunc(pools, func(a, b *poolView) int { return cmp.Compare(s.crowd(a), s.crowd(b)) })
-	s.expect(least.ID, missing)
+	least := slices.MinFunc(pools, func(a, b *poolView) int { return cmp.Compare(s.queuedPerSlot(a), s.queuedPerSlot(b)) })
+	s.countRequested(least.ID, missing)
 	for i := range list {
 		if list[i].pool == least.ID {
 			list[i].count += missing
 			return list
 		}
 	}
-	return append(list, share{least.ID, missing})
+	return append(list, poolTasks{least.ID, missing})
 }
 
-// candidates returns the pools that may take t, the nearest and emptiest first.
-// The lock is held.
+// candidates returns the pools that may take t, the nearest first, and among equally
+// near ones those with the most free slots. The lock must be held.
 func (s *slots) candidates(v *View, t *ticket) []*poolView {
 	var pools []*poolView
-	for _, id := range v.order {
+	for _, id := range v.poolIDs {
 		p := v.pools[id]
-		static := s.d.cfg.Placement == PlacementStatic && p.broker != s.d.cfg.Self
-		if p.broker != "" && !static && !t.tried[id] && placement.CanEver(p.Upstreams, t.needs) {
+		excluded := s.d.cfg.Placement == PlacementStatic && p.broker != s.d.cfg.Self
+		if p.broker != "" && !excluded && !t.refusedBy[id] && placement.CanEver(p.Upstreams, t.needs) {
 			pools = append(pools, p)
 		}
 	}
 	slices.SortStableFunc(pools, func(a, b *poolView) int {
-		if near := cmp.Compare(s.away(a), s.away(b)); near != 0 {
-			return near
+		if byDistance := cmp.Compare(s.distance(a), s.distance(b)); byDistance != 0 {
+			return byDistance
 		}
-		return cmp.Compare(s.free(b), s.free(a))
+		return cmp.Compare(s.freeSlots(b), s.freeSlots(a))
 	})
 	return pools
 }
 
-// away tells how far a pool is: this zone or region, another zone, another
-// region.
-func (s *slots) away(p *poolView) int {
+// distance returns 0 for a pool of this zone or one that spans this region, 1 for
+// another zone of this region, and 2 for another region.
+func (s *slots) distance(p *poolView) int {
 	switch {
 	case p.Zone == s.d.cfg.Zone, p.Zone == "" && p.Region == s.d.cfg.Region:
 		return 0
@@ -168,58 +170,61 @@
 	}
 }
 
-func (s *slots) free(p *poolView) int {
-	if load, heard := s.load[p.ID]; heard {
+func (s *slots) freeSlots(p *poolView) int {
+	if load, reported := s.loads[p.ID]; reported {
 		return load.free
 	}
 	return p.slots
 }
 
-func (s *slots) crowd(p *poolView) float64 {
-	return float64(s.load[p.ID].queued) / float64(max(p.slots, 1))
+func (s *slots) queuedPerSlot(p *poolView) float64 {
+	return float64(s.loads[p.ID].queued) / float64(max(p.slots, 1))
 }
 
-// expect counts what was sent to a pool until it is heard of again.
-func (s *slots) expect(pool string, n int) {
-	load, heard := s.load[pool]
-	if !heard {
+// countRequested updates the known load of a pool by n requested slots, until the
+// pool reports its load again. The lock must be held.
+func (s *slots) countRequested(pool string, n int) {
+	load, reported := s.loads[pool]
+	if !reported {
 		return
 	}
 	load.queued += max(n-load.free, 0)
 	load.free = max(load.free-n, 0)
-	s.load[pool] = load
+	s.loads[pool] = load
 }
 
-// refused looks for places elsewhere, or gives the job up.
-func (s *slots) refused(t *ticket, retryAfterMs uint32) {
+// retryElsewhere requests the slots of a refused ticket at other pools, or ends the
+// job if there are none.
+func (s *slots) retryElsewhere(t *ticket, retryAfterMs uint32) {
 	s.mu.Lock()
 	delete(s.tickets, t.id)
-	again := *t
-	again.tried = maps.Clone(t.tried) // other tickets of the job have it too
-	again.tried[t.pool] = true
-	elsewhere := len(s.candidates(s.d.view.Load(), &again)) > 0
+	retry := *t
+	retry.refusedBy = maps.Clone(t.refusedBy) // other tickets of the job share the map
+	retry.refusedBy[t.pool] = true
+	hasCandidates := len(s.candidates(s.d.view.Load(), &retry)) > 0
 	s.mu.Unlock()
-	if !elsewhere {
-		t.log.giveUp(t.key, fate.ReasonOverloaded, retryAfterMs)
+	if !hasCandidates {
+		t.log.abort(t.key, fate.ReasonOverloaded, retryAfterMs)
 		return
 	}
-	s.spread(&again)
+	s.distribute(&retry)
 }
 
-// SetBrokerLoad takes what a broker last said of its pools.
+// SetBrokerLoad records the total load that a broker has reported. It is divided
+// among the pools of the broker in proportion to their slots.
 func (d *Dispatcher) SetBrokerLoad(broker fate.Incarnation, free, queued int) {
 	v := d.view.Load()
 	d.slots.mu.Lock()
 	defer d.slots.mu.Unlock()
 	var pools []*poolView
-	slotsSum := 0
-	for _, id := range v.order {
+	totalSlots := 0
+	for _, id := range v.poolIDs {
 		if p := v.pools[id]; p.broker == broker {
 			pools = append(pools, p)
-			slotsSum += p.slots
+			totalSlots += p.slots
 		}
 	}
 	for _, p := range pools {
-		d.slots.load[p.ID] = poolLoad{free * p.slots / max(slotsSum, 1), queued * p.slots / max(slotsSum, 1)}
+		d.slots.loads[p.ID] = poolLoad{free * p.slots / max(totalSlots, 1), queued * p.slots / max(totalSlots, 1)}
 	}
 }
--- a/dispatch/starter.go
+++ b/dispatch/starter.go
@@ -18,62 +18,64 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// How long a place is left alone after its upstream did not take a task.
+// How long the broker must not grant a released slot again because its upstream
+// did not run a task.
 const (
-	holdBusy        = 50 * time.Millisecond
-	holdUnreachable = 200 * time.Millisecond
+	busyHold        = 50 * time.Millisecond
+	unreachableHold = 200 * time.Millisecond
 )
 
-// lookupWait is how long one lookup waits for the end of a task.
+// lookupWait is how long an upstream may wait for the end of a task before it
+// answers a lookup of the lease.
 const lookupWait = time.Second
 
-// patience is how long a start waits for its answer on its connection beyond
-// the declared run time, before the lease is looked up instead.
-const patience = 30 * time.Second
+// resultGrace is how long a start waits for the result on its connection, in
+// addition to the declared run time, before the lease is looked up instead.
+const resultGrace = 30 * time.Second
 
-// start sends a permitted task to its upstream and sees it to its end.
-func (l *homeLog) start(o order) {
-	task := &o.job.Tasks[o.Lease.Task]
-	span := l.d.cfg.Tracer.Start(o.trace, "upstream", attribute.String("upstream", o.Upstream))
-	began := time.Now()
-	reply, err := l.send(o, task, span.Traceparent())
-	span.End() // before the caller is answered, who may look at the trace
-	usage := placement.Usage{Upstream: o.Upstream, Needs: needsOf(task), Service: o.job.Service, Count: 1}
+// start starts a permitted task at its upstream and handles its end.
+func (l *homeLog) start(order startOrder) {
+	task := &order.job.Tasks[order.Lease.Task]
+	span := l.d.cfg.Tracer.Start(order.traceparent, "upstream", attribute.String("upstream", order.Upstream))
+	startedAt := time.Now()
+	reply, err := l.send(order, task, span.Traceparent())
+	span.End() // before the caller gets the answer, because it may then read the trace
+	usage := placement.Usage{Upstream: order.Upstream, Needs: needsOf(task), Service: order.job.Service, Count: 1}
 	switch {
 	case failure.Is(err, failure.Unreachable):
 		l.d.cfg.Metrics.CountWasted("start")
 		usage.Failed = 1
-		usage.HoldMs = holdUnreachable.Milliseconds()
-		l.notStarted(o, usage)
+		usage.HoldMs = unreachableHold.Milliseconds()
+		l.requeueTask(order, usage)
 	case err != nil || reply.Refusal == api.RefusedDuplicate:
-		l.settle(o, usage)
+		l.resolveStart(order, usage)
 	case reply.State == api.LeaseRefused:
 		l.d.cfg.Metrics.CountWasted("start")
 		l.d.cfg.Metrics.CountWasted("refusal")
-		l.rejected(o, usage, reply.Refusal)
+		l.handleRefusal(order, usage, reply.Refusal)
 	default:
-		usage.RunMs = float64(time.Since(began).Microseconds()) / 1000
-		l.ended(o, endedAs(usage, reply.State), outcomeOf(reply.State, reply.Body))
+		usage.RunMs = float64(time.Since(startedAt).Microseconds()) / 1000
+		l.finishTask(order, withLeaseEnd(usage, reply.State), outcomeOf(reply.State, reply.Body))
 	}
 }
 
-func (l *homeLog) send(o order, task *fate.Task, trace string) (upstream.Reply, error) {
-	client := l.d.upstreams.get(o.Upstream)
+func (l *homeLog) send(order startOrder, task *fate.Task, trace string) (upstream.Reply, error) {
+	client := l.d.upstreams.get(order.Upstream)
 	if client == nil {
-		return upstream.Reply{}, failure.Unreachable.New("upstream %s is not known", o.Upstream)
+		return upstream.Reply{}, failure.Unreachable.New("upstream %s is unknown", order.Upstream)
 	}
-	if l.d.upstreams.isLeaving(o.Upstream) {
+	if l.d.upstreams.isLeaving(order.Upstream) {
 		return upstream.Reply{State: api.LeaseRefused, Refusal: api.RefusedLeaving}, nil
 	}
 	l.d.cfg.Metrics.CountSent("start")
-	length := l.d.cfg.LeaseDuration + time.Duration(task.RunMs)*time.Millisecond
-	lease := o.Lease.String()
-	renewal := l.d.renewing(client, lease, length)
+	leaseDuration := l.d.cfg.LeaseDuration + time.Duration(task.RunMs)*time.Millisecond
+	lease := order.Lease.String()
+	renewal := l.d.startRenewal(client, lease, leaseDuration)
 	defer renewal.stop()
 	reply, err := client.Start(&upstream.Start{
-		Lease: lease, LeaseMs: length.Milliseconds(),
-		Service: o.job.Service, Task: task, Trace: trace,
-		Patience: patience + time.Duration(task.RunMs)*time.Millisecond,
+		Lease: lease, LeaseMs: leaseDuration.Milliseconds(),
+		Service: order.job.Service, Task: task, Trace: trace,
+		Patience: resultGrace + time.Duration(task.RunMs)*time.Millisecond,
 	})
 	if err == nil {
 		l.d.cfg.Metrics.CountSent("result")
@@ -83,165 +85,172 @@
 
 // renewal renews a lease until it is stopped.
 type renewal struct {
-	timer *time.Timer
-	over  atomic.Bool
+	timer   *time.Timer
+	stopped atomic.Bool
 }
 
-// renewing renews a lease each time that two thirds of it are over.
-func (d *Dispatcher) renewing(client *upstream.Client, lease string, length time.Duration) *renewal {
+// startRenewal renews a lease whenever two thirds of its duration have passed.
+func (d *Dispatcher) startRenewal(client *upstream.Client, lease string, leaseDuration time.Duration) *renewal {
 	r := &renewal{}
-	every := length * 2 / 3
-	r.timer = time.AfterFunc(every, func() {
-		if r.over.Load() {
+	interval := leaseDuration * 2 / 3
+	r.timer = time.AfterFunc(interval, func() {
+		if r.stopped.Load() {
 			return
 		}
 		d.cfg.Metrics.CountSent("renew")
-		_, _ = client.Renew(lease, length.Milliseconds())
-		r.timer.Reset(every)
+		_, _ = client.Renew(lease, leaseDuration.Milliseconds())
+		r.timer.Reset(interval)
 	})
 	return r
 }
 
 func (r *renewal) stop() {
-	r.over.Store(true)
+	r.stopped.Store(true)
 	r.timer.Stop()
 }
 
-// outcomeOf turns the end of a lease into the outcome of its task.
+// outcomeOf returns the outcome of a task from the final state of its lease.
 func outcomeOf(state api.LeaseState, body []byte) fate.Outcome {
 	switch {
 	case state != api.LeaseFinished:
 		return fate.Outcome{State: fate.TaskFailed, Error: string(body)}
 	case !json.Valid(body):
-		return fate.Outcome{State: fate.TaskFailed, Error: "the upstream's result is not JSON"}
+		return fate.Outcome{State: fate.TaskFailed, Error: "the upstream's result is not valid JSON"}
 	default:
 		return fate.Outcome{State: fate.TaskFinished, Result: body}
 	}
 }
 
-// endedAs says in u how the task ended. One that was stopped says nothing of
+// withLeaseEnd returns usage with the way in which the task ended. A stopped task
+// counts neither as failed nor with its run time, because it tells nothing about
 // its upstream.
-func endedAs(u placement.Usage, state api.LeaseState) placement.Usage {
+func withLeaseEnd(usage placement.Usage, state api.LeaseState) placement.Usage {
 	switch state {
 	case api.LeaseFailed:
-		u.Failed = 1
+		usage.Failed = 1
 	case api.LeaseStopped:
-		u.RunMs = 0
+		usage.RunMs = 0
 	}
-	return u
+	return usage
 }
 
-// ended takes the outcome of a task and gives its place back. The place goes
-// first, so that the next task need not wait for what the outcome sets off.
-func (l *homeLog) ended(o order, u placement.Usage, outcome fate.Outcome) {
-	l.d.slots.giveBack(u)
-	if !l.finish(o.Lease, outcome) {
+// finishTask releases the slot of a task and records its outcome. The slot is
+// released first, so that the next task does not wait for the actions that result
+// from the outcome.
+func (l *homeLog) finishTask(order startOrder, usage placement.Usage, outcome fate.Outcome) {
+	l.d.slots.release(usage)
+	if !l.finish(order.Lease, outcome) {
 		l.d.cfg.Metrics.CountWasted("result")
 	}
 }
 
-// notStarted takes a proof that the task did not start.
-func (l *homeLog) notStarted(o order, u placement.Usage) {
-	l.d.slots.giveBack(u)
-	l.refused(o.Lease)
+// requeueTask releases the slot of a task that provably did not start, and
+// requeues the task.
+func (l *homeLog) requeueTask(order startOrder, usage placement.Usage) {
+	l.d.slots.release(usage)
+	l.requeue(order.Lease)
 }
 
-func (l *homeLog) rejected(o order, u placement.Usage, why api.Refusal) {
-	switch why {
+func (l *homeLog) handleRefusal(order startOrder, usage placement.Usage, refusal api.Refusal) {
+	switch refusal {
 	case api.RefusedBadRequest, api.RefusedUnfit:
-		outcome := fate.Outcome{State: fate.TaskFailed, Error: "the upstream refused the task: " + string(why)}
-		l.d.slots.giveBack(u)
-		l.finish(o.Lease, outcome)
+		outcome := fate.Outcome{State: fate.TaskFailed, Error: "the upstream refused the task: " + string(refusal)}
+		l.d.slots.release(usage)
+		l.finish(order.Lease, outcome)
 		return
 	case api.RefusedLeaving:
-		l.d.MarkUpstreamLeaving(o.Upstream)
-		u.Leaving = true
+		l.d.MarkUpstreamLeaving(order.Upstream)
+		usage.Leaving = true
 	default:
-		u.HoldMs = holdBusy.Milliseconds()
+		usage.HoldMs = busyHold.Milliseconds()
 	}
-	l.notStarted(o, u)
+	l.requeueTask(order, usage)
 }
 
-// settle finds out what became of a start whose answer was lost. It asks until
-// the upstream knows, or has barred the lease, or was silent for too long.
-func (l *homeLog) settle(o order, u placement.Usage) {
-	inquiry := l.d.inquire(o.Lease.String(), o.Upstream, func() bool { return l.awaits(o.Lease) })
-	switch inquiry.verdict {
+// resolveStart finds out the result of a start whose answer was lost, and handles
+// it.
+func (l *homeLog) resolveStart(order startOrder, usage placement.Usage) {
+	resolution := l.d.resolveLease(order.Lease.String(), order.Upstream, func() bool { return l.awaitsOutcome(order.Lease) })
+	switch resolution.status {
 	case leaseBarred:
-		u.HoldMs = holdBusy.Milliseconds()
-		l.notStarted(o, u)
-	case leaseOver:
-		l.ended(o, endedAs(u, inquiry.state), inquiry.outcome)
-	case leaseSilent:
-		event.UpstreamLost.Log(l.d.cfg.Log, slog.String("upstream", o.Upstream), slog.String("lease", o.Lease.String()))
-		u.HoldMs = holdUnreachable.Milliseconds()
-		l.ended(o, u, fate.Outcome{State: fate.TaskUnknown, Error: "the upstream was lost"})
-	case leaseUnwanted:
-		u.HoldMs = holdBusy.Milliseconds()
-		l.d.slots.giveBack(u)
+		usage.HoldMs = busyHold.Milliseconds()
+		l.requeueTask(order, usage)
+	case leaseEnded:
+		l.finishTask(order, withLeaseEnd(usage, resolution.state), resolution.outcome)
+	case leaseUnanswered:
+		event.UpstreamLost.Log(l.d.cfg.Log, slog.String("upstream", order.Upstream), slog.String("lease", order.Lease.String()))
+		usage.HoldMs = unreachableHold.Milliseconds()
+		l.finishTask(order, usage, fate.Outcome{State: fate.TaskUnknown, Error: "the upstream does not answer"})
+	case leaseNotNeeded:
+		usage.HoldMs = busyHold.Milliseconds()
+		l.d.slots.release(usage)
 	}
 }
 
-// awaits reports whether the outcome of a lease still matters.
-func (l *homeLog) awaits(lease fate.Lease) bool {
+// awaitsOutcome reports whether the outcome of a lease is still needed.
+func (l *homeLog) awaitsOutcome(lease fate.Lease) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.home.AwaitsOutcome(lease)
 }
 
-type leaseVerdict int
+type leaseStatus int
 
 const (
-	leaseOver     leaseVerdict = iota // it ran; the outcome is known
-	leaseBarred                       // it never started and never will
-	leaseSilent                       // the upstream does not say
-	leaseUnwanted                     // nobody wants to know any more
+	leaseEnded      leaseStatus = iota // the task ran; its outcome is known
+	leaseBarred                        // the task never started and never will
+	leaseUnanswered                    // the upstream did not answer
+	leaseNotNeeded                     // the outcome is no longer needed
 )
 
-type inquiry struct {
-	verdict leaseVerdict
-	state   api.LeaseState // where it is over
-	outcome fate.Outcome
+// leaseResolution is the result of resolveLease.
+type leaseResolution struct {
+	status  leaseStatus
+	state   api.LeaseState // only with leaseEnded
+	outcome fate.Outcome   // only with leaseEnded
 }
 
-// inquire asks an upstream after a lease until that is over, barred, no longer
-// wanted, or the upstream was silent for UpstreamLostAfter. A lease that was never
-// seen is barred first, so that a late start cannot follow the answer.
-func (d *Dispatcher) inquire(lease, upstreamID string, wanted func() bool) inquiry {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = 20 * time.Millisecond
-	pause.MaxInterval = 500 * time.Millisecond
-	heard := time.Now()
-	for wanted() {
-		info, err := d.ask(lease, upstreamID)
+// resolveLease looks a lease up at its upstream until it has ended or is barred,
+// its outcome is no longer needed, or the upstream has not answered for
+// UpstreamLostAfter. A lease that the upstream has never seen is barred, so that a
+// start that arrives late has no effect.
+func (d *Dispatcher) resolveLease(lease, upstreamID string, needed func() bool) leaseResolution {
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval = 20 * time.Millisecond
+	retryDelay.MaxInterval = 500 * time.Millisecond
+	lastAnswer := time.Now()
+	for needed() {
+		info, err := d.lookupOrBar(lease, upstreamID)
 		if err == nil {
-			heard = time.Now()
-			pause.Reset()
-			if done, known := concluded(&info); known {
-				return done
+			lastAnswer = time.Now()
+			retryDelay.Reset()
+			if resolution, ok := resolutionOf(&info); ok {
+				return resolution
 			}
 			continue
 		}
-		if time.Since(heard) > d.cfg.UpstreamLostAfter {
-			return inquiry{verdict: leaseSilent}
+		if time.Since(lastAnswer) > d.cfg.UpstreamLostAfter {
+			return leaseResolution{status: leaseUnanswered}
 		}
 		select {
-		case <-time.After(pause.NextBackOff()):
-		case <-d.stop.Done():
-			return inquiry{verdict: leaseUnwanted}
+		case <-time.After(retryDelay.NextBackOff()):
+		case <-d.ctx.Done():
+			return leaseResolution{status: leaseNotNeeded}
 		}
 	}
-	return inquiry{verdict: leaseUnwanted}
+	return leaseResolution{status: leaseNotNeeded}
 }
 
-func (d *Dispatcher) ask(lease, upstreamID string) (api.LeaseInfo, error) {
+// lookupOrBar looks a lease up at its upstream, and bars the lease if the upstream
+// has never seen it.
+func (d *Dispatcher) lookupOrBar(lease, upstreamID string) (api.LeaseInfo, error) {
 	client := d.upstreams.get(upstreamID)
 	if client == nil {
-		return api.LeaseInfo{}, failure.Unreachable.New("upstream %s is not known", upstreamID)
+		return api.LeaseInfo{}, failure.Unreachable.New("upstream %s is unknown", upstreamID)
 	}
 	d.cfg.Metrics.CountSent("lookup")
 	info, err := client.Lookup(lease, lookupWait)
-	if _, known := concluded(&info); err != nil || !known {
+	if _, ok := resolutionOf(&info); err != nil || !ok {
 		d.cfg.Metrics.CountWasted("lookup")
 	}
 	if err != nil || info.State != api.LeaseNeverSeen {
@@ -256,20 +265,20 @@
 	return infos[0], nil
 }
 
-func concluded(info *api.LeaseInfo) (inquiry, bool) {
+func resolutionOf(info *api.LeaseInfo) (leaseResolution, bool) {
 	switch info.State {
 	case api.LeaseFinished:
-		return inquiry{leaseOver, info.State, outcomeOf(info.State, info.Result)}, true
+		return leaseResolution{leaseEnded, info.State, outcomeOf(info.State, info.Result)}, true
 	case api.LeaseFailed, api.LeaseStopped:
-		return inquiry{leaseOver, info.State, outcomeOf(info.State, []byte(info.Error))}, true
+		return leaseResolution{leaseEnded, info.State, outcomeOf(info.State, []byte(info.Error))}, true
 	case api.LeaseBarred:
-		return inquiry{verdict: leaseBarred}, true
+		return leaseResolution{status: leaseBarred}, true
 	default:
-		return inquiry{}, false
+		return leaseResolution{}, false
 	}
 }
 
-// stopTasks stops tasks whose job has its fate already, in one message for each
+// stopTasks stops tasks whose job is already decided, with one message per
 // upstream.
 func (d *Dispatcher) stopTasks(starts []fate.Start) {
 	for id, group := range lo.GroupBy(starts, func(s fate.Start) string { return s.Upstream }) {
--- a/dispatch/starter_test.go
+++ b/dispatch/starter_test.go
@@ -8,16 +8,17 @@
 	"github.com/sedgehatch/sedgehatch/placement"
 )
 
-// A task that was stopped, because its job was cancelled or has failed, must
-// not count against its upstream: one failed job would cast doubt on every
-// upstream that its other tasks ran at.
+// TestStoppedSaysNothingOfItsUpstream checks that a task that was stopped, because
+// its job was cancelled or has failed, does not count as a failure of its upstream.
+// Otherwise one failed job would count against every upstream that ran its other
+// tasks.
 func TestStoppedSaysNothingOfItsUpstream(t *testing.T) {
 	for state, want := range map[api.LeaseState]placement.Usage{
 		api.LeaseFinished: {RunMs: 5},
 		api.LeaseFailed:   {RunMs: 5, Failed: 1},
 		api.LeaseStopped:  {},
 	} {
-		if got := endedAs(placement.Usage{RunMs: 5}, state); got != want {
+		if got := withLeaseEnd(placement.Usage{RunMs: 5}, state); got != want {
 			t.Errorf("%s: usage %+v", state, got)
 		}
 	}
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -9,99 +9,102 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// maxWait bounds how long one call waits for an answer.
+// maxWait is the longest time that one request waits for an answer.
 const maxWait = 10 * time.Minute
 
-// forwardGrace is added to the wait of a forwarded call for its way back.
+// forwardGrace is the time allowed for the transmission of a forwarded request and
+// its reply, in addition to Request.Wait.
 const forwardGrace = 2 * time.Second
 
-// Request is a caller's submission on its way to whoever can answer it. Without a
-// Job it only asks.
+// Request is a caller's request to submit a job. Without a Job it only asks for the
+// fate of the submission.
 type Request struct {
 	Key     fate.Key
 	Job     *fate.Job
-	Attempt uint32
-	Wait    time.Duration // how long the answer may take; zero is at once
-	Trace   string
+	Attempt uint32        // counts the caller's submissions of the same key, from 1
+	Wait    time.Duration // how long to wait for the answer; with zero, the current state is returned
+	Trace   string        // W3C traceparent of the caller
 }
 
-// Result is an answer, or how far the work is.
+// Result is the answer to a Request, or the progress of the job.
 type Result struct {
-	Answer       fate.Answer // of kind Pending where there is no fate yet
-	Done, Total  int
-	RetryAfterMs uint32
+	Answer       fate.Answer // of kind Pending if the fate is not decided yet
+	Done, Total  int         // tasks that have ended, and all tasks, if the answer is Pending
+	RetryAfterMs uint32      // when the caller may retry a refused job; zero if unspecified
 }
 
-// Submit brings a call to its home, or to the witness where the home is lost,
-// and returns the answer. Errors are typed refusals, and mean that this call
-// started nothing.
-func (d *Dispatcher) Submit(ctx context.Context, c Request) (Result, error) {
-	log, err := c.Key.Session.Log()
+// Submit passes a request to the home of its session, or to the witness if the home
+// is lost, and returns the answer. An error is a typed refusal, and means that this
+// request has started nothing.
+func (d *Dispatcher) Submit(ctx context.Context, req Request) (Result, error) {
+	log, err := req.Key.Session.Log()
 	if err != nil {
 		return Result{}, err
 	}
-	if c.Attempt > 1 {
+	if req.Attempt > 1 {
 		d.cfg.Metrics.Add("resubmissions", 1)
 		d.cfg.Metrics.CountWasted("resubmission")
 	}
 	if log.Home == d.cfg.Self {
-		return d.atHome(ctx, log, c)
+		return d.submitAtHome(ctx, log, req)
 	}
-	r, err := d.forward(ctx, log.Home, c, false)
-	if !unreached(err) {
+	r, err := d.forward(ctx, log.Home, req, false)
+	if !mayNotHaveArrived(err) {
 		return r, err
 	}
-	return d.atWitness(ctx, log, c)
+	return d.submitToWitness(ctx, log, req)
 }
 
-// unreached reports whether err says that a peer may not have got a call.
-func unreached(err error) bool {
+// mayNotHaveArrived reports whether err means that the peer may not have received
+// the request.
+func mayNotHaveArrived(err error) bool {
 	return failure.Is(err, failure.Unreachable) || failure.Is(err, failure.Lost) || failure.Is(err, failure.Gone) || failure.Is(err, failure.Timeout)
 }
 
-func (d *Dispatcher) atHome(ctx context.Context, log fate.LogID, c Request) (Result, error) {
-	l := d.homes.get(log)
+func (d *Dispatcher) submitAtHome(ctx context.Context, log fate.LogID, req Request) (Result, error) {
+	l := d.homeLogs.get(log)
 	if l == nil {
-		return unknown(c.Key, fate.ReasonNoLongerKept), nil
+		return unknownResult(req.Key, fate.ReasonNoLongerKept), nil
 	}
-	answer, wait, err := l.submit(c.Key, c.Job, c.Trace)
+	answer, wait, err := l.submit(req.Key, req.Job, req.Trace)
 	if err != nil {
 		return Result{}, err
 	}
-	return l.await(ctx, c, answer, wait), nil
+	return l.await(ctx, req, answer, wait), nil
 }
 
-func unknown(key fate.Key, reason fate.Reason) Result {
+func unknownResult(key fate.Key, reason fate.Reason) Result {
 	return Result{Answer: fate.Answer{Key: key, Kind: fate.Unknown, Reason: reason}}
 }
 
-// await waits for the answer of a submission that this log runs.
-func (l *homeLog) await(ctx context.Context, c Request, answer fate.Answer, wait chan told) Result {
+// await waits for the answer to a submission that this log runs. If wait is nil, it
+// returns answer at once.
+func (l *homeLog) await(ctx context.Context, req Request, answer fate.Answer, wait chan response) Result {
 	if wait == nil {
 		return Result{Answer: answer}
 	}
-	timer := time.NewTimer(c.Wait)
+	timer := time.NewTimer(req.Wait)
 	defer timer.Stop()
 	select {
-	case t := <-wait:
-		return Result{Answer: t.answer, RetryAfterMs: t.retryAfter}
+	case resp := <-wait:
+		return Result{Answer: resp.answer, RetryAfterMs: resp.retryAfterMs}
 	case <-timer.C:
 	case <-ctx.Done():
-	case <-l.d.stop.Done():
+	case <-l.d.ctx.Done():
 	}
-	done, total := l.progress(c.Key)
-	return Result{Answer: fate.Answer{Key: c.Key, Kind: fate.Pending}, Done: done, Total: total}
+	done, total := l.progress(req.Key)
+	return Result{Answer: fate.Answer{Key: req.Key, Kind: fate.Pending}, Done: done, Total: total}
 }
 
-// forward passes a call on to its home, or to its witness.
-func (d *Dispatcher) forward(ctx context.Context, to fate.Incarnation, c Request, asWitness bool) (Result, error) {
-	span := d.cfg.Tracer.Start(c.Trace, "forward")
+// forward forwards a request to the home or the witness of its log.
+func (d *Dispatcher) forward(ctx context.Context, to fate.Incarnation, req Request, asWitness bool) (Result, error) {
+	span := d.cfg.Tracer.Start(req.Trace, "forward")
 	defer span.End()
-	ctx, cancel := context.WithTimeout(ctx, c.Wait+forwardGrace)
+	ctx, cancel := context.WithTimeout(ctx, req.Wait+forwardGrace)
 	defer cancel()
 	reply, err := d.peers.Call(ctx, to, &inner.Frame{Body: &inner.Frame_Submit{Submit: &inner.Submit{
-		Key: inner.FromKey(c.Key), Job: inner.FromJob(c.Job), Attempt: c.Attempt,
-		WaitMs: uint32(c.Wait.Milliseconds()), AsWitness: asWitness, Trace: span.Traceparent(),
+		Key: inner.FromKey(req.Key), Job: inner.FromJob(req.Job), Attempt: req.Attempt,
+		WaitMs: uint32(req.Wait.Milliseconds()), AsWitness: asWitness, Trace: span.Traceparent(),
 	}}})
 	if err != nil {
 		return Result{}, err
@@ -119,69 +122,71 @@
 	return m
 }
 
-// atWitness asks the witness of a log whose home cannot be reached.
-func (d *Dispatcher) atWitness(ctx context.Context, log fate.LogID, c Request) (Result, error) {
+// submitToWitness passes a request to the witness of a log whose home cannot be
+// reached.
+func (d *Dispatcher) submitToWitness(ctx context.Context, log fate.LogID, req Request) (Result, error) {
 	if log.Witness == "" {
-		return unknown(c.Key, fate.ReasonHomeLost), nil
+		return unknownResult(req.Key, fate.ReasonHomeLost), nil
 	}
 	if log.Witness == d.cfg.Self {
-		return d.asWitness(ctx, log, c)
+		return d.answerAsWitness(ctx, log, req)
 	}
-	r, err := d.forward(ctx, log.Witness, c, true)
-	if unreached(err) {
-		return unknown(c.Key, fate.ReasonHomeAndWitnessLost), nil
+	r, err := d.forward(ctx, log.Witness, req, true)
+	if mayNotHaveArrived(err) {
+		return unknownResult(req.Key, fate.ReasonHomeAndWitnessLost), nil
 	}
 	return r, err
 }
 
-// asWitness answers a call as the witness of its log.
-func (d *Dispatcher) asWitness(ctx context.Context, log fate.LogID, c Request) (Result, error) {
-	l := d.witnesses.get(log)
+// answerAsWitness answers a request as the witness of its log. If the home does not
+// answer either, it takes the log over.
+func (d *Dispatcher) answerAsWitness(ctx context.Context, log fate.LogID, req Request) (Result, error) {
+	l := d.witnessLogs.get(log)
 	if l == nil {
-		return unknown(c.Key, fate.ReasonHomeAndWitnessLost), nil
+		return unknownResult(req.Key, fate.ReasonHomeAndWitnessLost), nil
 	}
-	if answer, found := l.recall(c.Key); found {
+	if answer, found := l.lookup(req.Key); found {
 		return Result{Answer: answer}, nil
 	}
 	if !l.sealed() {
-		if r, err, reached := d.askHome(ctx, log.Home, c); reached {
+		if r, err, reached := d.forwardToHome(ctx, log.Home, req); reached {
 			return r, err
 		}
 		d.takeOver(l)
-		if answer, found := l.recall(c.Key); found {
+		if answer, found := l.lookup(req.Key); found {
 			return Result{Answer: answer}, nil
 		}
 	}
-	d.adopt(l, c.Key)
-	heir := d.homes.heir
-	answer, wait, err := heir.submit(c.Key, nil, c.Trace)
+	d.takeOverJob(l, req.Key)
+	takeoverLog := d.homeLogs.takeoverLog
+	answer, wait, err := takeoverLog.submit(req.Key, nil, req.Trace)
 	if err != nil {
 		return Result{}, err
 	}
-	return heir.await(ctx, c, answer, wait), nil
+	return takeoverLog.await(ctx, req, answer, wait), nil
 }
 
-// askHome passes a call on to a home that its sender could not reach. It
-// reports false once the home was silent for WitnessTimeout.
-func (d *Dispatcher) askHome(ctx context.Context, home fate.Incarnation, c Request) (Result, error, bool) {
-	began := time.Now()
-	for time.Since(began) < d.cfg.WitnessTimeout && ctx.Err() == nil {
-		r, err := d.forward(ctx, home, c, false)
-		if !unreached(err) {
+// forwardToHome forwards a request to a home that its sender could not reach. It
+// reports false if the home does not answer within WitnessTimeout.
+func (d *Dispatcher) forwardToHome(ctx context.Context, home fate.Incarnation, req Request) (Result, error, bool) {
+	start := time.Now()
+	for time.Since(start) < d.cfg.WitnessTimeout && ctx.Err() == nil {
+		r, err := d.forward(ctx, home, req, false)
+		if !mayNotHaveArrived(err) {
 			return r, err, true
 		}
 		if failure.Is(err, failure.Gone) {
 			break
 		}
 		select {
-		case <-time.After(resendEvery):
+		case <-time.After(resendInterval):
 		case <-ctx.Done():
 		}
 	}
 	return Result{}, nil, false
 }
 
-// Cancel ends a submission early and returns what is then known of it.
+// Cancel cancels a submission and returns the resulting answer or progress.
 func (d *Dispatcher) Cancel(ctx context.Context, key fate.Key) (Result, error) {
 	log, err := key.Session.Log()
 	if err != nil {
@@ -189,47 +194,47 @@
 	}
 	query := Request{Key: key, Wait: forwardGrace}
 	if log.Home == d.cfg.Self {
-		if l := d.homes.get(log); l != nil {
-			l.giveUp(key, fate.ReasonCancelled, 0)
+		if l := d.homeLogs.get(log); l != nil {
+			l.abort(key, fate.ReasonCancelled, 0)
 		}
 		return d.Submit(ctx, query)
 	}
-	cancel := func() *inner.Frame {
+	cancelFrame := func() *inner.Frame {
 		return &inner.Frame{Body: &inner.Frame_Cancel{Cancel: &inner.Cancel{Keys: []*inner.Key{inner.FromKey(key)}}}}
 	}
-	short, done := context.WithTimeout(ctx, forwardGrace)
-	defer done()
-	if _, err := d.peers.Call(short, log.Home, cancel()); err == nil {
+	shortCtx, cancel := context.WithTimeout(ctx, forwardGrace)
+	defer cancel()
+	if _, err := d.peers.Call(shortCtx, log.Home, cancelFrame()); err == nil {
 		return d.Submit(ctx, query)
 	}
-	// The witness takes over, if the home is lost, when it is first asked.
-	now := query
-	now.Wait = 0
-	if _, err := d.atWitness(ctx, log, now); err != nil {
+	// If the home is lost, this request makes the witness take the log over.
+	noWait := query
+	noWait.Wait = 0
+	if _, err := d.submitToWitness(ctx, log, noWait); err != nil {
 		return Result{}, err
 	}
 	if log.Witness == d.cfg.Self {
-		d.homes.heir.giveUp(key, fate.ReasonCancelled, 0)
+		d.homeLogs.takeoverLog.abort(key, fate.ReasonCancelled, 0)
 	} else if log.Witness != "" {
-		_, _ = d.peers.Call(short, log.Witness, cancel())
+		_, _ = d.peers.Call(shortCtx, log.Witness, cancelFrame())
 	}
 	return d.Submit(ctx, query)
 }
 
-// cancelled takes a cancellation from another instance.
-func (d *Dispatcher) cancelled(m *inner.Cancel) {
+// handleCancel handles a cancellation that another instance has forwarded.
+func (d *Dispatcher) handleCancel(m *inner.Cancel) {
 	for _, k := range m.GetKeys() {
 		key := inner.ToKey(k)
 		log, err := key.Session.Log()
 		if err != nil {
 			continue
 		}
-		l := d.homes.get(log)
+		l := d.homeLogs.get(log)
 		if log.Witness == d.cfg.Self {
-			l = d.homes.heir
+			l = d.homeLogs.takeoverLog
 		}
 		if l != nil {
-			l.giveUp(key, fate.ReasonCancelled, 0)
+			l.abort(key, fate.ReasonCancelled, 0)
 		}
 	}
 }
--- a/dispatch/sync.go
+++ b/dispatch/sync.go
@@ -7,80 +7,83 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// seen is the last grant that came of a pool, and who sent it.
-type seen struct {
+// lastGrant identifies the last grant received for a pool.
+type lastGrant struct {
 	broker   fate.Incarnation
 	sequence uint64
 }
 
-// rebind takes a new view: a new broker learns what is held and what waits.
-func (s *slots) rebind(before, now *View) {
-	for _, id := range now.order {
-		old := before.pools[id]
-		if old != nil && old.broker == now.pools[id].broker {
+// applyView applies a new view. New brokers of pools are sent the slots that this
+// instance holds and the tickets that wait there.
+func (s *slots) applyView(previous, current *View) {
+	for _, id := range current.poolIDs {
+		old := previous.pools[id]
+		if old != nil && old.broker == current.pools[id].broker {
 			continue
 		}
 		s.mu.Lock()
-		delete(s.load, id)
+		delete(s.loads, id)
 		s.mu.Unlock()
-		s.sync(now, id)
+		s.syncBroker(current, id)
 	}
-	for _, t := range s.homeless(now) {
-		s.refused(t, noPoolRetryMs)
+	for _, t := range s.ticketsWithoutPool(current) {
+		s.retryElsewhere(t, noPoolRetryAfterMs)
 	}
 }
 
-// syncEvery is how often brokers learn what this instance has of their pools.
-const syncEvery = time.Second
+// syncInterval is the interval of the syncs with all brokers.
+const syncInterval = time.Second
 
-// tick syncs with the brokers: all of them now and then, and at once those
-// that something may not have reached.
+// tick syncs with all brokers every syncInterval, and at once with those that may
+// have missed a message.
 func (s *slots) tick(now time.Time) {
 	v := s.d.view.Load()
 	s.mu.Lock()
-	all := now.Sub(s.synced) >= syncEvery
+	all := now.Sub(s.lastSync) >= syncInterval
 	if all {
-		s.synced = now
+		s.lastSync = now
 	}
 	var pools []string
-	for _, id := range v.order {
-		if s.unsure[id] || all {
+	for _, id := range v.poolIDs {
+		if s.unsynced[id] || all {
 			pools = append(pools, id)
 		}
 	}
-	clear(s.unsure)
+	clear(s.unsynced)
 	s.mu.Unlock()
 	for _, id := range pools {
-		s.sync(v, id)
+		s.syncBroker(v, id)
 	}
 }
 
-// sync tells a broker all that this instance has of its pool, if anything.
-func (s *slots) sync(v *View, pool string) {
+// syncBroker sends the broker of a pool the slots that this instance holds there
+// and the tickets that wait there. It sends nothing if there are neither, and this
+// broker has granted nothing.
+func (s *slots) syncBroker(v *View, pool string) {
 	p := v.pools[pool]
 	if p == nil || p.broker == "" {
 		return
 	}
-	s.flush(pool)
+	s.flushReleases(pool)
 	s.mu.Lock()
 	m := &inner.SlotSync{Pool: pool, Held: s.heldAt(v, pool)}
 	for _, t := range s.tickets {
-		if t.pool == pool && len(t.tasks) > 0 {
+		if t.pool == pool && len(t.waitingTasks) > 0 {
 			m.Waiting = append(m.Waiting, s.requestOf(v, t))
 		}
 	}
-	last := s.seen[pool]
+	last := s.lastGrants[pool]
 	if last.broker == p.broker {
 		m.Sequence = last.sequence
 	}
 	s.mu.Unlock()
 	if last.broker == p.broker || len(m.Held) > 0 || len(m.Waiting) > 0 {
-		s.post(p, &inner.Frame{Body: &inner.Frame_SlotSync{SlotSync: m}})
+		s.sendToBroker(p, &inner.Frame{Body: &inner.Frame_SlotSync{SlotSync: m}})
 	}
 }
 
-// homeless returns the tickets whose pool is gone.
-func (s *slots) homeless(v *View) []*ticket {
+// ticketsWithoutPool returns the tickets whose pool is no longer in the view.
+func (s *slots) ticketsWithoutPool(v *View) []*ticket {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*ticket
@@ -92,18 +95,18 @@
 	return list
 }
 
-// heldAt returns the places held at a pool: those in use, and those that the
-// next release gives back. The lock is held.
+// heldAt returns the slots held at a pool: those in use, and the free ones that are
+// not released yet. The lock must be held.
 func (s *slots) heldAt(v *View, pool string) []*inner.Place {
-	counts := map[heldKey]int{}
+	counts := map[slotKey]int{}
 	for key, n := range s.held {
 		if v.poolOf[key.upstream] == pool {
 			counts[key] += n
 		}
 	}
-	if r := s.returns[pool]; r != nil {
+	if r := s.releases[pool]; r != nil {
 		for _, u := range r.usages {
-			counts[heldKey{u.Upstream, u.Service}] += u.Count
+			counts[slotKey{u.Upstream, u.Service}] += u.Count
 		}
 	}
 	list := make([]*inner.Place, 0, len(counts))
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -16,92 +16,92 @@
 	"github.com/samber/lo"
 )
 
-// Member is an entry that is alive and not leaving.
+// Member is an instance that is alive and not draining.
 type Member struct {
 	placement.Entry
 	Incarnation fate.Incarnation
 }
 
-// UpstreamSpec is an upstream and how it is reached.
+// UpstreamSpec is an upstream with the parameters of the connections to it.
 type UpstreamSpec struct {
 	placement.Upstream
 	Address     string
 	Connections int
 }
 
-// View is what an instance knows of the fleet at one moment. It is never
-// changed; a new one takes its place.
+// View is an immutable snapshot of the fleet as this instance knows it.
 type View struct {
-	Members   []Member // this instance among them, unless it is leaving
+	Members   []Member // includes this instance, unless it is draining
 	Upstreams []UpstreamSpec
-	// OtherInstances is how many other entries the platform lists; -1 is not known yet.
+	// OtherInstances is the number of other instances that the platform lists, or -1
+	// while that is unknown.
 	OtherInstances int
-	// ZonesWithInstances holds the zones that have entries of their own, alive or not. The
-	// upstreams of such a zone are not used while none of its entries is heard:
-	// the zone is cut off.
+	// ZonesWithInstances holds the zones that have instances, alive or not. While no
+	// instance of such a zone is alive, the zone counts as partitioned, and its
+	// upstreams are not used.
 	ZonesWithInstances map[string]bool
 
-	entries []placement.Entry
-	pools   map[string]*poolView
-	order   []string          // the ids of pools
-	poolOf  map[string]string // by upstream
-	fits    []placement.Upstream
-	avoid   []string // zones that are cut off
+	instances        []placement.Entry
+	pools            map[string]*poolView
+	poolIDs          []string             // in the order of placement.Pools
+	poolOf           map[string]string    // pool id by upstream id
+	upstreams        []placement.Upstream // all, including those of partitioned zones
+	partitionedZones []string
 }
 
-// poolView is a pool and its broker; broker is "" while there is none.
+// poolView is a pool with its broker. The broker is "" if there is none.
 type poolView struct {
 	placement.Pool
 	broker fate.Incarnation
 	slots  int
 }
 
-func (v *View) index(placing PlacementMode, self string) {
+func (v *View) buildIndex(mode PlacementMode, self string) {
 	incarnations := map[string]fate.Incarnation{}
 	for _, m := range v.Members {
-		v.entries = append(v.entries, m.Entry)
+		v.instances = append(v.instances, m.Entry)
 		incarnations[m.Instance] = m.Incarnation
 	}
 	var usable []placement.Upstream
 	for _, u := range v.Upstreams {
-		v.fits = append(v.fits, u.Upstream)
-		if !v.cutOff(u.Zone) {
+		v.upstreams = append(v.upstreams, u.Upstream)
+		if !v.partitioned(u.Zone) {
 			usable = append(usable, u.Upstream)
 		}
 	}
 	for zone := range v.ZonesWithInstances {
-		if v.cutOff(zone) {
-			v.avoid = append(v.avoid, zone)
+		if v.partitioned(zone) {
+			v.partitionedZones = append(v.partitionedZones, zone)
 		}
 	}
 	v.pools = map[string]*poolView{}
 	v.poolOf = map[string]string{}
-	for _, p := range poolsOf(placing, usable, v.entries, self) {
+	for _, p := range brokeredPools(mode, usable, v.instances, self) {
 		pv := &poolView{Pool: p.Pool, broker: incarnations[p.broker]}
 		for _, u := range p.Upstreams {
 			v.poolOf[u.ID] = p.ID
 			pv.slots += u.Slots
 		}
 		v.pools[p.ID] = pv
-		v.order = append(v.order, p.ID)
+		v.poolIDs = append(v.poolIDs, p.ID)
 	}
 }
 
-// brokered is a pool and the instance that is its broker.
-type brokered struct {
+// brokeredPool is a pool with the name of the instance that is its broker.
+type brokeredPool struct {
 	placement.Pool
 	broker string
 }
 
-// poolsOf groups upstreams and chooses brokers.
-func poolsOf(placing PlacementMode, upstreams []placement.Upstream, entries []placement.Entry, self string) []brokered {
-	if placing == PlacementStatic || placing == PlacementProbe {
-		return singles(placing, upstreams, entries)
+// brokeredPools groups upstreams and chooses brokers.
+func brokeredPools(mode PlacementMode, upstreams []placement.Upstream, instances []placement.Entry, self string) []brokeredPool {
+	if mode == PlacementStatic || mode == PlacementProbe {
+		return singleUpstreamPools(mode, upstreams, instances)
 	}
-	var list []brokered
+	var list []brokeredPool
 	for _, p := range placement.Pools(upstreams) {
-		b := brokered{p, placement.BrokerOf(&p, entries)}
-		if placing == PlacementGuess {
+		b := brokeredPool{p, placement.BrokerOf(&p, instances)}
+		if mode == PlacementGuess {
 			b.broker = self
 		}
 		list = append(list, b)
@@ -109,17 +109,17 @@
 	return list
 }
 
-// singles makes each upstream a pool of its own, or, with static shares, part
-// of the pool of one entry.
-func singles(placing PlacementMode, upstreams []placement.Upstream, entries []placement.Entry) []brokered {
-	owners := slices.SortedFunc(slices.Values(entries), func(a, b placement.Entry) int { return cmp.Compare(a.Instance, b.Instance) })
+// singleUpstreamPools makes each upstream a pool of its own. In mode
+// PlacementStatic it assigns the upstreams to one pool per instance instead.
+func singleUpstreamPools(mode PlacementMode, upstreams []placement.Upstream, instances []placement.Entry) []brokeredPool {
+	sortedInstances := slices.SortedFunc(slices.Values(instances), func(a, b placement.Entry) int { return cmp.Compare(a.Instance, b.Instance) })
 	sorted := slices.SortedFunc(slices.Values(upstreams), func(a, b placement.Upstream) int { return cmp.Compare(a.ID, b.ID) })
-	byID := map[string]*brokered{}
+	byID := map[string]*brokeredPool{}
 	for i, u := range sorted {
-		one := placement.Pool{ID: "single/" + u.ID, Region: u.Region, Zone: u.Zone}
-		b := brokered{one, placement.BrokerOf(&one, entries)}
-		if placing == PlacementStatic && len(owners) > 0 {
-			b.broker = owners[i%len(owners)].Instance
+		pool := placement.Pool{ID: "single/" + u.ID, Region: u.Region, Zone: u.Zone}
+		b := brokeredPool{pool, placement.BrokerOf(&pool, instances)}
+		if mode == PlacementStatic && len(sortedInstances) > 0 {
+			b.broker = sortedInstances[i%len(sortedInstances)].Instance
 			b.Pool = placement.Pool{ID: "static/" + b.broker, Region: u.Region}
 		}
 		if byID[b.ID] == nil {
@@ -127,18 +127,18 @@
 		}
 		byID[b.ID].Upstreams = append(byID[b.ID].Upstreams, u)
 	}
-	return lo.Map(slices.Sorted(maps.Keys(byID)), func(id string, _ int) brokered { return *byID[id] })
+	return lo.Map(slices.Sorted(maps.Keys(byID)), func(id string, _ int) brokeredPool { return *byID[id] })
 }
 
-// cutOff reports whether a zone has entries but none of them is heard.
-func (v *View) cutOff(zone string) bool {
-	return v.ZonesWithInstances[zone] && !slices.ContainsFunc(v.entries, func(e placement.Entry) bool { return e.Zone == zone })
+// partitioned reports whether a zone has instances, but none of them is alive.
+func (v *View) partitioned(zone string) bool {
+	return v.ZonesWithInstances[zone] && !slices.ContainsFunc(v.instances, func(e placement.Entry) bool { return e.Zone == zone })
 }
 
-// brokers reports whether an incarnation is the broker of a pool.
-func (v *View) brokers(pool string, who fate.Incarnation) bool {
+// isBroker reports whether an incarnation is the broker of a pool.
+func (v *View) isBroker(pool string, instance fate.Incarnation) bool {
 	p := v.pools[pool]
-	return p != nil && p.broker == who
+	return p != nil && p.broker == instance
 }
 
 func (v *View) member(instance string) (Member, bool) {
@@ -149,45 +149,46 @@
 	return v.Members[i], true
 }
 
-// SetView takes what is now known of the fleet.
+// SetView replaces the view of the fleet.
 func (d *Dispatcher) SetView(v View) {
-	v.index(d.cfg.Placement, d.cfg.Self.Instance())
-	before := d.view.Swap(&v)
-	d.upstreams.set(v.Upstreams)
-	d.brokers.rebind(&v)
-	d.slots.rebind(before, &v)
-	d.homes.retireLogs(&v)
+	v.buildIndex(d.cfg.Placement, d.cfg.Self.Instance())
+	previous := d.view.Swap(&v)
+	d.upstreams.update(v.Upstreams)
+	d.brokers.applyView(&v)
+	d.slots.applyView(previous, &v)
+	d.homeLogs.retireLogsWithoutWitness(&v)
 }
 
-// MarkUpstreamLeaving makes an upstream get no new tasks from now on, ahead of the
-// next view.
+// MarkUpstreamLeaving makes an upstream get no new tasks, even before the next view
+// lists it as leaving.
 func (d *Dispatcher) MarkUpstreamLeaving(id string) {
 	if d.upstreams.markLeaving(id) {
 		event.UpstreamLeaving.Log(d.cfg.Log, slog.String("upstream", id))
-		d.brokers.rebind(d.view.Load())
+		d.brokers.applyView(d.view.Load())
 	}
 }
 
-// LeavingUpstreams returns the upstreams that were seen leaving here.
+// LeavingUpstreams returns the upstreams marked with MarkUpstreamLeaving.
 func (d *Dispatcher) LeavingUpstreams() []string { return d.upstreams.leavingIDs() }
 
-// upstreams holds the clients of upstreams.
-type upstreams struct {
+// upstreamClients holds the clients of the upstreams.
+type upstreamClients struct {
 	d       *Dispatcher
 	mu      sync.RWMutex
 	clients map[string]*upstream.Client
-	leaving map[string]bool // seen leaving here, until the list drops them
+	leaving map[string]bool // marked by markLeaving; reset when the upstream's address changes
 }
 
-func (u *upstreams) init(d *Dispatcher) {
+func (u *upstreamClients) init(d *Dispatcher) {
 	u.d = d
 	u.clients = map[string]*upstream.Client{}
 	u.leaving = map[string]bool{}
 }
 
-// set keeps a client for each upstream of the list. Those off the list keep
-// theirs while it may still be needed to ask after a lease.
-func (u *upstreams) set(list []UpstreamSpec) {
+// update creates a client for each new upstream in the list, and for each whose
+// address has changed. Clients of upstreams that are not in the list are kept,
+// because they may still be needed to look up leases.
+func (u *upstreamClients) update(list []UpstreamSpec) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, s := range list {
@@ -199,13 +200,13 @@
 	}
 }
 
-func (u *upstreams) get(id string) *upstream.Client {
+func (u *upstreamClients) get(id string) *upstream.Client {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
 	return u.clients[id]
 }
 
-func (u *upstreams) markLeaving(id string) bool {
+func (u *upstreamClients) markLeaving(id string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.leaving[id] || u.clients[id] == nil {
@@ -215,19 +216,19 @@
 	return true
 }
 
-func (u *upstreams) isLeaving(id string) bool {
+func (u *upstreamClients) isLeaving(id string) bool {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
 	return u.leaving[id]
 }
 
-func (u *upstreams) leavingIDs() []string {
+func (u *upstreamClients) leavingIDs() []string {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
 	return slices.Sorted(maps.Keys(u.leaving))
 }
 
-func (u *upstreams) close() {
+func (u *upstreamClients) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.clients {
@@ -235,8 +236,9 @@
 	}
 }
 
-// FleetSize returns how many entries, this one included, and upstreams are known.
-func (d *Dispatcher) FleetSize() (members, upstreams int) {
+// FleetSize returns the numbers of known instances, including this one, and
+// upstreams.
+func (d *Dispatcher) FleetSize() (instances, upstreams int) {
 	v := d.view.Load()
 	return len(v.Members), len(v.Upstreams)
 }
--- a/dispatch/witnesses.go
+++ b/dispatch/witnesses.go
@@ -11,51 +11,52 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// witnesses holds the logs that this instance is witness to.
-type witnesses struct {
+// witnessLogs holds the permit logs that this instance is the witness of.
+type witnessLogs struct {
 	d    *Dispatcher
 	mu   sync.RWMutex
 	logs map[fate.LogID]*witnessLog
 }
 
-// witnessLog is one fate.Witness: a shard with its own lock.
+// witnessLog is one permit log that this instance is the witness of, with a lock of
+// its own.
 type witnessLog struct {
-	mu      sync.Mutex
-	witness *fate.Witness
-	heard   time.Time // of the home
+	mu           sync.Mutex
+	witness      *fate.Witness
+	lastAppendAt time.Time // when the last append of the home was received
 }
 
-func (w *witnesses) init(d *Dispatcher) {
+func (w *witnessLogs) init(d *Dispatcher) {
 	w.d = d
 	w.logs = map[fate.LogID]*witnessLog{}
 }
 
-func (w *witnesses) get(id fate.LogID) *witnessLog {
+func (w *witnessLogs) get(id fate.LogID) *witnessLog {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.logs[id]
 }
 
-// open makes this instance the witness of a log, once.
-func (w *witnesses) open(id fate.LogID) error {
+// open makes this instance the witness of a log. A repeated call has no effect.
+func (w *witnessLogs) open(id fate.LogID) error {
 	if id.Witness != w.d.cfg.Self {
 		return failure.Refused.New("%s is not the witness of log %s", w.d.cfg.Self, id)
 	}
-	if w.d.leaving.Load() {
-		return failure.Stopping.New("instance %s is leaving", w.d.cfg.Self.Instance())
+	if w.d.draining.Load() {
+		return failure.Stopping.New("instance %s is shutting down", w.d.cfg.Self.Instance())
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.logs[id] == nil {
-		l := &witnessLog{witness: fate.NewWitness(id, w.d.tuning.Load().Retention), heard: time.Now()}
+		l := &witnessLog{witness: fate.NewWitness(id, w.d.tuning.Load().Retention), lastAppendAt: time.Now()}
 		l.witness.Tick(nowMs())
 		w.logs[id] = l
 	}
 	return nil
 }
 
-// append takes one append, and returns its reply.
-func (w *witnesses) append(m *inner.Append) *inner.AppendReply {
+// append applies one append, and returns the reply to it.
+func (w *witnessLogs) append(m *inner.Append) *inner.AppendReply {
 	l := w.get(inner.ToLogID(m.GetLog()))
 	if l == nil {
 		return &inner.AppendReply{Log: m.GetLog(), UnknownLog: true}
@@ -63,38 +64,39 @@
 	a := inner.ToAppend(m)
 	l.mu.Lock()
 	r := l.witness.Append(a)
-	l.heard = time.Now()
+	l.lastAppendAt = time.Now()
 	l.mu.Unlock()
 	return &inner.AppendReply{Log: m.GetLog(), Acked: r.Acked, Gap: r.Gap, Sealed: r.Sealed}
 }
 
-// tick lets go of old answers, and of logs that nobody can need.
-func (w *witnesses) tick(now time.Time) {
-	keep := w.d.tuning.Load().Retention
-	idle := 4*w.d.cfg.RotateLogsAfter + time.Duration(keep.MaxAgeMs)*time.Millisecond
+// tick evicts expired answers, and removes logs that are no longer needed because
+// they have had no append for longer than a log and its answers last.
+func (w *witnessLogs) tick(now time.Time) {
+	retention := w.d.tuning.Load().Retention
+	idleLimit := 4*w.d.cfg.RotateLogsAfter + time.Duration(retention.MaxAgeMs)*time.Millisecond
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, l := range w.logs {
 		l.mu.Lock()
-		l.witness.SetRetention(keep)
+		l.witness.SetRetention(retention)
 		l.witness.Tick(millis(now))
-		if now.Sub(l.heard) > idle {
+		if now.Sub(l.lastAppendAt) > idleLimit {
 			delete(w.logs, id)
 		}
 		l.mu.Unlock()
 	}
 }
 
-// HandlePeerLost takes the news that an incarnation is lost: every log of it that is
-// witnessed here is sealed, and its jobs go on here.
+// HandlePeerLost handles the loss of an instance. Every log with that home and this
+// instance as witness is sealed, and its open jobs are taken over.
 func (d *Dispatcher) HandlePeerLost(home fate.Incarnation) {
-	d.brokers.homeGone(home)
-	for _, l := range d.witnesses.of(home) {
+	d.brokers.handleHomeLoss(home)
+	for _, l := range d.witnessLogs.logsOf(home) {
 		d.takeOver(l)
 	}
 }
 
-func (w *witnesses) of(home fate.Incarnation) []*witnessLog {
+func (w *witnessLogs) logsOf(home fate.Incarnation) []*witnessLog {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	var logs []*witnessLog
@@ -106,85 +108,85 @@
 	return logs
 }
 
-// takeOver seals a log and goes on with every job of it that has no fate.
+// takeOver seals a log and takes over all of its undecided jobs.
 func (d *Dispatcher) takeOver(l *witnessLog) {
 	l.mu.Lock()
-	first := !l.witness.Sealed()
+	wasOpen := !l.witness.Sealed()
 	l.witness.Seal()
 	open := l.witness.OpenJobs()
 	l.mu.Unlock()
-	if first {
+	if wasOpen {
 		d.cfg.Metrics.Add("takeovers", 1)
 		event.TakeoverBegan.Log(d.cfg.Log, slog.String("log", l.witness.ID().String()), slog.Int("jobs", len(open)))
 	}
 	for _, key := range open {
-		d.adopt(l, key)
+		d.takeOverJob(l, key)
 	}
 }
 
-// adopt goes on with one job of a sealed log; once is enough.
-func (d *Dispatcher) adopt(l *witnessLog, key fate.Key) {
+// takeOverJob takes over one job of a sealed log. A repeated call has no effect.
+func (d *Dispatcher) takeOverJob(l *witnessLog, key fate.Key) {
 	l.mu.Lock()
-	_, inheritance := l.witness.Lookup(key)
+	_, recovered := l.witness.Lookup(key)
 	l.mu.Unlock()
-	if inheritance == nil {
+	if recovered == nil {
 		return
 	}
-	d.homes.heir.adopt(key, inheritance)
+	d.homeLogs.takeoverLog.takeOver(key, recovered)
 }
 
-// adopt takes over a job of a lost home.
-func (l *homeLog) adopt(key fate.Key, in *fate.RecoveredJob) {
+// takeOver continues a recovered job of a lost home, unless the log has it already.
+func (l *homeLog) takeOver(key fate.Key, recovered *fate.RecoveredJob) {
 	l.mu.Lock()
 	if l.home.MayHaveSeen(key) {
 		l.mu.Unlock()
 		return
 	}
-	r := l.runOf(key, in.Job.Trace)
-	r.service = in.Job.Service
-	r.deadline = time.AfterFunc(time.Until(time.UnixMilli(in.Job.DeadlineMs)), func() { l.giveUp(key, fate.ReasonDeadline, 0) })
-	o := l.prepare(l.home.TakeOver(key, in))
+	r := l.submissionOf(key, recovered.Job.Trace)
+	r.service = recovered.Job.Service
+	r.deadlineTimer = time.AfterFunc(time.Until(time.UnixMilli(recovered.Job.DeadlineMs)), func() { l.abort(key, fate.ReasonDeadline, 0) })
+	todo := l.actionsFor(l.home.TakeOver(key, recovered))
 	l.mu.Unlock()
-	l.carryOut(o)
-	for i := range in.Tasks {
-		if t := &in.Tasks[i]; t.Outcome == nil && len(t.Permits) > 0 {
-			go l.settleInherited(key, i, t.Permits)
+	l.perform(todo)
+	for i := range recovered.Tasks {
+		if t := &recovered.Tasks[i]; t.Outcome == nil && len(t.Permits) > 0 {
+			go l.resolveTask(key, i, t.Permits)
 		}
 	}
-	l.seek(key)
+	l.requestSlots(key)
 }
 
-func (l *homeLog) awaitsInherited(key fate.Key, task int) bool {
+func (l *homeLog) isUnresolved(key fate.Key, task int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.home.IsUnresolved(key, task)
 }
 
-// settleInherited asks every upstream where the lost home may have started a
-// task. It starts here only once all of them have barred it.
-func (l *homeLog) settleInherited(key fate.Key, task int, permits []fate.Permit) {
+// resolveTask asks all upstreams at which the lost home may have started a task.
+// The task starts here only if all of them have barred its leases.
+func (l *homeLog) resolveTask(key fate.Key, task int, permits []fate.Permit) {
 	var outcome *fate.Outcome
 	for _, p := range permits {
 		lease := fate.Lease{Key: key, Task: task, Attempt: p.Attempt}
-		found := l.d.inquire(lease.String(), p.Upstream, func() bool { return l.awaitsInherited(key, task) })
-		if found.verdict == leaseUnwanted {
+		found := l.d.resolveLease(lease.String(), p.Upstream, func() bool { return l.isUnresolved(key, task) })
+		if found.status == leaseNotNeeded {
 			return
 		}
-		if found.verdict == leaseOver {
+		if found.status == leaseEnded {
 			outcome = &found.outcome
 			break
 		}
-		if found.verdict == leaseSilent {
-			outcome = &fate.Outcome{State: fate.TaskUnknown, Error: "the upstream was lost"}
+		if found.status == leaseUnanswered {
+			outcome = &fate.Outcome{State: fate.TaskUnknown, Error: "the upstream does not answer"}
 		}
 	}
-	settled := false
-	l.step(func(h *fate.Home) (e fate.Effects) {
-		e, settled = h.ResolveTask(key, task, outcome)
+	resolved := false
+	l.apply(func(h *fate.Home) (e fate.Effects) {
+		e, resolved = h.ResolveTask(key, task, outcome)
 		return e
 	})
-	if settled && outcome == nil {
-		l.seekTask(key, task)
+	if resolved && outcome == nil {
+		l.requestSlot(key, task)
 	}
 }
 
@@ -194,7 +196,7 @@
 	return l.witness.Sealed()
 }
 
-func (l *witnessLog) recall(key fate.Key) (fate.Answer, bool) {
+func (l *witnessLog) lookup(key fate.Key) (fate.Answer, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if answer, _ := l.witness.Lookup(key); answer != nil {
@@ -206,10 +208,10 @@
 // WitnessedJobs returns the number of submissions of other homes that still need
 // this instance as their witness.
 func (d *Dispatcher) WitnessedJobs() int {
-	d.witnesses.mu.RLock()
-	defer d.witnesses.mu.RUnlock()
+	d.witnessLogs.mu.RLock()
+	defer d.witnessLogs.mu.RUnlock()
 	n := 0
-	for _, l := range d.witnesses.logs {
+	for _, l := range d.witnessLogs.logs {
 		l.mu.Lock()
 		n += l.witness.PendingJobs()
 		l.mu.Unlock()
@@ -217,14 +219,14 @@
 	return n
 }
 
-// retireLogs makes the logs whose witness is no member any more, because it
-// leaves or is not heard, take no more jobs: new work goes to other logs.
-func (h *homes) retireLogs(v *View) {
+// retireLogsWithoutWitness retires the logs whose witness is no longer a member of
+// the fleet, because it is draining or not alive. New jobs go to other logs.
+func (h *homeLogs) retireLogsWithoutWitness(v *View) {
 	for _, l := range h.all() {
 		if l.id.Witness == "" {
 			continue
 		}
-		if m, there := v.member(l.id.Witness.Instance()); !there || m.Incarnation != l.id.Witness {
+		if m, found := v.member(l.id.Witness.Instance()); !found || m.Incarnation != l.id.Witness {
 			l.retire()
 		}
 	}
