--- a/inner/call.go
+++ b/inner/call.go
@@ -7,73 +7,78 @@
 	"github.com/sedgehatch/sedgehatch/fate"
 )
 
-// Send sends f without waiting for anything. The errors are Unreachable, and
-// Gone when the peer is another incarnation by now, or does not run.
+// Send sends f as a one-way message. It opens a connection if there is none. The error is
+// Gone if nothing listens at the peer's address or the instance is running as another
+// incarnation. Otherwise it is Unreachable, or the error with which the peer refused the
+// connection.
 func (m *Mesh) Send(peer fate.Incarnation, f *Frame) error {
-	k, err := m.to(peer)
+	c, err := m.connectTo(peer)
 	if err != nil {
 		return err
 	}
 	m.cfg.CountSent(KindOf(f))
-	return k.send(f)
+	return c.send(f)
 }
 
-// TrySend is Send, but never waits for a connection to be opened: without one the
-// error is Unreachable, and one is opened for later.
+// TrySend is like Send but never waits for a connection to be opened. If none is open,
+// it opens one in the background and returns the error Unreachable.
 func (m *Mesh) TrySend(peer fate.Incarnation, f *Frame) error {
-	k, err := m.opened(peer)
+	c, err := m.openConnection(peer)
 	if err != nil {
 		return err
 	}
 	m.cfg.CountSent(KindOf(f))
-	return k.send(f)
+	return c.send(f)
 }
 
-// CallAsync sends f as a call, as TrySend does, and hands its reply to done, or the
-// errors of Wait but for Timeout. Done must not block: replies behind it wait.
+// CallAsync sends the request f like TrySend. If that succeeds, it later calls done with the
+// reply or with one of the errors of PendingCall.Wait other than Timeout. done must not
+// block: the frames behind the reply are read only after it returns.
 func (m *Mesh) CallAsync(peer fate.Incarnation, f *Frame, done func(*Frame, error)) error {
 	_, err := m.CallAsyncConn(peer, f, done)
 	return err
 }
 
-// CallAsyncConn is Notify, and returns the connection that the call went on: what belongs
-// to the call has to follow it there.
+// CallAsyncConn is like CallAsync and also returns the connection that carries the
+// request. Messages that must arrive after the request have to be sent on it.
 func (m *Mesh) CallAsyncConn(peer fate.Incarnation, f *Frame, done func(*Frame, error)) (Connection, error) {
-	k, err := m.opened(peer)
+	c, err := m.openConnection(peer)
 	if err != nil {
 		return nil, err
 	}
 	m.cfg.CountSent(KindOf(f))
-	k.calledNow()
-	return k, k.call(f, func(reply *Frame) { done(replyOf(peer, reply)) })
+	c.markCalled()
+	return c, c.call(f, func(reply *Frame) { done(replyOf(peer, reply)) })
 }
 
-// opened returns the connection to one incarnation, if it is open.
-func (m *Mesh) opened(peer fate.Incarnation) (*link, error) {
+// openConnection returns the open connection to an incarnation. If there is none, it
+// opens one in the background and returns the error Unreachable.
+func (m *Mesh) openConnection(peer fate.Incarnation) (*connection, error) {
 	m.mu.Lock()
-	d := m.links[peer.Instance()]
+	state := m.dialed[peer.Instance()]
 	closed := m.closed
 	m.mu.Unlock()
-	k := m.sharedWith(peer.Instance())
-	if k == nil {
-		k = d.open()
+	c := m.sharedConnection(peer.Instance())
+	if c == nil {
+		c = state.openConnection()
 	}
-	if k != nil && k.peer != peer {
-		return nil, failure.Gone.New("%s is gone: its instance is %s now", peer, k.peer)
+	if c != nil && c.peer != peer {
+		return nil, failure.Gone.New("%s is gone: the instance is running as %s", peer, c.peer)
 	}
-	if k == nil && !closed {
+	if c == nil && !closed {
 		go func() { _, _ = m.connect(peer.Instance()) }()
 	}
-	if k == nil {
-		return nil, failure.Unreachable.New("no connection to %s is open yet", peer)
+	if c == nil {
+		return nil, failure.Unreachable.New("no open connection to %s", peer)
 	}
-	return k, nil
+	return c, nil
 }
 
-// replyOf reads a reply; nil is a connection that broke before it came.
+// replyOf returns the reply, or the error that it carries. A nil reply means that the
+// connection broke before the reply arrived.
 func replyOf(peer fate.Incarnation, reply *Frame) (*Frame, error) {
 	if reply == nil {
-		return nil, failure.Lost.New("the connection to %s broke", peer)
+		return nil, failure.Lost.New("the connection to %s broke before it replied", peer)
 	}
 	if reply.GetProblem() != nil {
 		return nil, ToError(reply.GetProblem())
@@ -81,42 +86,43 @@
 	return reply, nil
 }
 
-// PendingCall is a call whose reply has not come yet.
+// PendingCall is a call whose request has been sent and whose reply has not been received.
 type PendingCall struct {
-	peer  fate.Incarnation
-	link  *link
-	id    uint64
-	reply chan *Frame
+	peer       fate.Incarnation
+	connection *connection
+	id         uint64
+	reply      chan *Frame
 }
 
-// StartCall sends f as a call. Calls to one peer that begin one after another
-// arrive in that order. The errors are those of Send.
+// StartCall sends the request f. Requests on the same lane of a connection arrive in the
+// order in which they were started. The errors are those of Send.
 func (m *Mesh) StartCall(peer fate.Incarnation, f *Frame) (*PendingCall, error) {
-	k, err := m.to(peer)
+	c, err := m.connectTo(peer)
 	if err != nil {
 		return nil, err
 	}
 	m.cfg.CountSent(KindOf(f))
 	reply := make(chan *Frame, 1)
-	if err := k.call(f, func(r *Frame) { reply <- r }); err != nil {
+	if err := c.call(f, func(r *Frame) { reply <- r }); err != nil {
 		return nil, err
 	}
-	return &PendingCall{peer, k, f.GetId(), reply}, nil
+	return &PendingCall{peer, c, f.GetId(), reply}, nil
 }
 
-// Wait returns the reply. The errors are Lost, when the connection broke
-// before it came, Timeout, and whatever typed error the peer replied.
+// Wait returns the reply. The error is Lost if the connection broke before the reply
+// arrived, Timeout if ctx ended, or the typed error that the peer replied.
 func (p *PendingCall) Wait(ctx context.Context) (*Frame, error) {
 	select {
 	case reply := <-p.reply:
 		return replyOf(p.peer, reply)
 	case <-ctx.Done():
-		p.link.forget(p.id)
-		return nil, failure.Timeout.New("%s did not reply in time", p.peer)
+		p.connection.removeCall(p.id)
+		return nil, failure.Timeout.New("%s did not reply before the deadline", p.peer)
 	}
 }
 
-// Call sends f and waits for its reply, with the errors of Begin and Wait.
+// Call sends the request f and waits for its reply. The errors are those of StartCall
+// and PendingCall.Wait.
 func (m *Mesh) Call(ctx context.Context, peer fate.Incarnation, f *Frame) (*Frame, error) {
 	p, err := m.StartCall(peer, f)
 	if err != nil {
--- a/inner/close_test.go
+++ b/inner/close_test.go
@@ -7,21 +7,22 @@
 	"go.uber.org/goleak"
 )
 
-// TestServeAfterClose: a connection that is accepted while the mesh closes is closed, and
-// nobody is told of its peer. Serve took it though the mesh was closed, in a goroutine that
-// Close did not wait for: the race detector saw it as an Add beside the Wait of one
-// WaitGroup in TestZoneCutHeals, once in some 450 runs of that test.
+// TestServeAfterClose checks that a connection accepted while the mesh is closing is closed
+// again, and that OnHello is not called for its peer. It guards against Serve handling such
+// a connection in a goroutine that Close does not wait for. The race detector reported this
+// in about one of 450 runs of TestZoneCutHeals, as WaitGroup.Add called concurrently with
+// Wait.
 func TestServeAfterClose(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir := &peers{addresses: map[string]string{"closed": l.Addr().String()}}
-	met := make(chan string, 1)
+	resolver := &mapResolver{addresses: map[string]string{"closed": l.Addr().String()}}
+	hellos := make(chan string, 1)
 	closed := NewMesh(Config{
-		Fleet: "f", Self: "closed.1", Resolver: dir, Handler: &echo{},
-		OnHello: func(h *Hello) { met <- h.GetIncarnation() },
+		Fleet: "f", Self: "closed.1", Resolver: resolver, Handler: &echoHandler{},
+		OnHello: func(h *Hello) { hellos <- h.GetIncarnation() },
 	})
 	closed.Close()
 	served := make(chan struct{})
@@ -30,16 +31,16 @@
 		close(served)
 	}()
 
-	caller := NewMesh(Config{Fleet: "f", Self: "caller.1", Resolver: dir, Handler: &echo{}})
+	caller := NewMesh(Config{Fleet: "f", Self: "caller.1", Resolver: resolver, Handler: &echoHandler{}})
 	t.Cleanup(caller.Close)
 	if who, err := caller.Connect("closed"); err == nil {
-		t.Errorf("%s answers though its mesh is closed", who)
+		t.Errorf("%s accepted a connection although its mesh is closed", who)
 	}
 	_ = l.Close()
 	<-served
 	select {
-	case who := <-met:
-		t.Errorf("the closed mesh met %s", who)
+	case who := <-hellos:
+		t.Errorf("the closed mesh received the hello of %s", who)
 	default:
 	}
 }
--- a/inner/convert.go
+++ b/inner/convert.go
@@ -7,27 +7,27 @@
 	"github.com/samber/lo"
 )
 
-// FromLogID returns id as a message.
+// FromLogID returns id as a protobuf message.
 func FromLogID(id fate.LogID) *LogID {
 	return &LogID{Home: string(id.Home), Witness: string(id.Witness), Number: id.Number}
 }
 
-// ToLogID returns the log id that m carries.
+// ToLogID returns the id that m describes.
 func ToLogID(m *LogID) fate.LogID {
 	return fate.LogID{Home: fate.Incarnation(m.GetHome()), Witness: fate.Incarnation(m.GetWitness()), Number: m.GetNumber()}
 }
 
-// FromKey returns key as a message.
+// FromKey returns key as a protobuf message.
 func FromKey(key fate.Key) *Key {
 	return &Key{Session: string(key.Session), Sequence: key.Sequence, Generation: key.Generation}
 }
 
-// ToKey returns the key that m carries.
+// ToKey returns the key that m describes.
 func ToKey(m *Key) fate.Key {
 	return fate.Key{Session: fate.Session(m.GetSession()), Sequence: m.GetSequence(), Generation: m.GetGeneration()}
 }
 
-// FromJob returns job as a message, nil for nil.
+// FromJob returns job as a protobuf message, or nil if job is nil.
 func FromJob(job *fate.Job) *Job {
 	if job == nil {
 		return nil
@@ -44,7 +44,7 @@
 	return m
 }
 
-// ToJob returns the job that m carries, nil for nil.
+// ToJob returns the job that m describes, or nil if m is nil.
 func ToJob(m *Job) *fate.Job {
 	if m == nil {
 		return nil
@@ -68,7 +68,7 @@
 	return fate.Outcome{State: fate.TaskState(m.GetState()), Result: m.GetResult(), Error: m.GetError()}
 }
 
-// FromAnswer returns a as a message, nil for nil.
+// FromAnswer returns a as a protobuf message, or nil if a is nil.
 func FromAnswer(a *fate.Answer) *Answer {
 	if a == nil {
 		return nil
@@ -79,7 +79,7 @@
 	}
 }
 
-// ToAnswer returns the answer that m carries, nil for nil.
+// ToAnswer returns the answer that m describes, or nil if m is nil.
 func ToAnswer(m *Answer) *fate.Answer {
 	if m == nil {
 		return nil
@@ -90,7 +90,7 @@
 	}
 }
 
-// FromAppend returns a as a message.
+// FromAppend returns a as a protobuf message.
 func FromAppend(a *fate.Append) *Append {
 	return &Append{
 		Log: FromLogID(a.Log), Sequence: a.Sequence, WantAck: a.WantAck,
@@ -98,7 +98,7 @@
 	}
 }
 
-// ToAppend returns the append that m carries.
+// ToAppend returns the append that m describes.
 func ToAppend(m *Append) *fate.Append {
 	return &fate.Append{
 		Log: ToLogID(m.GetLog()), Sequence: m.GetSequence(), WantAck: m.GetWantAck(),
@@ -130,15 +130,15 @@
 	}
 }
 
-// FromError returns err as a message.
+// FromError returns err as a protobuf message.
 func FromError(err error) *Problem {
 	return &Problem{Code: failure.Code(err), Field: failure.FieldOf(err), Text: failure.Text(err)}
 }
 
-// ToError returns the typed error that m carries.
+// ToError returns the typed error that m describes. An unknown code becomes Internal.
 func ToError(m *Problem) error {
-	t, known := failure.ByCode(m.GetCode())
-	if !known {
+	t, found := failure.ByCode(m.GetCode())
+	if !found {
 		t = failure.Internal
 	}
 	if m.GetField() == "" {
--- a/inner/frame.go
+++ b/inner/frame.go
@@ -10,21 +10,22 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxFrameBytes bounds one frame, in bytes: a job of the largest size and its head.
+// MaxFrameBytes is the maximum size of an encoded frame without its header. It is large
+// enough for a job of the maximum size and the fields around it.
 const MaxFrameBytes = 40 << 20
 
-const frameHead = 4
+const frameHeaderBytes = 4 // length of the frame, big endian
 
-// ReadFrame reads one frame. It returns a Protocol error for one that is too
-// large or no Frame, and the reader's own error when that ends.
+// ReadFrame reads one frame. The error is Protocol if the frame is too large or not a
+// valid protobuf message. Errors of r are returned unchanged.
 func ReadFrame(r *bufio.Reader) (*Frame, error) {
-	var head [frameHead]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [frameHeaderBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
+	size := binary.BigEndian.Uint32(header[:])
 	if size > MaxFrameBytes {
-		return nil, failure.Protocol.New("a frame of %d bytes is over %d", size, MaxFrameBytes)
+		return nil, failure.Protocol.New("frame of %d bytes exceeds the maximum of %d", size, MaxFrameBytes)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -32,22 +33,23 @@
 	}
 	f := &Frame{}
 	if err := proto.Unmarshal(body, f); err != nil {
-		return nil, failure.Protocol.Wrap(err, "a frame does not decode")
+		return nil, failure.Protocol.Wrap(err, "cannot decode a frame")
 	}
 	return f, nil
 }
 
-// AppendFrame appends f, as it stands on the wire, to buf.
+// AppendFrame appends the wire encoding of f, with its header, to buf. The error is
+// TooLarge if f exceeds MaxFrameBytes.
 func AppendFrame(buf []byte, f *Frame) ([]byte, error) {
 	start := len(buf)
 	buf = append(buf, 0, 0, 0, 0)
 	buf, err := proto.MarshalOptions{}.MarshalAppend(buf, f)
 	if err != nil {
-		return nil, failure.Protocol.Wrap(err, "a frame does not encode")
+		return nil, failure.Protocol.Wrap(err, "cannot encode a frame")
 	}
-	size := len(buf) - start - frameHead
+	size := len(buf) - start - frameHeaderBytes
 	if size > MaxFrameBytes {
-		return nil, failure.TooLarge.New("a frame of %d bytes is over %d", size, MaxFrameBytes)
+		return nil, failure.TooLarge.New("frame of %d bytes exceeds the maximum of %d", size, MaxFrameBytes)
 	}
 	binary.BigEndian.PutUint32(buf[start:], uint32(size))
 	return buf, nil
--- a/inner/memory_test.go
+++ b/inner/memory_test.go
@@ -11,22 +11,25 @@
 	"github.com/sedgehatch/sedgehatch/fate"
 )
 
-// deaf takes no frames.
-type deaf struct{}
+// ignoringHandler ignores all frames.
+type ignoringHandler struct{}
 
-func (deaf) HandleFrame(fate.Incarnation, *Frame, func(*Frame)) {}
+func (ignoringHandler) HandleFrame(fate.Incarnation, *Frame, func(*Frame)) {}
 
-// book is a Directory.
-type book map[string]string
+// fixedAddresses is an AddressResolver.
+type fixedAddresses map[string]string
 
-func (b book) Address(instance string) (string, bool) { a, known := b[instance]; return a, known }
+func (f fixedAddresses) Address(instance string) (string, bool) {
+	a, found := f[instance]
+	return a, found
+}
 
-// BenchmarkConnection tells what one end of a connection holds that carries
-// heartbeats, and its goroutines: a hub of a fleet of 147 has some 70.
+// BenchmarkConnection measures the memory and goroutines that one end of a connection uses
+// while it carries heartbeats. A hub in a fleet of 147 instances has about 70 connections.
 func BenchmarkConnection(b *testing.B) {
 	const peers = 60
 	for range b.N {
-		addresses := book{}
+		addresses := fixedAddresses{}
 		var meshes []*Mesh
 		open := func(name string) *Mesh {
 			l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -34,7 +37,7 @@
 				b.Fatal(err)
 			}
 			m := NewMesh(Config{
-				Fleet: "f", Self: fate.Incarnation(name + ".1"), Zone: "z", Address: l.Addr().String(), Resolver: addresses, Handler: deaf{},
+				Fleet: "f", Self: fate.Incarnation(name + ".1"), Zone: "z", Address: l.Addr().String(), Resolver: addresses, Handler: ignoringHandler{},
 				Dial: func(ctx context.Context, address string) (net.Conn, error) {
 					var d net.Dialer
 					return d.DialContext(ctx, "tcp", address)
@@ -51,7 +54,7 @@
 		for i := range peers {
 			open(fmt.Sprintf("p%02d", i))
 		}
-		before, goroutines := held(), runtime.NumGoroutine()
+		before, goroutines := usedMemory(), runtime.NumGoroutine()
 		for i := range peers {
 			peer := fate.Incarnation(fmt.Sprintf("p%02d.1", i))
 			if _, err := hub.Connect(peer.Instance()); err != nil {
@@ -67,15 +70,16 @@
 				}
 			}
 		}
-		time.Sleep(100 * time.Millisecond) // what is queued is written
+		time.Sleep(100 * time.Millisecond) // until the queued frames are written
 		const ends = 2 * peers
-		b.ReportMetric(float64(held()-before)/ends, "B/end")
+		b.ReportMetric(float64(usedMemory()-before)/ends, "B/end")
 		b.ReportMetric(float64(runtime.NumGoroutine()-goroutines)/ends, "goroutines/end")
 	}
 }
 
-// held is what the process holds in heap and stacks after a collection.
-func held() int64 {
+// usedMemory returns the bytes of heap and stacks that are in use after a garbage
+// collection.
+func usedMemory() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/inner/mesh.go
+++ b/inner/mesh.go
@@ -16,43 +16,46 @@
 	"github.com/samber/lo"
 )
 
-// Handler takes the frames of other instances.
+// Handler handles the frames of other instances.
 type Handler interface {
-	// HandleFrame takes one frame. It must not block: frames behind it wait. It may
-	// call reply once, at any time, when f has an id; f.Id zero wants none.
+	// HandleFrame handles one message or request. It must not block: the frames behind it
+	// are read only after it returns. A frame with an id is a request, and reply may be
+	// called once for it, at any time. If f.Id is zero, reply does nothing.
 	HandleFrame(from fate.Incarnation, f *Frame, reply func(*Frame))
 }
 
-// ConnectionHandler is a Handler that cares which connection a frame came on, and
-// that must know when a connection is closed: what the peer asked on it has
-// nobody to answer to any more.
+// ConnectionHandler is a Handler that needs to know on which connection a frame arrived,
+// and when a connection is closed. A request can no longer be replied to after its
+// connection is closed.
 type ConnectionHandler interface {
 	Handler
-	// HandleConnectionFrame is Frame with the connection.
-	HandleConnectionFrame(link Connection, from fate.Incarnation, f *Frame, reply func(*Frame))
-	// HandleConnectionClosed tells that no frame comes on a connection any more.
-	HandleConnectionClosed(link Connection, from fate.Incarnation)
+	// HandleConnectionFrame is like HandleFrame and is called instead of it.
+	HandleConnectionFrame(c Connection, from fate.Incarnation, f *Frame, reply func(*Frame))
+	// HandleConnectionClosed is called once a connection is closed and all its frames have
+	// been handled.
+	HandleConnectionClosed(c Connection, from fate.Incarnation)
 }
 
 // Connection is one connection to a peer.
 type Connection interface {
-	// ID names the connection; within one process no other has it.
+	// ID identifies the connection within this process.
 	ID() uint64
-	// Send sends a frame on this connection. The error is Unreachable once it
-	// is closed.
+	// Send sends a frame on this connection. The error is Unreachable if the connection is
+	// closed or the peer reads too slowly.
 	Send(f *Frame) error
 }
 
-// AddressResolver tells where instances listen.
+// AddressResolver finds the addresses of instances.
 type AddressResolver interface {
-	// Address returns the host and port of an instance's inner listener.
+	// Address returns the host and port of an instance's inner listener, or false if they are
+	// unknown.
 	Address(instance string) (string, bool)
 }
 
-// Dialer opens a connection to an address. Tests cut and delay here.
+// Dialer opens a connection to an address. Tests replace it to delay and break connections.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Config is what a Mesh needs to know.
+// Config configures a Mesh.
 type Config struct {
 	Fleet       string
 	Self        fate.Incarnation
@@ -62,47 +65,49 @@
 	Address     string // of this instance's inner listener
 	Resolver    AddressResolver
 	Handler     Handler
-	Dial        Dialer            // nil is TCP
-	DialTimeout time.Duration     // zero is DefaultDialTimeout
+	Dial        Dialer            // TCP if nil
+	DialTimeout time.Duration     // DefaultDialTimeout if zero
 	CountSent   func(kind string) // counts each frame that is sent; may be nil
-	OnHello     func(*Hello)      // takes what each peer says of itself; may be nil
-	ClockMs     func() uint64     // the steady clock that peers are told, milliseconds; may be nil
-	// ShareConnections makes the mesh send on any open connection to a peer, whoever opened
-	// it. SendHeartbeat has to be called on both sides then, a few times in
+	OnHello     func(*Hello)      // called with the hello of each connection's peer; may be nil
+	ClockMs     func() uint64     // monotonic clock in milliseconds, sent to peers in the hello; may be nil
+	// ShareConnections makes the mesh send on any open connection to a peer, no matter which
+	// side opened it. Both sides must then call SendHeartbeat several times within
 	// SilenceTimeout.
 	ShareConnections bool
-	// SilenceTimeout is how long a connection to an instance may be silent before it
-	// counts as broken; for Shared.
+	// SilenceTimeout returns how long after the last received frame a connection to an
+	// instance counts as broken. It is only used, and required, with ShareConnections.
 	SilenceTimeout func(instance string) time.Duration
-	// QueueOnly makes TrySend, CallAsync and replies never wait for a peer that does
-	// not read. Frames take a wake-up more.
+	// QueueOnly ensures that TrySend, CallAsync and replies never wait for a peer that does
+	// not read. It costs an additional wake-up per frame.
 	QueueOnly bool
 }
 
-// DefaultDialTimeout bounds opening a connection, the hello included.
+// DefaultDialTimeout bounds opening a connection, including the exchange of hellos.
 const DefaultDialTimeout = time.Second
 
-// retryDial is how long a peer that could not be reached is left alone.
-const retryDial = 200 * time.Millisecond
+// redialDelay is the minimum time between a failed dial to a peer and the next one.
+const redialDelay = 200 * time.Millisecond
 
-// Mesh keeps the connections to other instances: one for what this instance
-// asks, opened on first use, and one for what each peer asks.
+// Mesh manages the connections to other instances. By default there are two for each
+// peer: one that this instance opens on first use for what it sends, and one that the peer
+// opens. With Config.ShareConnections both sides send on the same connection.
 type Mesh struct {
-	cfg     Config
-	mu      sync.Mutex
-	links   map[string]*dialed // by instance
-	byPeer  map[string][]*link // every open connection, by instance
-	closed  bool
-	running sync.WaitGroup
-	traffic traffic
+	cfg        Config
+	mu         sync.Mutex
+	dialed     map[string]*dialState    // by instance
+	open       map[string][]*connection // all open connections, by instance
+	closed     bool
+	goroutines sync.WaitGroup
+	sendState  sendState
 }
 
-// dialed is the connection to one peer, or the last failure to open it.
-type dialed struct {
-	mu     sync.Mutex
-	link   *link
-	err    error
-	failed time.Time
+// dialState is the connection that this instance opened to one peer, or the last failure
+// to open it. mu is held while the connection is being opened.
+type dialState struct {
+	mu         sync.Mutex
+	connection *connection
+	lastErr    error
+	failedAt   time.Time
 }
 
 // NewMesh returns a mesh without connections.
@@ -125,141 +130,144 @@
 	if cfg.CountSent == nil {
 		cfg.CountSent = func(string) {}
 	}
-	m := &Mesh{cfg: cfg, links: map[string]*dialed{}, byPeer: map[string][]*link{}}
-	m.traffic.queueOnly = cfg.QueueOnly
+	m := &Mesh{cfg: cfg, dialed: map[string]*dialState{}, open: map[string][]*connection{}}
+	m.sendState.queueOnly = cfg.QueueOnly
 	return m
 }
 
-// Serve takes connections from l until it or the mesh is closed.
+// Serve accepts connections from l until l or the mesh is closed.
 func (m *Mesh) Serve(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		if !m.start(func() { m.accept(conn) }) {
+		if !m.startGoroutine(func() { m.accept(conn) }) {
 			_ = conn.Close()
 			return
 		}
 	}
 }
 
-// start runs f in a goroutine that Close waits for, and reports false where the mesh is
-// closed: Close may have done waiting.
-func (m *Mesh) start(f func()) bool {
+// startGoroutine runs f in a goroutine that Close waits for. If the mesh is closed, it does
+// nothing and reports false, because Close may have finished waiting.
+func (m *Mesh) startGoroutine(f func()) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.closed {
-		m.running.Go(f)
+		m.goroutines.Go(f)
 	}
 	return !m.closed
 }
 
-func (m *Mesh) take(k *link, f *Frame) {
+// handleFrame passes a message or request to the handler.
+func (m *Mesh) handleFrame(c *connection, f *Frame) {
 	id := f.GetId()
-	answer := func(reply *Frame) {
+	sendReply := func(reply *Frame) {
 		if id == 0 {
 			return
 		}
 		reply.Id = id
 		reply.Reply = true
 		m.cfg.CountSent(KindOf(reply))
-		_ = k.send(reply)
+		_ = c.send(reply)
 	}
-	if h, cares := m.cfg.Handler.(ConnectionHandler); cares {
-		h.HandleConnectionFrame(k, k.peer, f, answer)
+	if h, ok := m.cfg.Handler.(ConnectionHandler); ok {
+		h.HandleConnectionFrame(c, c.peer, f, sendReply)
 		return
 	}
-	m.cfg.Handler.HandleFrame(k.peer, f, answer)
+	m.cfg.Handler.HandleFrame(c.peer, f, sendReply)
 }
 
-// ended tells a handler that cares that a connection is closed.
-func (m *Mesh) ended(k *link) {
-	if h, cares := m.cfg.Handler.(ConnectionHandler); cares {
-		h.HandleConnectionClosed(k, k.peer)
+// notifyClosed notifies a ConnectionHandler that a connection is closed.
+func (m *Mesh) notifyClosed(c *connection) {
+	if h, ok := m.cfg.Handler.(ConnectionHandler); ok {
+		h.HandleConnectionClosed(c, c.peer)
 	}
 }
 
-// CloseConnections closes every connection with an incarnation of an instance, also those
-// that it opened. Those of the instance's next incarnation stay. It does not wait
-// for a dial that is under way: a peer that is lost answers none.
+// CloseConnections closes all connections to an incarnation of an instance, including those
+// that the peer opened. Connections to other incarnations of the instance stay open. It does
+// not wait for a dial in progress, because a lost peer may leave the dial without a response.
 func (m *Mesh) CloseConnections(peer fate.Incarnation) {
 	instance := peer.Instance()
-	links := m.linksTo(instance)
-	former := slices.DeleteFunc(slices.Clone(links), func(k *link) bool { return k.peer != peer })
-	if len(former) == len(links) {
+	connections := m.connectionsTo(instance)
+	matching := slices.DeleteFunc(slices.Clone(connections), func(c *connection) bool { return c.peer != peer })
+	if len(matching) == len(connections) {
 		m.mu.Lock()
-		delete(m.links, instance)
+		delete(m.dialed, instance)
 		m.mu.Unlock()
 	}
-	for _, k := range former {
-		k.close()
+	for _, c := range matching {
+		c.close()
 	}
 }
 
-// slot returns what is kept of the connections to an instance that this one
-// opens. The error is Unreachable once the mesh is closed.
-func (m *Mesh) slot(instance string) (*dialed, error) {
+// dialStateOf returns the dial state of an instance, creating it if needed. The error is
+// Unreachable if the mesh is closed.
+func (m *Mesh) dialStateOf(instance string) (*dialState, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
 		return nil, failure.Unreachable.New("the mesh is closed")
 	}
-	d := m.links[instance]
-	if d == nil {
-		d = &dialed{}
-		m.links[instance] = d
+	state := m.dialed[instance]
+	if state == nil {
+		state = &dialState{}
+		m.dialed[instance] = state
 	}
-	return d, nil
+	return state, nil
 }
 
 // connect returns the open connection to an instance, opening it if needed.
-func (m *Mesh) connect(instance string) (*link, error) {
-	d, err := m.slot(instance)
+func (m *Mesh) connect(instance string) (*connection, error) {
+	state, err := m.dialStateOf(instance)
 	if err != nil {
 		return nil, err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if k := m.sharedWith(instance); k != nil {
-		return k, nil
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	if c := m.sharedConnection(instance); c != nil {
+		return c, nil
 	}
-	if d.link != nil && !d.link.isDown() {
-		return d.link, nil
+	if state.connection != nil && !state.connection.isClosed() {
+		return state.connection, nil
 	}
-	if d.err != nil && clock.Since(d.failed) < retryDial {
-		return nil, d.err
+	if state.lastErr != nil && clock.Since(state.failedAt) < redialDelay {
+		return nil, state.lastErr
 	}
-	d.link, d.err = m.dial(instance)
-	if d.err != nil {
-		d.failed = clock.Now()
+	state.connection, state.lastErr = m.dial(instance)
+	if state.lastErr != nil {
+		state.failedAt = clock.Now()
 	}
-	return d.link, d.err
+	return state.connection, state.lastErr
 }
 
-func (k *link) isDown() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.down
+func (c *connection) isClosed() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closed
 }
 
-// to returns the connection to one incarnation; one without a boot id is
-// whichever incarnation the instance is now.
-func (m *Mesh) to(peer fate.Incarnation) (*link, error) {
-	if _, _, exact := cutBoot(peer); !exact || strings.HasPrefix(string(peer), atAddress) {
+// connectTo returns the open connection to an incarnation, opening it if needed. If peer has
+// no boot id, it stands for the current incarnation of the instance.
+func (m *Mesh) connectTo(peer fate.Incarnation) (*connection, error) {
+	if _, _, exact := splitIncarnation(peer); !exact || strings.HasPrefix(string(peer), atAddressPrefix) {
 		return m.connect(string(peer))
 	}
-	k, err := m.connect(peer.Instance())
+	c, err := m.connect(peer.Instance())
 	if err != nil {
 		return nil, err
 	}
-	if k.peer != peer {
-		return nil, failure.Gone.New("%s is gone: its instance is %s now", peer, k.peer)
+	if c.peer != peer {
+		return nil, failure.Gone.New("%s is gone: the instance is running as %s", peer, c.peer)
 	}
-	return k, nil
+	return c, nil
 }
 
-func cutBoot(i fate.Incarnation) (string, string, bool) {
+// splitIncarnation splits i into the name of the instance and its boot id. It reports false
+// if i has no boot id.
+func splitIncarnation(i fate.Incarnation) (string, string, bool) {
 	name := i.Instance()
 	if name == string(i) {
 		return name, "", false
@@ -267,56 +275,58 @@
 	return name, string(i)[len(name)+1:], true
 }
 
-// Connect returns the incarnation that an instance is now.
+// Connect opens a connection to an instance if there is none, and returns the incarnation
+// that the instance is running as.
 func (m *Mesh) Connect(instance string) (fate.Incarnation, error) {
-	k, err := m.connect(instance)
+	c, err := m.connect(instance)
 	if err != nil {
 		return "", err
 	}
-	return k.peer, nil
+	return c.peer, nil
 }
 
-// open returns the connection if it is open and nobody is opening it.
-func (d *dialed) open() *link {
-	if d == nil || !d.mu.TryLock() {
+// openConnection returns the connection, or nil if it is not open or is being opened.
+func (s *dialState) openConnection() *connection {
+	if s == nil || !s.mu.TryLock() {
 		return nil
 	}
-	defer d.mu.Unlock()
-	if d.link == nil || d.link.isDown() {
+	defer s.mu.Unlock()
+	if s.connection == nil || s.connection.isClosed() {
 		return nil
 	}
-	return d.link
+	return s.connection
 }
 
-// SentBytes returns the bytes of frames that this instance has sent.
-func (m *Mesh) SentBytes() int64 { return m.traffic.sent.Load() }
+// SentBytes returns the number of bytes of all frames that this instance has sent.
+func (m *Mesh) SentBytes() int64 { return m.sendState.sentBytes.Load() }
 
-// CloseDialed closes the connection to an instance, so that calls to it end at once.
+// CloseDialed closes the connection that this instance opened to another, so that calls on
+// it end at once.
 func (m *Mesh) CloseDialed(instance string) {
 	m.mu.Lock()
-	d := m.links[instance]
-	delete(m.links, instance)
+	state := m.dialed[instance]
+	delete(m.dialed, instance)
 	m.mu.Unlock()
-	if d == nil {
+	if state == nil {
 		return
 	}
-	d.mu.Lock()
-	k := d.link
-	d.mu.Unlock()
-	if k != nil {
-		k.close()
+	state.mu.Lock()
+	c := state.connection
+	state.mu.Unlock()
+	if c != nil {
+		c.close()
 	}
 }
 
-// Close closes every connection and waits for their readers.
+// Close closes all connections and waits until their frames have been handled.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.closed = true
-	m.links = map[string]*dialed{}
-	open := lo.Flatten(slices.Collect(maps.Values(m.byPeer)))
+	m.dialed = map[string]*dialState{}
+	open := lo.Flatten(slices.Collect(maps.Values(m.open)))
 	m.mu.Unlock()
-	for _, k := range open {
-		k.close()
+	for _, c := range open {
+		c.close()
 	}
-	m.running.Wait()
+	m.goroutines.Wait()
 }
--- a/inner/mesh_test.go
+++ b/inner/mesh_test.go
@@ -14,41 +14,42 @@
 	"go.uber.org/goleak"
 )
 
-// peers is a directory that tests write into.
-type peers struct {
+// mapResolver is an AddressResolver whose addresses tests can change.
+type mapResolver struct {
 	mu        sync.Mutex
 	addresses map[string]string
 }
 
-func (p *peers) Address(instance string) (string, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a, known := p.addresses[instance]
-	return a, known
+func (r *mapResolver) Address(instance string) (string, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	a, found := r.addresses[instance]
+	return a, found
 }
 
-// echo answers every call with its own frame; what takes a call and keeps it.
-type echo struct{ kept chan *Frame }
+// echoHandler replies to each request with the body of the request. Frames with a Cancel
+// body get no reply and are sent to cancels instead.
+type echoHandler struct{ cancels chan *Frame }
 
-func (e *echo) HandleFrame(_ fate.Incarnation, f *Frame, reply func(*Frame)) {
+func (e *echoHandler) HandleFrame(_ fate.Incarnation, f *Frame, reply func(*Frame)) {
 	if f.GetCancel() != nil {
-		e.kept <- f
+		e.cancels <- f
 		return
 	}
 	reply(&Frame{Body: f.GetBody()})
 }
 
-func startMesh(t *testing.T, dir *peers, self fate.Incarnation, fleet string) (*Mesh, *echo) {
+func startMesh(t *testing.T, resolver *mapResolver, self fate.Incarnation, fleet string) (*Mesh, *echoHandler) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &echo{kept: make(chan *Frame, 1)}
-	m := NewMesh(Config{Fleet: fleet, Self: self, Resolver: dir, Handler: e, SilenceTimeout: func(string) time.Duration { return time.Minute }})
-	dir.mu.Lock()
-	dir.addresses[self.Instance()] = l.Addr().String()
-	dir.mu.Unlock()
+	e := &echoHandler{cancels: make(chan *Frame, 1)}
+	m := NewMesh(Config{Fleet: fleet, Self: self, Resolver: resolver, Handler: e, SilenceTimeout: func(string) time.Duration { return time.Minute }})
+	resolver.mu.Lock()
+	resolver.addresses[self.Instance()] = l.Addr().String()
+	resolver.mu.Unlock()
 	served := make(chan struct{})
 	go func() {
 		m.Serve(l)
@@ -68,17 +69,17 @@
 
 func TestCalls(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	dir := &peers{addresses: map[string]string{}}
-	a, _ := startMesh(t, dir, "a.1", "f")
-	_, kept := startMesh(t, dir, "b.1", "f")
-	startMesh(t, dir, "stranger.1", "other")
+	resolver := &mapResolver{addresses: map[string]string{}}
+	a, _ := startMesh(t, resolver, "a.1", "f")
+	_, handler := startMesh(t, resolver, "b.1", "f")
+	startMesh(t, resolver, "stranger.1", "other")
 
 	f, err := a.Call(context.Background(), "b.1", heartbeat())
 	if err != nil || f.GetHeartbeat().GetActiveJobs() != 7 {
 		t.Fatalf("reply %v, %v", f, err)
 	}
 	if who, err := a.Connect("b"); err != nil || who != "b.1" {
-		t.Errorf("b is %s, %v", who, err)
+		t.Errorf("b is running as %s, %v", who, err)
 	}
 	for peer, want := range map[fate.Incarnation]func(error) bool{
 		"b.2":        func(err error) bool { return failure.Is(err, failure.Gone) },
@@ -94,44 +95,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-kept.kept
+	<-handler.cancels
 	a.CloseDialed("b")
 	if _, err := p.Wait(context.Background()); !failure.Is(err, failure.Lost) {
-		t.Errorf("a call whose connection broke: %v", err)
+		t.Errorf("a call whose connection broke: %v, want Lost", err)
 	}
 	short, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	if _, err := a.Call(short, "b.1", &Frame{Body: &Frame_Cancel{&Cancel{}}}); !failure.Is(err, failure.Timeout) {
-		t.Errorf("a call without a reply: %v", err)
+		t.Errorf("a call without a reply: %v, want Timeout", err)
 	}
 }
 
 func TestGoneWhenNobodyListens(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	dir := &peers{addresses: map[string]string{}}
-	a, _ := startMesh(t, dir, "a.1", "f")
+	resolver := &mapResolver{addresses: map[string]string{}}
+	a, _ := startMesh(t, resolver, "a.1", "f")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir.mu.Lock()
-	dir.addresses["b"] = l.Addr().String()
-	dir.mu.Unlock()
+	resolver.mu.Lock()
+	resolver.addresses["b"] = l.Addr().String()
+	resolver.mu.Unlock()
 	_ = l.Close()
 	if err := a.Send("b.1", heartbeat()); !failure.Is(err, failure.Gone) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want Gone", err)
 	}
 }
 
-// TestPeerThatDoesNotRead sends far more to a peer than any buffer holds while
-// the peer reads nothing: with QueueOnly nobody waits for it.
+// TestPeerThatDoesNotRead checks that with QueueOnly no sender waits for a peer that reads
+// nothing, even if far more is sent than all buffers can hold.
 func TestPeerThatDoesNotRead(t *testing.T) {
-	dir := &peers{addresses: map[string]string{}}
-	_, stuck := startMesh(t, dir, "b.1", "f")
-	for range cap(stuck.kept) {
-		stuck.kept <- nil // its reader waits with the first frame
+	resolver := &mapResolver{addresses: map[string]string{}}
+	_, handler := startMesh(t, resolver, "b.1", "f")
+	for range cap(handler.cancels) {
+		handler.cancels <- nil // blocks its reader at the first frame
 	}
-	m := NewMesh(Config{Fleet: "f", Self: "a.1", Resolver: dir, Handler: &echo{kept: make(chan *Frame, 1)}, QueueOnly: true})
+	m := NewMesh(Config{Fleet: "f", Self: "a.1", Resolver: resolver, Handler: &echoHandler{cancels: make(chan *Frame, 1)}, QueueOnly: true})
 	t.Cleanup(m.Close)
 	if _, err := m.Connect("b"); err != nil {
 		t.Fatal(err)
@@ -145,12 +146,12 @@
 	}()
 	select {
 	case <-sent:
-	case <-time.After(8 * time.Second): // yamux gives up a write after 10 s
-		t.Error("the sender waits for a peer that does not read")
+	case <-time.After(8 * time.Second): // a yamux write times out after 10 s
+		t.Error("the sender is blocked by a peer that does not read")
 	}
 	for range 4001 {
 		select {
-		case <-stuck.kept:
+		case <-handler.cancels:
 		case <-time.After(time.Second):
 			return
 		}
--- a/inner/shared_test.go
+++ b/inner/shared_test.go
@@ -8,83 +8,83 @@
 	"time"
 )
 
-// startShared returns two shared meshes that know each other.
-func startShared(t *testing.T) (a, b *Mesh) {
+// startSharingMeshes returns two meshes with ShareConnections and a common resolver.
+func startSharingMeshes(t *testing.T) (a, b *Mesh) {
 	t.Helper()
-	dir := &peers{addresses: map[string]string{}}
-	a, _ = startMesh(t, dir, "a.1", "f")
-	b, _ = startMesh(t, dir, "b.1", "f")
+	resolver := &mapResolver{addresses: map[string]string{}}
+	a, _ = startMesh(t, resolver, "a.1", "f")
+	b, _ = startMesh(t, resolver, "b.1", "f")
 	a.cfg.ShareConnections, b.cfg.ShareConnections = true, true
 	return a, b
 }
 
-// settleLinks waits until both ends have as many connections to each other.
-func settleLinks(t *testing.T, a, b *Mesh, count int) {
+// waitForConnections waits until each mesh has count connections to the other.
+func waitForConnections(t *testing.T, a, b *Mesh, count int) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
-	for len(a.linksTo("b")) != count || len(b.linksTo("a")) != count {
+	for len(a.connectionsTo("b")) != count || len(b.connectionsTo("a")) != count {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d and %d connections, not %d", len(a.linksTo("b")), len(b.linksTo("a")), count)
+			t.Fatalf("%d and %d connections, want %d", len(a.connectionsTo("b")), len(b.connectionsTo("a")), count)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func connectShared(t *testing.T, from *Mesh, to string) {
+func connect(t *testing.T, from *Mesh, to string) {
 	t.Helper()
 	if _, err := from.Connect(to); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestSharedConnection: an instance sends on the connection that its peer has
-// opened, and opens none of its own.
+// TestSharedConnection checks that an instance uses the connection that its peer opened
+// and does not open its own.
 func TestSharedConnection(t *testing.T) {
-	a, b := startShared(t)
-	connectShared(t, a, "b")
-	settleLinks(t, a, b, 1)
-	connectShared(t, b, "a")
-	settleLinks(t, a, b, 1)
+	a, b := startSharingMeshes(t)
+	connect(t, a, "b")
+	waitForConnections(t, a, b, 1)
+	connect(t, b, "a")
+	waitForConnections(t, a, b, 1)
 }
 
-// TestSharedChoice: of two connections that are heard, both ends choose the one
-// that the first of them by name has opened; of those, the newer.
+// TestSharedChoice checks that if frames arrive on several connections, both ends choose
+// one that the instance with the lower name opened, and among those the newest.
 func TestSharedChoice(t *testing.T) {
-	a, b := startShared(t)
-	connectShared(t, b, "a")
-	settleLinks(t, a, b, 1)
+	a, b := startSharingMeshes(t)
+	connect(t, b, "a")
+	waitForConnections(t, a, b, 1)
 	if err := a.SendOnNewConnection("b", heartbeat()); err != nil {
 		t.Fatal(err)
 	}
-	settleLinks(t, a, b, 2)
-	if !a.shared("b").opened || b.shared("a").opened {
-		t.Error("the ends do not agree on the connection that a has opened")
+	waitForConnections(t, a, b, 2)
+	if !a.bestConnection("b").openedHere || b.bestConnection("a").openedHere {
+		t.Error("the ends did not both choose the connection that a opened")
 	}
-	first := a.shared("b")
+	first := a.bestConnection("b")
 	if err := a.SendOnNewConnection("b", heartbeat()); err != nil {
 		t.Fatal(err)
 	}
-	settleLinks(t, a, b, 3)
-	if a.shared("b") == first {
-		t.Error("an older connection goes before a newer one")
+	waitForConnections(t, a, b, 3)
+	if a.bestConnection("b") == first {
+		t.Error("an older connection is preferred to a newer one")
 	}
 }
 
-// TestSharedSilence: a connection that is not heard any more is left for one that
-// is, and closed.
+// TestSharedSilence checks that a silent connection is no longer used if frames arrive on
+// another one, and that it is closed.
 func TestSharedSilence(t *testing.T) {
-	a, b := startShared(t)
-	connectShared(t, a, "b")
-	settleLinks(t, a, b, 1)
-	connectShared(t, b, "a")
+	a, b := startSharingMeshes(t)
+	connect(t, a, "b")
+	waitForConnections(t, a, b, 1)
+	connect(t, b, "a")
 	if err := b.SendOnNewConnection("a", heartbeat()); err != nil {
 		t.Fatal(err)
 	}
-	settleLinks(t, a, b, 2)
-	preferred := a.shared("b")
-	preferred.heard.Store(int64(steady() - 2*time.Minute))
-	if a.shared("b") == preferred {
-		t.Error("a silent connection is used beside one that is heard")
+	waitForConnections(t, a, b, 2)
+	preferred := a.bestConnection("b")
+	preferred.lastReceived.Store(int64(monotonic() - 2*time.Minute))
+	if a.bestConnection("b") == preferred {
+		t.Error("a silent connection is preferred to one on which frames arrive")
 	}
 	e, err := EncodeFrame(heartbeat())
 	if err != nil {
@@ -93,57 +93,59 @@
 	if err := a.SendHeartbeat("b.1", e); err != nil {
 		t.Fatal(err)
 	}
-	settleLinks(t, a, b, 1)
+	waitForConnections(t, a, b, 1)
 }
 
-// TestSeverKeepsNextIncarnation: an instance that has started anew is heard on the
-// connection that it opened, while those of its former life are closed.
-func TestSeverKeepsNextIncarnation(t *testing.T) {
-	a, b := startShared(t)
-	connectShared(t, a, "b")
-	settleLinks(t, a, b, 1)
-	next, _ := startMesh(t, a.cfg.Resolver.(*peers), "b.2", "f")
+// TestCloseConnectionsKeepsNextIncarnation checks that CloseConnections closes the
+// connections to the previous incarnation of a restarted instance, but not the one that the
+// current incarnation opened.
+func TestCloseConnectionsKeepsNextIncarnation(t *testing.T) {
+	a, b := startSharingMeshes(t)
+	connect(t, a, "b")
+	waitForConnections(t, a, b, 1)
+	next, _ := startMesh(t, a.cfg.Resolver.(*mapResolver), "b.2", "f")
 	next.cfg.ShareConnections = true
-	connectShared(t, next, "a")
+	connect(t, next, "a")
 	deadline := time.Now().Add(10 * time.Second)
-	for len(a.linksTo("b")) != 2 {
+	for len(a.connectionsTo("b")) != 2 {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d connections, not 2", len(a.linksTo("b")))
+			t.Fatalf("%d connections, want 2", len(a.connectionsTo("b")))
 		}
 		time.Sleep(time.Millisecond)
 	}
 	a.CloseConnections("b.1")
-	if links := a.linksTo("b"); len(links) != 1 || links[0].peer != "b.2" {
-		t.Errorf("%d connections are left", len(links))
+	if connections := a.connectionsTo("b"); len(connections) != 1 || connections[0].peer != "b.2" {
+		t.Errorf("%d connections are left, want 1 to b.2", len(connections))
 	}
 }
 
-// TestSeverDoesNotWait: a dial that hangs holds up nobody who severs the peer.
-func TestSeverDoesNotWait(t *testing.T) {
-	a, b := startShared(t)
-	connectShared(t, a, "b")
-	settleLinks(t, a, b, 1)
+// TestCloseConnectionsDoesNotWait checks that CloseConnections returns while a dial to the
+// peer hangs.
+func TestCloseConnectionsDoesNotWait(t *testing.T) {
+	a, b := startSharingMeshes(t)
+	connect(t, a, "b")
+	waitForConnections(t, a, b, 1)
 	dialing, release := make(chan struct{}), make(chan struct{})
 	a.cfg.Dial = func(context.Context, string) (net.Conn, error) {
 		close(dialing)
 		<-release
-		return nil, errors.New("it hung")
+		return nil, errors.New("the dial hung")
 	}
-	renewed := make(chan error, 1)
-	go func() { renewed <- a.SendOnNewConnection("b", heartbeat()) }()
+	sent := make(chan error, 1)
+	go func() { sent <- a.SendOnNewConnection("b", heartbeat()) }()
 	<-dialing
-	severed := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
 		a.CloseConnections("b.1")
-		close(severed)
+		close(closed)
 	}()
 	select {
-	case <-severed:
+	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Error("it waits for the dial")
+		t.Error("CloseConnections waits for the dial")
 	}
 	close(release)
-	if err := <-renewed; err == nil {
+	if err := <-sent; err == nil {
 		t.Error("the dial did not fail")
 	}
 }
