--- a/kv/client.go
+++ b/kv/client.go
@@ -1,6 +1,6 @@
-// Package kv speaks to the key-value service of the product's own interface, with its list
-// of instances. A write whose answer is lost has error type Lost: it may have
-// taken effect, so the writer has to read back.
+// Package kv is a client of the platform in the product's own interface: of its key-value
+// service and its list of instances. If the error of a write is Lost, the write may have
+// taken effect, and the caller has to read the value to find out.
 package kv
 
 import (
@@ -18,13 +18,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Client speaks to one platform.
+// Client is a client of one platform. It never repeats a request.
 type Client struct {
-	address string
-	http    *fasthttp.Client
-	timeout time.Duration
-	count   func(kind string)
-	conns   *connset.Set
+	address   string
+	http      *fasthttp.Client
+	timeout   time.Duration
+	countCall func(kind string)
+	conns     *connset.Set
 }
 
 const (
@@ -32,8 +32,8 @@
 	dialTimeout    = time.Second
 )
 
-// NewClient returns a client of the platform at address. Count counts each
-// call and may be nil. A nil dial is TCP.
+// NewClient returns a client of the platform at address. dial opens connections; if it is
+// nil, they are TCP connections. count is called for each request and may be nil.
 func NewClient(address string, dial func(string) (net.Conn, error), count func(kind string)) *Client {
 	if dial == nil {
 		dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, dialTimeout) }
@@ -43,7 +43,7 @@
 	}
 	conns := &connset.Set{}
 	return &Client{
-		address: address, timeout: defaultTimeout, count: count, conns: conns,
+		address: address, timeout: defaultTimeout, countCall: count, conns: conns,
 		http: &fasthttp.Client{
 			Dial:                      conns.Dial(dial),
 			MaxIdemponentCallAttempts: 1,
@@ -52,16 +52,16 @@
 	}
 }
 
-// Close closes every connection, so that a waiting watch ends.
+// Close closes all connections, so that a pending Watch returns.
 func (c *Client) Close() { c.conns.Close() }
 
-// Get returns the entry of key; its version is zero where there is none.
+// Get returns the entry of key. Its version is zero if the key does not exist.
 func (c *Client) Get(key string) (api.KVEntry, error) {
 	return c.read(url.Values{"key": {key}}, c.timeout)
 }
 
-// Watch returns the entry of key once its version is above after, or as it is
-// when wait is over.
+// Watch waits until the version of key is higher than after, but at most for wait, and
+// returns the entry of key.
 func (c *Client) Watch(key string, after uint64, wait time.Duration) (api.KVEntry, error) {
 	query := url.Values{
 		"key": {key}, "after": {strconv.FormatUint(after, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
@@ -75,68 +75,72 @@
 	return entry, err
 }
 
-// CompareAndSwap writes w if the version is as expected. The error is Conflict where it
-// is not, with the entry as it stands; Lost where the effect is not known.
+// CompareAndSwap writes w if the key has the version w.Expect. If it does not, the error is
+// Conflict and the current entry is returned. If the error is Lost, the write may have taken
+// effect.
 func (c *Client) CompareAndSwap(w api.KVWrite) (api.KVEntry, error) {
 	var entry api.KVEntry
 	status, err := c.do(fasthttp.MethodPut, api.PathKV, w, c.timeout, &entry)
 	if err == nil && status == http.StatusConflict {
-		err = failure.Conflict.New("%s is at version %d, not %d", w.Key, entry.Version, w.Expect)
+		err = failure.Conflict.New("%s has version %d, want %d", w.Key, entry.Version, w.Expect)
 	}
 	return entry, err
 }
 
-// GrantLease makes a lease of the given length.
+// GrantLease creates a lease that ends after ttl unless it is renewed.
 func (c *Client) GrantLease(ttl time.Duration) (api.KVLease, error) {
-	var l api.KVLease
-	_, err := c.do(fasthttp.MethodPost, api.PathPlatformLeases, api.KVLease{TTLMs: ttl.Milliseconds()}, c.timeout, &l)
-	return l, err
+	var lease api.KVLease
+	_, err := c.do(fasthttp.MethodPost, api.PathPlatformLeases, api.KVLease{TTLMs: ttl.Milliseconds()}, c.timeout, &lease)
+	return lease, err
 }
 
-// RenewLease extends a lease by its length. The error is NotFound when it lapsed.
-func (c *Client) RenewLease(l api.KVLease) error {
-	status, err := c.do(fasthttp.MethodPut, api.PathPlatformLeases, l, c.timeout, &l)
+// RenewLease restarts the term of a lease. The error is NotFound if the lease has expired.
+func (c *Client) RenewLease(lease api.KVLease) error {
+	status, err := c.do(fasthttp.MethodPut, api.PathPlatformLeases, lease, c.timeout, &lease)
 	if err == nil && status == http.StatusNotFound {
-		return failure.NotFound.New("lease %s has lapsed", l.ID)
+		return failure.NotFound.New("lease %s has expired", lease.ID)
 	}
 	return err
 }
 
-// Instances returns the list of live and leaving instances, which lags.
+// Instances returns the instances that are alive or leaving. The list lags behind their
+// actual state.
 func (c *Client) Instances() ([]api.PlatformInstance, error) {
 	var list api.PlatformInstances
 	_, err := c.do(fasthttp.MethodGet, api.PathPlatformInstance, nil, c.timeout, &list)
 	return list.Instances, err
 }
 
-func (c *Client) do(method, path string, body any, timeout time.Duration, into any) (int, error) {
+// do sends a request and decodes the body of a response with status 200 or 409 into result.
+// It returns no error for status 404 and 409.
+func (c *Client) do(method, path string, body any, timeout time.Duration, result any) (int, error) {
 	req := fasthttp.AcquireRequest()
-	res := fasthttp.AcquireResponse()
+	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(res)
+	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://" + c.address + path)
 	req.SetTimeout(timeout)
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
-			return 0, failure.Internal.Wrap(err, "a call does not encode")
+			return 0, failure.Internal.Wrap(err, "cannot encode the request body")
 		}
 		req.SetBody(raw)
 	}
-	c.count("platform")
-	if err := c.http.Do(req, res); err != nil {
-		return 0, failure.Lost.Wrap(err, "the platform does not answer")
+	c.countCall("platform")
+	if err := c.http.Do(req, resp); err != nil {
+		return 0, failure.Lost.Wrap(err, "no response from the platform")
 	}
-	switch status := res.StatusCode(); status {
+	switch status := resp.StatusCode(); status {
 	case http.StatusNotFound:
 		return status, nil
 	case http.StatusOK, http.StatusConflict:
-		if err := json.Unmarshal(res.Body(), into); err != nil {
-			return status, failure.Protocol.Wrap(err, "the platform sent no JSON")
+		if err := json.Unmarshal(resp.Body(), result); err != nil {
+			return status, failure.Protocol.Wrap(err, "the response of the platform is not valid JSON")
 		}
 		return status, nil
 	default:
-		return status, failure.Refused.New("the platform answered status %d", status)
+		return status, failure.Refused.New("the platform responded with status %d", status)
 	}
 }
