--- a/settings/store.go
+++ b/settings/store.go
@@ -11,97 +11,99 @@
 	"github.com/google/uuid"
 )
 
-// HeadKey is where the platform keeps the settings in force.
+// HeadKey is the key of the current revision at the platform.
 const HeadKey = "sedgehatch/settings/head"
 
-// historyKey is where the platform keeps one past revision.
-func historyKey(revision uint64) string {
-	return "sedgehatch/settings/revision/" + formatRevision(revision)
+// historyKey returns the key of the copy of a revision at the platform.
+func historyKey(number uint64) string {
+	return "sedgehatch/settings/revision/" + formatRevision(number)
 }
 
-// Revision is one accepted revision.
+// Revision is one revision of the settings.
 type Revision struct {
 	Number uint64 `json:"revision"`
-	// ChangeID is the id of the change that made it, so that a writer whose
-	// answer was lost can tell whether the change was its own.
+	// ChangeID is a random id of the change that made the revision. A writer that received no
+	// response recognizes by it whether its own change took effect.
 	ChangeID string `json:"change"`
 	Author   string `json:"author,omitempty"`
-	AtMs     int64  `json:"at_ms"`
+	AtMs     int64  `json:"at_ms"` // Unix milliseconds
 	INI      string `json:"ini"`
 }
 
-// KV is the part of the platform that a Store needs.
+// KV is the key-value service of the platform. *kv.Client implements it.
 type KV interface {
 	Get(key string) (api.KVEntry, error)
 	CompareAndSwap(w api.KVWrite) (api.KVEntry, error)
 }
 
-// Store reads and changes the settings at the platform.
+// Store reads and updates the settings at the platform.
 type Store struct {
 	kv    KV
 	nowMs func() int64
 }
 
-// NewStore returns a store; nowMs gives Unix milliseconds.
+// NewStore returns a Store. nowMs returns the current time in Unix milliseconds.
 func NewStore(kv KV, nowMs func() int64) *Store { return &Store{kv, nowMs} }
 
-// DecodeRevision reads the value of HeadKey, and checks it.
+// DecodeRevision decodes and checks the value of HeadKey. An empty value is an empty tree.
 func DecodeRevision(value string) (Revision, *Tree, error) {
 	if value == "" {
 		return Revision{}, Empty(), nil
 	}
-	var h Revision
-	if err := json.Unmarshal([]byte(value), &h); err != nil {
-		return Revision{}, nil, failure.Protocol.Wrap(err, "the settings at the platform are no JSON")
+	var revision Revision
+	if err := json.Unmarshal([]byte(value), &revision); err != nil {
+		return Revision{}, nil, failure.Protocol.Wrap(err, "the settings at the platform are not valid JSON")
 	}
-	tree, problems := Parse(h.INI)
+	tree, problems := Parse(revision.INI)
 	if len(problems) > 0 {
-		return h, nil, problems[0]
+		return revision, nil, problems[0]
 	}
-	return h, tree, nil
+	return revision, tree, nil
 }
 
-// Load returns the settings in force, and the version of HeadKey.
+// Load returns the current revision, its tree and the version of HeadKey.
 func (s *Store) Load() (Revision, *Tree, uint64, error) {
 	entry, err := s.kv.Get(HeadKey)
 	if err != nil {
 		return Revision{}, nil, 0, err
 	}
-	head, tree, err := DecodeRevision(entry.Value)
-	return head, tree, entry.Version, err
+	revision, tree, err := DecodeRevision(entry.Value)
+	return revision, tree, entry.Version, err
 }
 
-// lostAnswers is how often a change reads back after a lost answer.
-const lostAnswers = 5
+// readBackAttempts is how often an update tries to read the settings after a failed write.
+const readBackAttempts = 5
 
-// Update makes edit's tree the next revision. Base, where it is not zero, is
-// the revision that the operator saw; the error is Conflict when another one
-// is in force by now. An answer that is lost is cleared up by reading back: the
-// error is Lost only when the platform then does not answer either.
+// Update makes the tree that edit returns the next revision. base is the number of the
+// revision that the operator has seen, or zero. The error is Conflict if base is no longer
+// the current revision or if another update was faster. If the write fails, the settings
+// are read back to find out whether it took effect. The error is Lost if that remains
+// uncertain.
 func (s *Store) Update(base uint64, author string, edit func(*Tree) (*Tree, []error)) (Revision, []Difference, error) {
-	head, tree, version, err := s.Load()
+	current, tree, version, err := s.Load()
 	if err != nil {
 		return Revision{}, nil, err
 	}
-	if base != 0 && base != head.Number {
-		return head, nil, failure.Field(failure.Conflict, "revision", "revision %d is in force, by %q; the change was made against %d", head.Number, head.Author, base)
+	if base != 0 && base != current.Number {
+		return current, nil, failure.Field(failure.Conflict, "revision", "revision %d is in force, by %q, but the change is based on %d", current.Number, current.Author, base)
 	}
-	after, problems := edit(tree)
+	edited, problems := edit(tree)
 	if len(problems) > 0 {
-		return head, nil, problems[0]
+		return current, nil, problems[0]
 	}
-	next := Revision{Number: head.Number + 1, ChangeID: uuid.NewString(), Author: author, AtMs: s.nowMs(), INI: after.Text()}
-	if err := s.write(next, version); err != nil {
-		return head, nil, err
+	next := Revision{Number: current.Number + 1, ChangeID: uuid.NewString(), Author: author, AtMs: s.nowMs(), INI: edited.Text()}
+	if err := s.writeCurrent(next, version); err != nil {
+		return current, nil, err
 	}
-	s.remember(next)
-	return next, tree.Diff(after), nil
+	s.saveToHistory(next)
+	return next, tree.Diff(edited), nil
 }
 
-func (s *Store) write(next Revision, version uint64) error {
+// writeCurrent makes next the current revision if HeadKey still has the given version.
+func (s *Store) writeCurrent(next Revision, version uint64) error {
 	value, err := json.Marshal(next)
 	if err != nil {
-		return failure.Internal.Wrap(err, "the settings do not encode")
+		return failure.Internal.Wrap(err, "cannot encode the settings")
 	}
 	_, err = s.kv.CompareAndSwap(api.KVWrite{Key: HeadKey, Value: string(value), Expect: version})
 	if err == nil {
@@ -110,67 +112,67 @@
 	return s.readBack(next, err)
 }
 
-// readBack finds out whether a write took effect.
+// readBack returns nil if a write that failed with the error cause took effect after all.
 func (s *Store) readBack(next Revision, cause error) error {
-	for range lostAnswers {
-		head, _, _, err := s.Load()
+	for range readBackAttempts {
+		current, _, _, err := s.Load()
 		if err != nil {
 			continue
 		}
-		if head.ChangeID == next.ChangeID {
+		if current.ChangeID == next.ChangeID {
 			return nil
 		}
-		if head.Number >= next.Number {
-			return failure.Field(failure.Conflict, "revision", "%q made revision %d first; read it and change again", head.Author, head.Number)
+		if current.Number >= next.Number {
+			return failure.Field(failure.Conflict, "revision", "%q has already made revision %d; read it and repeat the change", current.Author, current.Number)
 		}
 		return cause
 	}
-	return failure.Lost.Wrap(cause, "the change may have taken effect: read the settings back when the platform answers")
+	return failure.Lost.Wrap(cause, "the change may have taken effect; read the settings once the platform responds")
 }
 
-// remember keeps a copy of a revision for history and rollback. It is only a
-// copy: when it cannot be written the revision is in force all the same.
-func (s *Store) remember(h Revision) {
-	value, err := json.Marshal(h)
+// saveToHistory writes a copy of a revision for History and rollbacks. Errors are ignored,
+// because the revision is in force without the copy.
+func (s *Store) saveToHistory(revision Revision) {
+	value, err := json.Marshal(revision)
 	if err == nil {
-		_, _ = s.kv.CompareAndSwap(api.KVWrite{Key: historyKey(h.Number), Value: string(value)})
+		_, _ = s.kv.CompareAndSwap(api.KVWrite{Key: historyKey(revision.Number), Value: string(value)})
 	}
 }
 
-// History returns up to limit revisions, newest first, as far as they are kept.
+// History returns up to limit revisions, newest first. It omits revisions without a copy.
 func (s *Store) History(limit int) ([]Revision, error) {
-	head, _, _, err := s.Load()
+	current, _, _, err := s.Load()
 	if err != nil {
 		return nil, err
 	}
 	var list []Revision
-	for r := head.Number; r > 0 && len(list) < limit; r-- {
-		h, err := s.Revision(r)
+	for r := current.Number; r > 0 && len(list) < limit; r-- {
+		revision, err := s.Revision(r)
 		if failure.Is(err, failure.NotFound) {
 			continue
 		}
 		if err != nil {
 			return list, err
 		}
-		list = append(list, h)
+		list = append(list, revision)
 	}
 	return list, nil
 }
 
-// Revision returns a past revision, with a NotFound error where none is kept.
-func (s *Store) Revision(revision uint64) (Revision, error) {
-	entry, err := s.kv.Get(historyKey(revision))
+// Revision returns the copy of a revision. The error is NotFound if there is none.
+func (s *Store) Revision(number uint64) (Revision, error) {
+	entry, err := s.kv.Get(historyKey(number))
 	if err != nil {
 		return Revision{}, err
 	}
 	if entry.Version == 0 {
-		return Revision{}, failure.Field(failure.NotFound, "revision", "revision %d is not kept", revision)
+		return Revision{}, failure.Field(failure.NotFound, "revision", "there is no copy of revision %d", number)
 	}
-	var h Revision
-	if err := json.Unmarshal([]byte(entry.Value), &h); err != nil {
-		return Revision{}, failure.Protocol.Wrap(err, "revision %d is no JSON", revision)
+	var decoded Revision
+	if err := json.Unmarshal([]byte(entry.Value), &decoded); err != nil {
+		return Revision{}, failure.Protocol.Wrap(err, "the copy of revision %d is not valid JSON", number)
 	}
-	return h, nil
+	return decoded, nil
 }
 
 func sortDifferences(list []Difference) {
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -11,29 +11,29 @@
 	"gopkg.in/ini.v1"
 )
 
-// Level is a level of the tree.
+// Level is a level of the settings tree.
 type Level string
 
-// The levels, from the top down.
+// The levels, from the highest to the lowest.
 const (
 	LevelFleet   Level = "fleet"
 	LevelRegion  Level = "region"
 	LevelZone    Level = "zone"
 	LevelService Level = "service"
 	LevelCaller  Level = "caller"
-	// LevelDefault stands for what applies where no level says anything.
+	// LevelDefault is the origin of a value that is not set at any level.
 	LevelDefault Level = "default"
 )
 
 var levels = []Level{LevelFleet, LevelRegion, LevelZone, LevelService, LevelCaller}
 
-// Node names one node of the tree; the fleet's has no name.
+// Node identifies a node of the tree. The node of the fleet has no name.
 type Node struct {
 	Level Level
 	Name  string
 }
 
-// String returns the node as it heads its section, such as "service desk".
+// String returns the section name of the node, such as "service desk".
 func (n Node) String() string {
 	if n.Name == "" {
 		return string(n.Level)
@@ -41,7 +41,7 @@
 	return string(n.Level) + " " + n.Name
 }
 
-// ParseNode reads a section's head, with an InvalidInput error for no node.
+// ParseNode parses a section name. The error is InvalidInput if it does not name a node.
 func ParseNode(s string) (Node, error) {
 	level, name, _ := strings.Cut(strings.TrimSpace(s), " ")
 	n := Node{Level(level), strings.TrimSpace(name)}
@@ -50,10 +50,10 @@
 			return n, nil
 		}
 	}
-	return Node{}, failure.Field(failure.InvalidInput, s, "is no section; allowed: [fleet], [region NAME], [zone NAME], [service NAME], [caller NAME]")
+	return Node{}, failure.Field(failure.InvalidInput, s, "is not a valid section; allowed: [fleet], [region NAME], [zone NAME], [service NAME], [caller NAME]")
 }
 
-// Tree is the settings of one revision. It is never changed.
+// Tree holds the settings of one revision. It is immutable.
 type Tree struct {
 	nodes map[Node]map[string]string
 	text  string
@@ -64,7 +64,7 @@
 
 var loadOptions = ini.LoadOptions{IgnoreInlineComment: true, SpaceBeforeInlineComment: true}
 
-// Parse reads and checks a tree in INI. Every problem is in the error list.
+// Parse parses and checks a tree in INI format. It returns all problems, not only the first.
 func Parse(text string) (*Tree, []error) {
 	file, err := ini.LoadSources(loadOptions, []byte(text))
 	if err != nil {
@@ -81,7 +81,7 @@
 			problems = append(problems, err)
 			continue
 		}
-		problems = append(problems, t.take(node, section)...)
+		problems = append(problems, t.addSection(node, section)...)
 	}
 	if len(problems) > 0 {
 		return nil, problems
@@ -89,7 +89,8 @@
 	return t, nil
 }
 
-func (t *Tree) take(node Node, section *ini.Section) []error {
+// addSection adds a section to t and returns the problems of its values.
+func (t *Tree) addSection(node Node, section *ini.Section) []error {
 	var problems []error
 	values := map[string]string{}
 	for _, key := range section.Keys() {
@@ -102,10 +103,11 @@
 	return problems
 }
 
-// Text returns the tree in INI.
+// Text returns the tree in INI format.
 func (t *Tree) Text() string { return t.text }
 
-// With returns the tree with key set at node, or unset where value is nil.
+// With returns a copy of the tree in which key is set to value at node, or not set at node if
+// value is nil.
 func (t *Tree) With(node Node, key string, value *string) (*Tree, []error) {
 	file, err := ini.LoadSources(loadOptions, []byte(t.text))
 	if err != nil {
@@ -118,16 +120,18 @@
 	}
 	var buf bytes.Buffer
 	if _, err := file.WriteTo(&buf); err != nil {
-		return nil, []error{failure.Internal.Wrap(err, "the settings cannot be written")}
+		return nil, []error{failure.Internal.Wrap(err, "cannot write the settings as INI")}
 	}
 	return Parse(buf.String())
 }
 
-// Path says where a value is wanted: the node of each level, "" for none.
+// Path holds the name of one node at each level, for which a value is looked up. An empty
+// name skips the level.
 type Path struct {
 	Region, Zone, Service, Caller string
 }
 
+// nodes returns the nodes on the path, from the highest level to the lowest.
 func (p Path) nodes() []Node {
 	list := []Node{{LevelFleet, ""}}
 	for _, n := range []Node{{LevelRegion, p.Region}, {LevelZone, p.Zone}, {LevelService, p.Service}, {LevelCaller, p.Caller}} {
@@ -138,14 +142,15 @@
 	return list
 }
 
-// Value is a setting in force somewhere, and the node that it came from.
+// Value is the value of a setting at some path, with the node where it is set.
 type Value struct {
 	Key  string
 	Text string
 	From Node
 }
 
-// Get returns the value of key at path: that of the lowest level that has one.
+// Get returns the value of key at path, which is set at the lowest level of path that sets
+// key. If no level does, it returns the default.
 func (t *Tree) Get(path Path, key string) Value {
 	v := Value{Key: key, Text: byKey[key].Default, From: Node{Level: LevelDefault}}
 	for _, n := range path.nodes() {
@@ -160,7 +165,7 @@
 func (t *Tree) Int(path Path, key string) int64 {
 	n, err := strconv.ParseInt(t.Get(path, key).Text, 10, 64)
 	if err != nil {
-		return 0 // cannot be: values are checked
+		return 0 // impossible: Parse checks the values
 	}
 	return n
 }
@@ -169,24 +174,25 @@
 func (t *Tree) Float(path Path, key string) float64 {
 	f, err := strconv.ParseFloat(t.Get(path, key).Text, 64)
 	if err != nil {
-		return 0 // cannot be: values are checked
+		return 0 // impossible: Parse checks the values
 	}
 	return f
 }
 
-// Difference is one value that two trees do not share; "" is not set.
+// Difference is a value that differs between two trees. Before or After is empty if the
+// value is not set.
 type Difference struct {
 	Node          Node
 	Key           string
 	Before, After string
 }
 
-// Diff returns what changes from t to o, by node and key.
-func (t *Tree) Diff(o *Tree) []Difference {
+// Diff returns the differences between t and other, sorted by node and key.
+func (t *Tree) Diff(other *Tree) []Difference {
 	var list []Difference
-	for node := range union(t.nodes, o.nodes) {
-		for key := range union(t.nodes[node], o.nodes[node]) {
-			if b, a := t.nodes[node][key], o.nodes[node][key]; a != b {
+	for node := range unionOfKeys(t.nodes, other.nodes) {
+		for key := range unionOfKeys(t.nodes[node], other.nodes[node]) {
+			if b, a := t.nodes[node][key], other.nodes[node][key]; a != b {
 				list = append(list, Difference{node, key, b, a})
 			}
 		}
@@ -195,7 +201,7 @@
 	return list
 }
 
-func union[K comparable, V any](a, b map[K]V) map[K]bool {
+func unionOfKeys[K comparable, V any](a, b map[K]V) map[K]bool {
 	all := map[K]bool{}
 	for k := range a {
 		all[k] = true
@@ -206,9 +212,9 @@
 	return all
 }
 
-func formatRevision(revision uint64) string { return strconv.FormatUint(revision, 10) }
+func formatRevision(number uint64) string { return strconv.FormatUint(number, 10) }
 
-// NodeNames returns the names that a level has nodes for, sorted.
+// NodeNames returns the names of the nodes at a level, sorted.
 func (t *Tree) NodeNames(level Level) []string {
 	var names []string
 	for n := range t.nodes {
--- a/settings/tree_test.go
+++ b/settings/tree_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestEveryProblem holds that one check names all that is wrong.
+// TestEveryProblem checks that Parse returns all problems of a text at once.
 func TestEveryProblem(t *testing.T) {
 	_, problems := Parse("[fleet]\ncolour = red\ndeadline_ms = soon\n[planet x]\n[zone]\n[service s]\nweight = 0\n")
 	if len(problems) != 5 {
@@ -96,12 +96,12 @@
 			return
 		}
 		value := "7"
-		again, problems := tree.With(Node{LevelService, "fuzz"}, KeyWeight, &value)
+		changed, problems := tree.With(Node{LevelService, "fuzz"}, KeyWeight, &value)
 		if len(problems) > 0 {
-			t.Fatalf("a tree that was right became wrong: %v", problems)
+			t.Fatalf("With made a valid tree invalid: %v", problems)
 		}
-		if d := tree.Diff(again); len(d) > 1 {
-			t.Fatalf("one change became %v", d)
+		if d := tree.Diff(changed); len(d) > 1 {
+			t.Fatalf("one change led to several differences: %v", d)
 		}
 	})
 }
