--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain tells the story of one job from the logs of all instances.
+// Package explain reports what happened to one job, and why, from the logs of all instances.
 package explain
 
 import (
@@ -14,134 +14,135 @@
 	"github.com/samber/lo"
 )
 
-// Line is one line of a log that concerns a job, or what instances believed
-// while it was open.
+// Line is one line of a log.
 type Line struct {
-	Time     time.Time // when it was decided
+	Time     time.Time // when the event happened, which may be earlier than when it was logged
 	Instance string
 	Event    string
-	Fields   map[string]any
+	Fields   map[string]any // all other fields
 }
 
-// String returns a field as text, "" where there is none.
-func (l Line) String(key string) string {
-	v, known := l.Fields[key]
-	if !known {
+// Field returns a field as text, or "" if the line does not have it.
+func (l Line) Field(key string) string {
+	v, found := l.Fields[key]
+	if !found {
 		return ""
 	}
 	return strings.Trim(fmt.Sprint(v), `"`)
 }
 
 const (
-	// longestLine bounds a line of a log, in bytes.
-	longestLine = 1 << 20
-	// around is how long before and after a job what instances believed is told.
-	around = time.Second
+	maxLineBytes = 1 << 20
+	// contextMargin is how long before the first and after the last line of a job the context
+	// events are reported.
+	contextMargin = time.Second
 )
 
-// beliefs are the events that concern many jobs at once.
-var beliefs = map[string]bool{
+// contextEvents are events that affect many jobs at once and may explain what happened to one
+// of them.
+var contextEvents = map[string]bool{
 	"upstream_silent": true, "upstream_doubted": true, "upstream_fenced": true, "upstream_gone": true,
 	"peer_lost": true, "group_taken": true, "group_lost": true, "store_lost": true, "node_draining": true, "node_started": true,
 	"log_dropped": true, "zone_evacuated": true, "zone_returned": true,
 }
 
-// Logs holds the lines that were read.
+// Logs holds the lines of the logs of several instances. The zero value is empty.
 type Logs struct {
-	lines     []Line
-	Unread    int // lines that are no log lines
-	instances map[string]bool
+	lines        []Line
+	SkippedLines int // lines that could not be parsed
+	instances    map[string]bool
 }
 
-// Read adds the lines of r. What stands before the JSON of a line is passed
-// over. The error is that of r.
-func (g *Logs) Read(r io.Reader) error {
-	if g.instances == nil {
-		g.instances = map[string]bool{}
+// Read adds the lines of r. Text before the JSON object of a line is ignored, and lines without
+// one are skipped. It returns an error if reading fails or a line exceeds maxLineBytes.
+func (logs *Logs) Read(r io.Reader) error {
+	if logs.instances == nil {
+		logs.instances = map[string]bool{}
 	}
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Text())
+		line, ok := parseLine(scanner.Text())
 		if !ok {
-			g.Unread++
+			logs.SkippedLines++
 			continue
 		}
-		g.instances[line.Instance] = true
-		g.lines = append(g.lines, line)
+		logs.instances[line.Instance] = true
+		logs.lines = append(logs.lines, line)
 	}
 	return scanner.Err()
 }
 
-func parse(text string) (Line, bool) {
-	at := strings.IndexByte(text, '{')
-	if at < 0 {
+// parseLine parses a line of a log. It reports false if the line is not a log line.
+func parseLine(text string) (Line, bool) {
+	start := strings.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
 	var fields map[string]any
-	if err := json.Unmarshal([]byte(text[at:]), &fields); err != nil {
+	if err := json.Unmarshal([]byte(text[start:]), &fields); err != nil {
 		return Line{}, false
 	}
 	l := Line{Fields: fields}
-	l.Event, l.Instance = l.String("msg"), l.String("instance")
-	when := l.String("decided")
-	if when == "" {
-		when = l.String("time")
+	l.Event, l.Instance = l.Field("msg"), l.Field("instance")
+	timestamp := l.Field("decided")
+	if timestamp == "" {
+		timestamp = l.Field("time")
 	}
 	var err error
-	l.Time, err = time.Parse(time.RFC3339Nano, when)
+	l.Time, err = time.Parse(time.RFC3339Nano, timestamp)
 	for _, key := range []string{"time", "decided", "msg", "instance", "level", "event"} {
 		delete(fields, key)
 	}
 	return l, err == nil && l.Event != ""
 }
 
-// Explanation is what the logs tell of one job.
+// Explanation describes what happened to one job according to the logs.
 type Explanation struct {
 	Job     string
-	Lines   []Line // in order of time
-	Beliefs []Line // of about the same time
-	Cause   string // one sentence
+	Lines   []Line // of the job, in order of time
+	Context []Line // context events at about the same time, in order of time
+	Summary string // the result of the job and its likely cause, in one sentence
 	Missing []string
-	// evacuated are the availability zones that were evacuated at the end of the job.
-	evacuated []string
+	// evacuatedZones are the availability zones that were evacuated when the job ended.
+	evacuatedZones []string
 }
 
-// Explain tells of a job.
-func (g *Logs) Explain(job string) Explanation {
-	s := Explanation{Job: job}
-	for _, l := range g.lines {
-		if l.String("job") == job {
-			s.Lines = append(s.Lines, l)
+// Explain returns what the logs contain about a job.
+func (logs *Logs) Explain(job string) Explanation {
+	e := Explanation{Job: job}
+	for _, l := range logs.lines {
+		if l.Field("job") == job {
+			e.Lines = append(e.Lines, l)
 		}
 	}
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
-	slices.SortStableFunc(s.Lines, byTime)
-	s.addBeliefs(g)
-	slices.SortStableFunc(s.Beliefs, byTime)
-	s.evacuated = g.evacuatedAt(s.lastTime())
-	s.Cause = s.cause()
-	s.Missing = s.missing()
-	return s
+	slices.SortStableFunc(e.Lines, byTime)
+	e.addContext(logs)
+	slices.SortStableFunc(e.Context, byTime)
+	e.evacuatedZones = logs.zonesEvacuatedAt(e.lastTime())
+	e.Summary = e.summary()
+	e.Missing = e.missing()
+	return e
 }
 
-// lastTime returns when the last line of the job was decided.
-func (s *Explanation) lastTime() time.Time {
-	if len(s.Lines) == 0 {
+// lastTime returns the time of the last line of the job.
+func (e *Explanation) lastTime() time.Time {
+	if len(e.Lines) == 0 {
 		return time.Time{}
 	}
-	return s.Lines[len(s.Lines)-1].Time
+	return e.Lines[len(e.Lines)-1].Time
 }
 
-// evacuatedAt returns the availability zones that were evacuated at a time, by the word
-// of whichever instance tells last.
-func (g *Logs) evacuatedAt(at time.Time) []string {
+// zonesEvacuatedAt returns the availability zones that were evacuated at a time. For each
+// zone, the last line of any instance up to that time decides.
+func (logs *Logs) zonesEvacuatedAt(at time.Time) []string {
 	last := map[string]Line{}
-	for _, l := range g.lines {
+	for _, l := range logs.lines {
 		if l.Event != "zone_evacuated" && l.Event != "zone_returned" || l.Time.After(at) {
 			continue
 		}
-		if zone := l.String("zone"); !l.Time.Before(last[zone].Time) {
+		if zone := l.Field("zone"); !l.Time.Before(last[zone].Time) {
 			last[zone] = l
 		}
 	}
@@ -155,21 +156,22 @@
 	return zones
 }
 
-func (s *Explanation) addBeliefs(g *Logs) {
-	if len(s.Lines) == 0 {
+// addContext adds the context events around the lines of the job.
+func (e *Explanation) addContext(logs *Logs) {
+	if len(e.Lines) == 0 {
 		return
 	}
-	from, to := s.Lines[0].Time.Add(-around), s.Lines[len(s.Lines)-1].Time.Add(around)
-	for _, l := range g.lines {
-		if beliefs[l.Event] && l.Time.After(from) && l.Time.Before(to) {
-			s.Beliefs = append(s.Beliefs, l)
+	from, to := e.Lines[0].Time.Add(-contextMargin), e.Lines[len(e.Lines)-1].Time.Add(contextMargin)
+	for _, l := range logs.lines {
+		if contextEvents[l.Event] && l.Time.After(from) && l.Time.Before(to) {
+			e.Context = append(e.Context, l)
 		}
 	}
 }
 
-// find returns the last line of an event.
-func (s *Explanation) find(event string) (Line, bool) {
-	for _, l := range slices.Backward(s.Lines) {
+// lastLine returns the last line of the job that has the given event.
+func (e *Explanation) lastLine(event string) (Line, bool) {
+	for _, l := range slices.Backward(e.Lines) {
 		if l.Event == event {
 			return l, true
 		}
@@ -177,149 +179,153 @@
 	return Line{}, false
 }
 
-// cause words the end of a job in one sentence.
-func (s *Explanation) cause() string {
-	if l, found := s.find("job_not_served"); found {
-		text := fmt.Sprintf("%s was answered %s (%s) by %s after %s ms: %s", s.Job, l.String("status"), l.String("verdict"), l.Instance, l.String("took_ms"), l.String("reason"))
-		text += s.because(l)
-		if len(s.evacuated) > 0 {
-			text += "; evacuated then: " + strings.Join(s.evacuated, ", ")
+// summary describes the result of the job in one sentence.
+func (e *Explanation) summary() string {
+	if l, found := e.lastLine("job_not_served"); found {
+		text := fmt.Sprintf("%s received status %s (%s) from %s after %s ms: %s", e.Job, l.Field("status"), l.Field("verdict"), l.Instance, l.Field("took_ms"), l.Field("reason"))
+		text += e.reason(l)
+		if len(e.evacuatedZones) > 0 {
+			text += "; zones evacuated at that time: " + strings.Join(e.evacuatedZones, ", ")
 		}
-		return text + s.sendings() + "."
+		return text + e.submissions() + "."
 	}
-	if l, found := s.find("job_late"); found {
-		return fmt.Sprintf("%s was complete after %s ms, its objective was %s ms%s.", s.Job, l.String("took_ms"), l.String("objective_ms"), s.because(l)+s.sendings())
+	if l, found := e.lastLine("job_late"); found {
+		return fmt.Sprintf("%s completed after %s ms, later than its objective of %s ms%s.", e.Job, l.Field("took_ms"), l.Field("objective_ms"), e.reason(l)+e.submissions())
 	}
-	if l, found := s.find("job_answered"); found {
-		return fmt.Sprintf("%s was complete in time, after %s ms.", s.Job, l.String("took_ms"))
+	if l, found := e.lastLine("job_answered"); found {
+		return fmt.Sprintf("%s completed in time, after %s ms.", e.Job, l.Field("took_ms"))
 	}
-	if len(s.Lines) == 0 {
-		return fmt.Sprintf("No line tells of %s.", s.Job)
+	if len(e.Lines) == 0 {
+		return fmt.Sprintf("The logs contain no lines about %s.", e.Job)
 	}
-	return fmt.Sprintf("The answer to %s is not in these logs.", s.Job)
+	return fmt.Sprintf("The logs do not contain the response to %s.", e.Job)
 }
 
-// sendings names the instances that answered the job where there are several: its
-// customer has sent it more than once, to the one with the longest deadline first.
-func (s *Explanation) sendings() string {
-	answers := lo.Filter(s.Lines, func(l Line, _ int) bool {
+// submissions lists the instances that responded to the job if there are several, because
+// the customer submitted it more than once. They are sorted by the time that was left until
+// the customer's deadline, so that the first submission comes first.
+func (e *Explanation) submissions() string {
+	answers := lo.Filter(e.Lines, func(l Line, _ int) bool {
 		return l.Event == "job_not_served" || l.Event == "job_late" || l.Event == "job_answered"
 	})
 	if len(answers) < 2 {
 		return ""
 	}
-	patience := func(l Line) float64 {
-		ms, _ := l.Fields["patience_ms"].(float64) // 0 where a line has none
+	timeoutMs := func(l Line) float64 {
+		ms, _ := l.Fields["patience_ms"].(float64) // 0 if the line does not have it
 		return ms
 	}
-	slices.SortStableFunc(answers, func(a, b Line) int { return cmp.Compare(patience(b), patience(a)) })
-	text := fmt.Sprintf("; its customer sent it to %s (%.0f ms before its deadline)", answers[0].Instance, patience(answers[0]))
+	slices.SortStableFunc(answers, func(a, b Line) int { return cmp.Compare(timeoutMs(b), timeoutMs(a)) })
+	text := fmt.Sprintf("; the customer submitted it to %s (%.0f ms before its deadline)", answers[0].Instance, timeoutMs(answers[0]))
 	for _, l := range answers[1:] {
-		text += fmt.Sprintf(", %s (%.0f)", l.Instance, patience(l))
+		text += fmt.Sprintf(", %s (%.0f)", l.Instance, timeoutMs(l))
 	}
 	return text
 }
 
-// because adds what the lines before the end say of its reason.
-func (s *Explanation) because(end Line) string {
-	if l, found := s.find("offer_lost"); found {
-		return fmt.Sprintf("; the connection to the owner of %s broke", l.String("group"))
+// reason returns the likely cause of the result in the line end, according to the other
+// lines of the job.
+func (e *Explanation) reason(end Line) string {
+	if l, found := e.lastLine("offer_lost"); found {
+		return fmt.Sprintf("; the connection to the owner of %s broke", l.Field("group"))
 	}
 	reasons := map[string]int{}
-	for _, l := range s.Lines {
-		// A run that was stopped is told by why it was.
-		if l.Event == "task_retried" && l.String("reason") != "stopped" || l.Event == "task_stopped" {
-			reasons[fmt.Sprintf("%s on %s", l.String("reason"), l.String("upstream"))]++
+	for _, l := range e.Lines {
+		// For a stopped run, the reason is in task_stopped, so its task_retried is ignored.
+		if l.Event == "task_retried" && l.Field("reason") != "stopped" || l.Event == "task_stopped" {
+			reasons[fmt.Sprintf("%s on %s", l.Field("reason"), l.Field("upstream"))]++
 		}
 	}
-	most := ""
+	mostFrequent := ""
 	for reason, n := range reasons {
-		if most == "" || n > reasons[most] || n == reasons[most] && reason < most {
-			most = reason
+		if mostFrequent == "" || n > reasons[mostFrequent] || n == reasons[mostFrequent] && reason < mostFrequent {
+			mostFrequent = reason
 		}
 	}
 	switch {
-	case most != "":
-		return fmt.Sprintf("; a task ran again: %s (%d times)", most, reasons[most])
-	case end.String("owners") == "0":
-		return "; no owner of upstreams was known"
+	case mostFrequent != "":
+		return fmt.Sprintf("; a task was retried: %s (%d times)", mostFrequent, reasons[mostFrequent])
+	case end.Field("owners") == "0":
+		return "; the instance knew no owner of upstreams"
 	}
-	if wait := s.longestWait(); wait > 0 {
-		return fmt.Sprintf("; a task waited %.0f ms for room", wait)
+	if wait := e.longestWait(); wait > 0 {
+		return fmt.Sprintf("; a task waited %.0f ms for capacity", wait)
 	}
 	return ""
 }
 
-// noticeableWait is how long a task waits before the wait is named, ms.
-const noticeableWait = 20
+// minReportedWaitMs is the shortest wait of a task, in milliseconds, that is reported as a
+// cause.
+const minReportedWaitMs = 20
 
-// longestWait returns the longest time, in milliseconds, that a task waited for
-// its first start.
-func (s *Explanation) longestWait() float64 {
+// longestWait returns the longest time, in milliseconds, that a task waited for its first
+// start, or 0 if it is less than minReportedWaitMs.
+func (e *Explanation) longestWait() float64 {
 	longest := 0.0
-	for _, l := range s.Lines {
-		if age, is := l.Fields["age_ms"].(float64); is && l.Event == "task_started" && l.String("run") == "1" {
+	for _, l := range e.Lines {
+		if age, ok := l.Fields["age_ms"].(float64); ok && l.Event == "task_started" && l.Field("run") == "1" {
 			longest = max(longest, age)
 		}
 	}
-	if longest < noticeableWait {
+	if longest < minReportedWaitMs {
 		return 0
 	}
 	return longest
 }
 
-// missing names what the logs lack.
-func (s *Explanation) missing() []string {
+// missing lists the lines that the logs should contain but do not, with possible reasons.
+func (e *Explanation) missing() []string {
 	var missing []string
-	if len(s.Lines) == 0 {
-		return []string{"any line of the job: it went well and was not in the sample, its id is wrong, or the logs of its instances are not given"}
+	if len(e.Lines) == 0 {
+		return []string{"all lines of the job: it succeeded and was not sampled, its id is wrong, or the logs of its instances were not passed"}
 	}
 	answered := false
 	offered := false
-	for _, l := range s.Lines {
+	for _, l := range e.Lines {
 		answered = answered || strings.HasPrefix(l.Event, "job_")
 		offered = offered || l.Event == "task_started" || l.Event == "tasks_returned" || l.Event == "offer_result"
 	}
 	if !answered {
-		missing = append(missing, "the line of the answer: the instance that took the job ended, or its log is not given")
+		missing = append(missing, "the line of the response: the instance that accepted the job ended, or its log was not passed")
 	}
-	if groups := s.Lines[len(s.Lines)-1].String("groups"); !offered && groups != "" {
-		missing = append(missing, "lines of the owners of "+groups+": they ended, or their logs are not given")
+	if groups := e.Lines[len(e.Lines)-1].Field("groups"); !offered && groups != "" {
+		missing = append(missing, "lines of the owners of "+groups+": these instances ended, or their logs were not passed")
 	}
-	for _, l := range s.Beliefs {
+	for _, l := range e.Context {
 		if l.Event == "log_dropped" {
-			missing = append(missing, "lines that were dropped while the output stalled ("+l.Time.Format(time.TimeOnly)+")")
+			missing = append(missing, "lines that an instance dropped because its output stalled ("+l.Time.Format(time.TimeOnly)+")")
 		}
 	}
 	return missing
 }
 
-// Write writes the story for a person.
-func (s *Explanation) Write(w io.Writer) error {
+// Write writes the lines and the summary as text. Lines of the job are marked with an
+// asterisk.
+func (e *Explanation) Write(w io.Writer) error {
 	var b strings.Builder
-	all := slices.Concat(s.Lines, s.Beliefs)
+	all := slices.Concat(e.Lines, e.Context)
 	slices.SortStableFunc(all, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	for _, l := range all {
 		mark := " "
-		if l.String("job") == s.Job {
+		if l.Field("job") == e.Job {
 			mark = "*"
 		}
-		fmt.Fprintf(&b, "%s %s %-24s %-16s %s\n", mark, l.Time.Format("15:04:05.000"), l.Instance, l.Event, l.rest())
+		fmt.Fprintf(&b, "%s %s %-24s %-16s %s\n", mark, l.Time.Format("15:04:05.000"), l.Instance, l.Event, l.otherFields())
 	}
-	for _, m := range s.Missing {
+	for _, m := range e.Missing {
 		fmt.Fprintf(&b, "missing: %s\n", m)
 	}
-	fmt.Fprintf(&b, "%s\n", s.Cause)
+	fmt.Fprintf(&b, "%s\n", e.Summary)
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// rest returns the fields of a line in order of their names.
-func (l Line) rest() string {
+// otherFields returns all fields except the job, sorted by name.
+func (l Line) otherFields() string {
 	var parts []string
 	for key := range l.Fields {
 		if key != "job" {
-			parts = append(parts, key+"="+l.String(key))
+			parts = append(parts, key+"="+l.Field(key))
 		}
 	}
 	slices.Sort(parts)
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const recorded = `
+const recordedLogs = `
   34.05 i-1 {"time":"2026-04-04T22:12:00.100Z","decided":"2026-04-04T22:12:00.010Z","level":"INFO","msg":"task_started","instance":"i-1","event":703,"job":"aa","task":1,"run":1,"upstream":"u1","age_ms":0}
 {"time":"2026-04-04T22:12:00.100Z","decided":"2026-04-04T22:12:00.030Z","level":"INFO","msg":"task_stopped","instance":"i-1","job":"aa","task":1,"run":1,"upstream":"u1","reason":"start without answer"}
 {"time":"2026-04-04T22:12:00.050Z","level":"WARN","msg":"upstream_silent","instance":"i-1","upstream":"u1"}
@@ -26,38 +26,38 @@
 no line of a log
 `
 
-func TestStory(t *testing.T) {
-	var log Logs
-	if err := log.Read(strings.NewReader(recorded)); err != nil {
+func TestExplain(t *testing.T) {
+	var logs Logs
+	if err := logs.Read(strings.NewReader(recordedLogs)); err != nil {
 		t.Fatal(err)
 	}
-	for job, c := range map[string]struct{ cause, missing string }{
-		"aa": {"aa was complete after 110 ms, its objective was 90 ms; a task ran again: start without answer on u1 (1 times).", ""},
-		"bb": {"bb was answered 504 (unknown) by i-2 after 600 ms: the owner of upstreams was lost; the connection to the owner of b/0 broke.",
-			"lines of the owners of b/0: they ended, or their logs are not given"},
-		"cc": {"cc was answered 503 (not_run) by i-2 after 90 ms: no owner can be reached; no owner of upstreams was known.", "lines that were dropped while the output stalled (22:12:02)"},
-		"ff": {"ff was answered 503 (not_run) by i-2 after 30 ms: no room in time; evacuated then: a.", ""},
-		"gg": {"gg was answered 504 (left) by i-2 after 0.1 ms: the customer left before its request was read; its customer sent it to i-2 (2676 ms before its deadline), i-3 (2561).", ""},
-		"dd": {"The answer to dd is not in these logs.", "the line of the answer: the instance that took the job ended, or its log is not given"},
-		"ee": {"No line tells of ee.", "any line of the job: it went well and was not in the sample, its id is wrong, or the logs of its instances are not given"},
+	for job, c := range map[string]struct{ summary, missing string }{
+		"aa": {"aa completed after 110 ms, later than its objective of 90 ms; a task was retried: start without answer on u1 (1 times).", ""},
+		"bb": {"bb received status 504 (unknown) from i-2 after 600 ms: the owner of upstreams was lost; the connection to the owner of b/0 broke.",
+			"lines of the owners of b/0: these instances ended, or their logs were not passed"},
+		"cc": {"cc received status 503 (not_run) from i-2 after 90 ms: no owner can be reached; the instance knew no owner of upstreams.", "lines that an instance dropped because its output stalled (22:12:02)"},
+		"ff": {"ff received status 503 (not_run) from i-2 after 30 ms: no room in time; zones evacuated at that time: a.", ""},
+		"gg": {"gg received status 504 (left) from i-2 after 0.1 ms: the customer left before its request was read; the customer submitted it to i-2 (2676 ms before its deadline), i-3 (2561).", ""},
+		"dd": {"The logs do not contain the response to dd.", "the line of the response: the instance that accepted the job ended, or its log was not passed"},
+		"ee": {"The logs contain no lines about ee.", "all lines of the job: it succeeded and was not sampled, its id is wrong, or the logs of its instances were not passed"},
 	} {
-		s := log.Explain(job)
-		if s.Cause != c.cause {
-			t.Errorf("%s: %q, want %q", job, s.Cause, c.cause)
+		e := logs.Explain(job)
+		if e.Summary != c.summary {
+			t.Errorf("%s: %q, want %q", job, e.Summary, c.summary)
 		}
-		if c.missing != "" && (len(s.Missing) == 0 || s.Missing[len(s.Missing)-1] != c.missing) {
-			t.Errorf("%s lacks %q, want %q", job, s.Missing, c.missing)
+		if c.missing != "" && (len(e.Missing) == 0 || e.Missing[len(e.Missing)-1] != c.missing) {
+			t.Errorf("%s: missing %q, want %q last", job, e.Missing, c.missing)
 		}
 	}
-	s := log.Explain("aa")
-	if len(s.Beliefs) != 1 || s.Beliefs[0].Event != "upstream_silent" {
-		t.Errorf("beliefs %v", s.Beliefs)
+	e := logs.Explain("aa")
+	if len(e.Context) != 1 || e.Context[0].Event != "upstream_silent" {
+		t.Errorf("context %v", e.Context)
 	}
-	if s.Lines[0].Event != "task_started" || s.Lines[2].Event != "job_late" {
-		t.Errorf("not in order of time: %v", s.Lines)
+	if e.Lines[0].Event != "task_started" || e.Lines[2].Event != "job_late" {
+		t.Errorf("lines are not in order of time: %v", e.Lines)
 	}
-	var b strings.Builder
-	if err := s.Write(&b); err != nil || !strings.Contains(b.String(), "* 22:12:00.010 i-1") {
-		t.Errorf("%v\n%s", err, b.String())
+	var out strings.Builder
+	if err := e.Write(&out); err != nil || !strings.Contains(out.String(), "* 22:12:00.010 i-1") {
+		t.Errorf("%v\n%s", err, out.String())
 	}
 }
