--- a/cli/bench.go
+++ b/cli/bench.go
@@ -27,12 +27,12 @@
 			"checks what must always hold.",
 		Flags: []cli.Flag{jsonFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
-			report, err := experiment.Demo()
+			report, err := experiment.RunDemo()
 			if err != nil {
 				return err
 			}
 			out := c.Root().Writer
-			printReports(out, []experiment.Row{{Name: "demo", Report: report}})
+			printReports(out, []experiment.RunResult{{Name: "demo", Report: report}})
 			if c.Bool("json") {
 				if err := printJSON(out, report); err != nil {
 					return err
@@ -74,16 +74,16 @@
 		return failure.Field(failure.InvalidInput, "SCENARIO.ini", "names no scenario")
 	}
 	variants := experiment.Variants{
-		Policies: c.StringSlice("policy"), Placings: c.StringSlice("placing"), Witnesses: c.StringSlice("witness"),
+		QueueOrders: c.StringSlice("policy"), Placements: c.StringSlice("placing"), Witnesses: c.StringSlice("witness"),
 		Loads: c.Float64Slice("load"), Seconds: c.Float64("seconds"),
 	}
-	var rows []experiment.Row
+	var rows []experiment.RunResult
 	for _, path := range c.Args().Slice() {
-		s, err := experiment.LoadScenario(path)
+		s, err := experiment.ReadScenario(path)
 		if err != nil {
 			return err
 		}
-		played, err := variants.Play(s, func(row *experiment.Row) { fmt.Fprintln(c.Root().ErrWriter, "done:", row.Name) })
+		played, err := variants.Run(s, func(row *experiment.RunResult) { fmt.Fprintln(c.Root().ErrWriter, "done:", row.Name) })
 		if err != nil {
 			return err
 		}
@@ -100,9 +100,9 @@
 	return nil
 }
 
-func present(c *cli.Command, rows []experiment.Row) error {
+func present(c *cli.Command, rows []experiment.RunResult) error {
 	if dir := c.String("plot"); dir != "" {
-		if err := experiment.Plot(dir, rows); err != nil {
+		if err := experiment.WritePlots(dir, rows); err != nil {
 			return err
 		}
 	}
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func printReports(w io.Writer, rows []experiment.Row) {
+func printReports(w io.Writer, rows []experiment.RunResult) {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	defer func() { _ = t.Flush() }()
 	fmt.Fprintln(t, "RUN\tJOBS\tTASKS\tCOMPLETE\tFAILED\tNOT RUN\tUNKNOWN\tTWICE\tMSG/TASK\tWASTED\tRATIO P50\tP99\tGOODPUT\tREFUSAL P99 MS\t")
@@ -165,7 +165,7 @@
 	}
 	defer p.Close()
 	for _, i := range list.Instances {
-		p.List(i)
+		p.PutInstance(i)
 	}
 	untilSignal(ctx)
 	return nil
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -22,7 +22,7 @@
 
 func startFleet(t *testing.T) *experiment.Cluster {
 	t.Helper()
-	c, err := experiment.StartCluster(experiment.Spec{Zones: []experiment.ZoneSpec{{Name: "a", Entries: 2, Upstreams: 2}}})
+	c, err := experiment.StartCluster(experiment.ClusterSpec{Zones: []experiment.ZoneSpec{{Name: "a", Entries: 2, Upstreams: 2}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 // TestExitCodes holds that each fate ends with its own code.
 func TestExitCodes(t *testing.T) {
 	c := startFleet(t)
-	entry := "--entry=" + c.Addresses()[0]
+	entry := "--entry=" + c.CallerAddresses()[0]
 	for _, job := range []struct {
 		text string
 		code int
@@ -77,7 +77,7 @@
 func TestSettingsCommands(t *testing.T) {
 	c := startFleet(t)
 	at := []string{"--platform=" + c.Platform.Address()}
-	change := append(at, "--entry="+c.Addresses()[0])
+	change := append(at, "--entry="+c.CallerAddresses()[0])
 	do := func(want int, contains string, args ...string) {
 		t.Helper()
 		code, out, errOut := run(args...)
--- a/cli/pages_test.go
+++ b/cli/pages_test.go
@@ -111,7 +111,7 @@
 	}
 	s.env = append(os.Environ(),
 		"PATH="+s.bin+string(os.PathListSeparator)+os.Getenv("PATH"),
-		"SEDGEHATCH_ENTRY="+s.cluster.Addresses()[0], "SEDGEHATCH_PLATFORM="+s.cluster.Platform.Address(),
+		"SEDGEHATCH_ENTRY="+s.cluster.CallerAddresses()[0], "SEDGEHATCH_PLATFORM="+s.cluster.Platform.Address(),
 		"SEDGEHATCH_CONFIG="+s.write("settings.json", s.platformSettings()),
 	)
 	job := s.write("job.json", `{"service":"desk","deadline_ms":5000,"tasks":[{"cpu":1,"run_ms":20,"payload":{}}]}`)
--- a/experiment/cluster.go
+++ b/experiment/cluster.go
@@ -30,20 +30,20 @@
 	Upstreams int
 }
 
-// Spec describes a cluster.
-type Spec struct {
-	Zones      []ZoneSpec
-	Slots      int // of each upstream
-	CPU        float64
-	MemoryMB   uint64
-	PerRack    int // upstreams in one rack
-	Heartbeat  time.Duration
-	Membership membership.Config
-	PollList   time.Duration
-	Dispatch   dispatch.Config
-	Log        *slog.Logger
-	Tracer     *tracing.Tracer
-	UsageLag   time.Duration
+// ClusterSpec describes a cluster.
+type ClusterSpec struct {
+	Zones                []ZoneSpec
+	Slots                int // of each upstream
+	CPU                  float64
+	MemoryMB             uint64
+	PerRack              int // upstreams in one rack
+	HeartbeatInterval    time.Duration
+	Membership           membership.Config
+	InstancePollInterval time.Duration
+	Dispatch             dispatch.Config
+	Logger               *slog.Logger
+	Tracer               *tracing.Tracer
+	UsageLag             time.Duration
 	// Network delays and cuts what entries open; nil is the plain loopback.
 	Network *Network
 	// Settings is the tree, in INI, that is in force from the start.
@@ -53,7 +53,7 @@
 // platformZone is where the platform is, for cuts.
 const platformZone = "platform"
 
-func (s *Spec) fill() {
+func (s *ClusterSpec) fill() {
 	if s.Slots == 0 {
 		s.Slots = 8
 	}
@@ -63,31 +63,31 @@
 	if s.PerRack == 0 {
 		s.PerRack = 6
 	}
-	if s.Heartbeat == 0 {
-		s.Heartbeat = 500 * time.Millisecond
+	if s.HeartbeatInterval == 0 {
+		s.HeartbeatInterval = 500 * time.Millisecond
 	}
 	if s.Membership == (membership.Config{}) {
 		s.Membership = membership.DefaultConfig
 	}
-	if s.PollList == 0 {
-		s.PollList = 500 * time.Millisecond
+	if s.InstancePollInterval == 0 {
+		s.InstancePollInterval = 500 * time.Millisecond
 	}
-	s.Log = s.quietLog()
+	s.Logger = s.quietLog()
 }
 
 // quietLog returns the spec's logger, or one that drops all.
-func (s *Spec) quietLog() *slog.Logger {
-	if s.Log == nil {
+func (s *ClusterSpec) quietLog() *slog.Logger {
+	if s.Logger == nil {
 		return slog.New(slog.DiscardHandler)
 	}
-	return s.Log
+	return s.Logger
 }
 
 // Cluster is a running fleet in one process.
 type Cluster struct {
-	Spec      Spec
+	Spec      ClusterSpec
 	Platform  *standin.Platform
-	Recorder  *standin.Recorder
+	Recorder  *standin.StartRecorder
 	Upstreams []*standin.Upstream
 
 	mu     sync.Mutex
@@ -100,13 +100,13 @@
 }
 
 // StartCluster starts a cluster and waits until its entries know each other.
-func StartCluster(spec Spec) (*Cluster, error) {
+func StartCluster(spec ClusterSpec) (*Cluster, error) {
 	spec.fill()
 	p, err := standin.StartPlatform("")
 	if err != nil {
 		return nil, err
 	}
-	c := &Cluster{Spec: spec, Platform: p, Recorder: standin.NewRecorder(), nodes: map[string]*entry.Node{}, zones: map[string]string{}, ports: map[string]entry.Config{}}
+	c := &Cluster{Spec: spec, Platform: p, Recorder: standin.NewStartRecorder(), nodes: map[string]*entry.Node{}, zones: map[string]string{}, ports: map[string]entry.Config{}}
 	if err := c.start(); err != nil {
 		c.Close()
 		return nil, err
@@ -150,7 +150,7 @@
 	}
 	c.Upstreams = append(c.Upstreams, u)
 	c.locate(u.Address(), zone)
-	c.Platform.List(u.Instance())
+	c.Platform.PutInstance(u.Instance())
 	return nil
 }
 
@@ -159,7 +159,7 @@
 	cfg := entry.Config{
 		Fleet: "experiment", Instance: name, Zone: c.zones[name], Rack: name + "-rack",
 		ListenCallers: "127.0.0.1:0", ListenInner: "127.0.0.1:0", PlatformAddress: c.Platform.Address(),
-		DrainTimeout: 30 * time.Second, HeartbeatInterval: c.Spec.Heartbeat, InstancePollInterval: c.Spec.PollList,
+		DrainTimeout: 30 * time.Second, HeartbeatInterval: c.Spec.HeartbeatInterval, InstancePollInterval: c.Spec.InstancePollInterval,
 		Membership: c.Spec.Membership, Dispatch: c.Spec.Dispatch,
 	}
 	if before, again := c.ports[name]; again {
@@ -170,7 +170,7 @@
 			cfg.Seeds = append(cfg.Seeds, listens.ListenInner)
 		}
 	}
-	n, err := entry.New(cfg, c.hooks(name), c.Spec.Log)
+	n, err := entry.New(cfg, c.hooks(name), c.Spec.Logger)
 	if err != nil {
 		return nil, err
 	}
@@ -178,7 +178,7 @@
 	c.ports[name] = cfg
 	c.locate(n.Instance().Address, c.zones[name])
 	c.locate(n.CallerAddress(), c.zones[name])
-	c.Platform.List(n.Instance())
+	c.Platform.PutInstance(n.Instance())
 	n.Run()
 	c.mu.Lock()
 	c.nodes[name] = n
@@ -203,7 +203,7 @@
 // locate tells the network where an address is.
 func (c *Cluster) locate(address, zone string) {
 	if c.Spec.Network != nil {
-		c.Spec.Network.Place(address, zone)
+		c.Spec.Network.SetZone(address, zone)
 	}
 }
 
@@ -305,8 +305,8 @@
 	return n == nil || n.Stop(ctx)
 }
 
-// Addresses returns where the running entries take callers.
-func (c *Cluster) Addresses() []string {
+// CallerAddresses returns where the running entries take callers.
+func (c *Cluster) CallerAddresses() []string {
 	var list []string
 	for _, n := range c.Nodes() {
 		list = append(list, n.CallerAddress())
@@ -316,7 +316,7 @@
 
 // Client returns a client of the running entries.
 func (c *Cluster) Client(caller string) (*client.Client, error) {
-	return client.New(client.Config{Entries: c.Addresses(), Caller: caller, Tracer: c.Spec.Tracer})
+	return client.New(client.Config{Entries: c.CallerAddresses(), Caller: caller, Tracer: c.Spec.Tracer})
 }
 
 // Messages returns what all entries sent so far, and what of it was wasted, by
@@ -350,9 +350,9 @@
 // of failed jobs run on for a while.
 const idleWait = 10 * time.Second
 
-// Leaked waits until nothing is held any more, and returns how many places are
+// LeakedSlots waits until nothing is held any more, and returns how many places are
 // held all the same.
-func (c *Cluster) Leaked() int {
+func (c *Cluster) LeakedSlots() int {
 	deadline := time.Now().Add(idleWait)
 	for {
 		held := 0
@@ -366,8 +366,8 @@
 	}
 }
 
-// Running returns how many tasks run at the upstreams now.
-func (c *Cluster) Running() int {
+// RunningTasks returns how many tasks run at the upstreams now.
+func (c *Cluster) RunningTasks() int {
 	running := 0
 	for _, u := range c.Upstreams {
 		running += u.Running()
@@ -383,7 +383,7 @@
 func (c *Cluster) listIdle(count int) {
 	for i := range count {
 		zone := c.Spec.Zones[i%len(c.Spec.Zones)].Name
-		c.Platform.List(api.PlatformInstance{
+		c.Platform.PutInstance(api.PlatformInstance{
 			ID: fmt.Sprintf("idle-%d", i), Role: api.RoleUpstream, Address: "127.0.0.1:1", Zone: zone,
 			CPU: 64, MemoryMB: 128 << 10, Slots: 8, Connections: 64,
 		})
--- a/experiment/cluster_test.go
+++ b/experiment/cluster_test.go
@@ -13,11 +13,11 @@
 	"github.com/sedgehatch/sedgehatch/standin"
 )
 
-func small(t *testing.T, edit func(*Spec)) *Cluster {
+func small(t *testing.T, edit func(*ClusterSpec)) *Cluster {
 	t.Helper()
-	spec := Spec{
-		Zones:     []ZoneSpec{{"a", 2, 3}, {"b", 2, 3}},
-		Heartbeat: 50 * time.Millisecond, PollList: 50 * time.Millisecond,
+	spec := ClusterSpec{
+		Zones:             []ZoneSpec{{"a", 2, 3}, {"b", 2, 3}},
+		HeartbeatInterval: 50 * time.Millisecond, InstancePollInterval: 50 * time.Millisecond,
 	}
 	if edit != nil {
 		edit(&spec)
@@ -31,7 +31,7 @@
 }
 
 func work(sleep time.Duration, echo string) api.Task {
-	payload, _ := json.Marshal(standin.Work{SleepUs: sleep.Microseconds(), Echo: json.RawMessage(echo)})
+	payload, _ := json.Marshal(standin.TaskPayload{SleepUs: sleep.Microseconds(), Echo: json.RawMessage(echo)})
 	return api.Task{RunMs: uint32(sleep.Milliseconds()), Payload: payload}
 }
 
--- a/experiment/failure_test.go
+++ b/experiment/failure_test.go
@@ -25,9 +25,9 @@
 )
 
 // quick makes failures be noticed soon.
-func quick(s *Spec) {
+func quick(s *ClusterSpec) {
 	if os.Getenv("SEDGE_DEBUG") != "" {
-		s.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
+		s.Logger = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
 	s.Membership = membership.Config{SuspectMs: 300, DeadMs: 600}
 	s.Dispatch = dispatch.Config{WitnessTimeout: 300 * time.Millisecond, UpstreamLostAfter: time.Second}
@@ -80,7 +80,9 @@
 	}
 }
 
-func (c *Cluster) startsOf(key fate.Key) int { return len(c.Recorder.Of(key.String() + "/")) }
+func (c *Cluster) startsOf(key fate.Key) int {
+	return len(c.Recorder.StartsByPrefix(key.String() + "/"))
+}
 
 func checkStarts(t *testing.T, c *Cluster) {
 	t.Helper()
@@ -155,7 +157,7 @@
 	home, _ := homeOf(t, s)
 	first := background(s, c.Node(home).CallerAddress())
 	await(t, "a start", func() bool { return c.startsOf(s.Key()) > 0 })
-	for _, address := range c.Addresses() {
+	for _, address := range c.CallerAddresses() {
 		answer, err := s.SendTo(context.Background(), address)
 		wantComplete(t, answer, err, 10)
 	}
@@ -191,7 +193,7 @@
 	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 10 })
 	c.KillEntry(home)
 	c.KillEntry(witness)
-	answer, err := s.SendTo(context.Background(), c.Addresses()[0])
+	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	if err != nil || answer.Fate != fate.Unknown {
 		t.Errorf("answer %s, %v", answer.Fate, err)
 	}
@@ -205,7 +207,7 @@
 	s := prepare(t, cl, tasks(3, time.Millisecond))
 	home, _ := homeOf(t, s)
 	c.KillEntry(home)
-	answer, err := s.SendTo(context.Background(), c.Addresses()[0])
+	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	if err != nil || answer.Fate != fate.NotRun {
 		t.Fatalf("answer %s, %v", answer.Fate, err)
 	}
@@ -307,7 +309,7 @@
 // An upstream may answer after its lease has ended: the task ran once, and its
 // result is as good.
 func TestAnswerAfterTheLease(t *testing.T) {
-	c := small(t, func(s *Spec) {
+	c := small(t, func(s *ClusterSpec) {
 		quick(s)
 		s.Dispatch.LeaseDuration = 20 * time.Millisecond
 	})
@@ -316,7 +318,7 @@
 		job.Tasks[i].RunMs = 1
 	}
 	for _, u := range c.Upstreams {
-		u.Faults.Deaf.Store(true) // renewals die too
+		u.Faults.DropLeaseCalls.Store(true) // renewals die too
 	}
 	answer, err := callers(t, c).Do(context.Background(), job)
 	wantComplete(t, answer, err, 4)
@@ -341,7 +343,7 @@
 	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: e\r\nContent-Length: %d\r\n\r\n%s", api.PathJobs, len(body), body)
 	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 4 })
 	_ = conn.Close()
-	answer, err := s.SendTo(context.Background(), c.Addresses()[0])
+	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	wantComplete(t, answer, err, 4)
 	if n := c.startsOf(s.Key()); n != 4 {
 		t.Errorf("%d starts", n)
@@ -352,7 +354,7 @@
 // names its field, and starts nothing.
 func TestBadRequests(t *testing.T) {
 	c := small(t, nil)
-	address := c.Addresses()[0]
+	address := c.CallerAddresses()[0]
 	for name, r := range map[string]struct {
 		body          string
 		status        int
@@ -390,7 +392,7 @@
 func TestOneTraceAcrossHops(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	tracer := tracing.FromExporter(spans, tracing.Config{Ratio: 1, Service: "test"})
-	c := small(t, func(s *Spec) { s.Tracer = tracer })
+	c := small(t, func(s *ClusterSpec) { s.Tracer = tracer })
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(3, time.Millisecond))
 	home, _ := homeOf(t, s)
@@ -412,7 +414,7 @@
 	if !maps.Equal(names, want) || len(traces) != 1 {
 		t.Errorf("spans %v in %d traces", names, len(traces))
 	}
-	for _, start := range c.Recorder.Of(s.Key().String() + "/") {
+	for _, start := range c.Recorder.StartsByPrefix(s.Key().String() + "/") {
 		if len(start.Trace) < 36 || !traces[start.Trace[3:35]] {
 			t.Errorf("the upstream got trace %q", start.Trace)
 		}
--- a/experiment/faults.go
+++ b/experiment/faults.go
@@ -18,9 +18,9 @@
 	"rolling":      rollingRestart,
 	"losses":       losses,
 	"fail_all":     onUpstreams(func(u *standin.Upstream, on bool, _ int64) { u.Faults.FailAll.Store(on) }),
-	"straggle":     onUpstreams(func(u *standin.Upstream, on bool, factor int64) { u.Faults.Straggle.Store(times(on, factor)) }),
+	"straggle":     onUpstreams(func(u *standin.Upstream, on bool, factor int64) { u.Faults.SlowdownFactor.Store(times(on, factor)) }),
 	"drop_answers": onUpstreams(func(u *standin.Upstream, on bool, _ int64) { u.Faults.DropAnswers.Store(on) }),
-	"drop_starts":  onUpstreams(func(u *standin.Upstream, on bool, _ int64) { u.Faults.DropRequests.Store(on) }),
+	"drop_starts":  onUpstreams(func(u *standin.Upstream, on bool, _ int64) { u.Faults.DropStarts.Store(on) }),
 	"leave":        onUpstreams(func(u *standin.Upstream, on bool, _ int64) { u.Faults.Leaving.Store(on) }),
 	"vanish":       vanish,
 	"platform":     platformDown,
@@ -166,9 +166,9 @@
 	zones := fields(f.Target)
 	for _, z := range c.Spec.Zones {
 		if z.Name != zones[0] {
-			n.Cut(zones[0], z.Name)
+			n.Partition(zones[0], z.Name)
 		}
 	}
-	n.Cut(zones[0], platformZone)
+	n.Partition(zones[0], platformZone)
 	return n.Heal
 }
--- a/experiment/fleet_test.go
+++ b/experiment/fleet_test.go
@@ -44,7 +44,7 @@
 	for _, size := range []struct{ entries, upstreams int }{{9, 48}, {30, 48}, {60, 48}, {9, 400}, {9, 1600}} {
 		b.Run(fmt.Sprintf("entries=%d/upstreams=%d", size.entries, size.upstreams), func(b *testing.B) {
 			before := heap()
-			spec := Spec{Membership: quietMembership, Heartbeat: 500 * time.Millisecond, PollList: time.Second}
+			spec := ClusterSpec{Membership: quietMembership, HeartbeatInterval: 500 * time.Millisecond, InstancePollInterval: time.Second}
 			for z := range 3 {
 				spec.Zones = append(spec.Zones, ZoneSpec{Name: fmt.Sprintf("z%d", z), Entries: size.entries / 3})
 			}
@@ -77,7 +77,7 @@
 func BenchmarkSpread(b *testing.B) {
 	for _, entries := range []int{9, 30, 60} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			spec := Spec{Membership: quietMembership, Heartbeat: 500 * time.Millisecond, PollList: time.Second}
+			spec := ClusterSpec{Membership: quietMembership, HeartbeatInterval: 500 * time.Millisecond, InstancePollInterval: time.Second}
 			for z := range 3 {
 				spec.Zones = append(spec.Zones, ZoneSpec{Name: fmt.Sprintf("z%d", z), Entries: entries / 3, Upstreams: 1})
 			}
@@ -113,7 +113,7 @@
 // the same process left out as far as BenchmarkDirect tells, and the bytes
 // between entries for a task.
 func BenchmarkWork(b *testing.B) {
-	c, err := StartCluster(Spec{Zones: []ZoneSpec{{"a", 3, 8}}, Slots: 64})
+	c, err := StartCluster(ClusterSpec{Zones: []ZoneSpec{{"a", 3, 8}}, Slots: 64})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/experiment/history_test.go
+++ b/experiment/history_test.go
@@ -70,7 +70,7 @@
 // while entries are killed and started again, and holds every answer against a
 // register per key, and the answers against the upstreams' own records.
 func TestHistory(t *testing.T) {
-	c := small(t, func(s *Spec) {
+	c := small(t, func(s *ClusterSpec) {
 		quick(s)
 		s.Zones = []ZoneSpec{{"a", 3, 3}, {"b", 3, 3}}
 	})
@@ -88,7 +88,7 @@
 		t.Error("one key was told two fates")
 	}
 	checkStarts(t, c)
-	if leaked := c.Leaked(); leaked > 0 {
+	if leaked := c.LeakedSlots(); leaked > 0 {
 		t.Errorf("%d places are held though no job runs", leaked)
 	}
 	told := map[fate.Kind]int{}
@@ -133,7 +133,7 @@
 func submitSome(c *Cluster, h *historian, caller int) {
 	rng := rand.New(rand.NewPCG(3, uint64(caller)))
 	for range jobsEach {
-		cl, err := client.New(client.Config{Entries: c.Addresses(), Caller: "desk", CallTimeout: 500 * time.Millisecond})
+		cl, err := client.New(client.Config{Entries: c.CallerAddresses(), Caller: "desk", CallTimeout: 500 * time.Millisecond})
 		if err != nil {
 			continue
 		}
@@ -151,7 +151,7 @@
 func tryKey(c *Cluster, h *historian, caller int, rng *rand.Rand, cl *client.Client, s *client.Submission) {
 	var calls sync.WaitGroup
 	for n := range 3 {
-		addresses := c.Addresses()
+		addresses := c.CallerAddresses()
 		address := addresses[rng.IntN(len(addresses))]
 		pause := time.Duration(rng.IntN(80)) * time.Millisecond * time.Duration(n)
 		calls.Go(func() {
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -65,7 +65,7 @@
 	return sum / draws
 }
 
-// Load is what Run puts on a cluster.
+// Load is what RunLoad puts on a cluster.
 type Load struct {
 	Services []ServiceLoad
 	Duration time.Duration
@@ -114,9 +114,9 @@
 	flight  sync.Map // *client.Submission
 }
 
-// Run puts load on c, open loop: jobs are sent when they are due, whatever
+// RunLoad puts load on c, open loop: jobs are sent when they are due, whatever
 // became of those before. It returns once every job has its fate.
-func Run(c *Cluster, load Load) (Report, error) {
+func RunLoad(c *Cluster, load Load) (Report, error) {
 	r := &run{
 		c: c, load: load,
 		ratios:   hdrhistogram.New(1, maxRatio, significance),
@@ -150,7 +150,7 @@
 		load: *load, ratios: hdrhistogram.New(1, maxRatio, significance), micros: hdrhistogram.New(1, maxMicros, significance),
 		report: ServiceReport{Name: load.Name},
 	}
-	addresses := r.c.Addresses()
+	addresses := r.c.CallerAddresses()
 	for i := range max(load.Callers, 1) {
 		cfg := client.Config{Tracer: r.c.Spec.Tracer}
 		if r.load.Dial != nil {
@@ -214,7 +214,7 @@
 }
 
 func (s *serviceRun) task(runMs float64) api.Task {
-	payload, err := json.Marshal(standin.Work{SleepUs: int64(runMs * 1000)})
+	payload, err := json.Marshal(standin.TaskPayload{SleepUs: int64(runMs * 1000)})
 	if err != nil {
 		panic(err) // cannot be: numbers only
 	}
@@ -268,7 +268,7 @@
 // resubmit sends the same key to some entry while the job should be running.
 func (r *run) resubmit(sub *client.Submission, cl *client.Client, ideal float64) {
 	time.Sleep(time.Duration(ideal / 2 * float64(time.Millisecond)))
-	addresses := r.c.Addresses()
+	addresses := r.c.CallerAddresses()
 	if len(addresses) == 0 {
 		return
 	}
--- a/experiment/network.go
+++ b/experiment/network.go
@@ -27,8 +27,8 @@
 	return &Network{zones: map[string]string{}, cuts: map[[2]string]bool{}, healed: make(chan struct{}), oneWay: oneWay}
 }
 
-// Place says in which zone an address is.
-func (n *Network) Place(address, zone string) {
+// SetZone says in which zone an address is.
+func (n *Network) SetZone(address, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zones[address] = zone
@@ -41,9 +41,9 @@
 	return [2]string{a, b}
 }
 
-// Cut parts two zones: nothing passes, and nothing is lost that TCP would
+// Partition parts two zones: nothing passes, and nothing is lost that TCP would
 // bring once the cut is over.
-func (n *Network) Cut(a, b string) {
+func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[pair(a, b)] = true
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -121,7 +121,7 @@
 		return
 	}
 	for i := range job.Tasks {
-		var w standin.Work
+		var w standin.TaskPayload
 		if json.Unmarshal(job.Tasks[i].Payload, &w) == nil {
 			r.goodMs += float64(w.SleepUs) / 1000
 		}
@@ -148,7 +148,7 @@
 	p.GoodputShare = r.goodMs / (slots * float64((r.load.Duration - r.warmUp()).Milliseconds()))
 	_, twice := r.c.Recorder.Starts()
 	p.DuplicateStarts = int64(len(twice))
-	if leaked := r.c.Leaked(); leaked > 0 {
+	if leaked := r.c.LeakedSlots(); leaked > 0 {
 		p.Violations = append(p.Violations, strconv.Itoa(leaked)+" places are held though no job runs")
 	}
 	for _, task := range twice {
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -96,8 +96,8 @@
 	Factor int64   `ini:"factor"`
 }
 
-// LoadScenario reads and checks a scenario file.
-func LoadScenario(path string) (*Scenario, error) {
+// ReadScenario reads and checks a scenario file.
+func ReadScenario(path string) (*Scenario, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, failure.Field(failure.InvalidInput, path, "cannot be read: %v", err)
@@ -186,9 +186,9 @@
 	return n
 }
 
-// Play starts the scenario's cluster, runs its load through its faults, and
+// Run starts the scenario's cluster, runs its load through its faults, and
 // returns what came of it.
-func (s *Scenario) Play() (Report, error) {
+func (s *Scenario) Run() (Report, error) {
 	between, callers := micros(s.Cluster.BetweenUs), micros(s.Cluster.CallersUs)
 	network := NewNetwork(func(from, to string) time.Duration {
 		switch {
@@ -213,7 +213,7 @@
 		defer close(done)
 		s.faults(c, network, stop)
 	}()
-	report, err := Run(c, load)
+	report, err := RunLoad(c, load)
 	close(stop)
 	<-done
 	return report, err
@@ -224,7 +224,7 @@
 
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-func (s *Scenario) spec(network *Network) Spec {
+func (s *Scenario) spec(network *Network) ClusterSpec {
 	broker := placement.DefaultBrokerConfig
 	broker.Order = placement.Order(s.Cluster.Order)
 	if s.Cluster.MaxQueued > 0 {
@@ -234,9 +234,9 @@
 		broker.Health.MaxEjected = 0
 	}
 	heartbeat := time.Duration(s.Cluster.HeartbeatMs) * time.Millisecond
-	return Spec{
+	return ClusterSpec{
 		Zones: s.zones(), Slots: s.Cluster.Slots, CPU: s.Cluster.CPU, MemoryMB: s.Cluster.MemoryMB, PerRack: s.Cluster.PerRack,
-		Heartbeat: heartbeat, Network: network,
+		HeartbeatInterval: heartbeat, Network: network,
 		Membership: membership.Config{SuspectMs: 3 * s.Cluster.HeartbeatMs, DeadMs: 6 * s.Cluster.HeartbeatMs},
 		Dispatch: dispatch.Config{
 			Broker: broker, Placement: dispatch.PlacementMode(s.Cluster.Placing), ReleaseDelay: time.Duration(s.Cluster.ReleaseMs) * time.Millisecond,
--- a/experiment/scenario_test.go
+++ b/experiment/scenario_test.go
@@ -17,7 +17,7 @@
 		if filepath.Base(file) == "bounds.ini" {
 			continue
 		}
-		if _, err := LoadScenario(file); err != nil {
+		if _, err := ReadScenario(file); err != nil {
 			t.Error(err)
 		}
 	}
@@ -38,12 +38,12 @@
 
 // TestShortPlay plays one scenario with faults for a second, as a whole.
 func TestShortPlay(t *testing.T) {
-	s, err := LoadScenario("../bench/entry-loss.ini")
+	s, err := ReadScenario("../bench/entry-loss.ini")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Load.Seconds, s.Faults[0].At, s.Faults[0].Factor = 1, 0.3, 1
-	r, err := s.Play()
+	r, err := s.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/experiment/settings_test.go
+++ b/experiment/settings_test.go
@@ -158,7 +158,7 @@
 	n, err := entry.New(entry.Config{
 		Fleet: "f", Instance: "e", Zone: "z", ListenCallers: "127.0.0.1:0", ListenInner: "127.0.0.1:0",
 		PlatformAddress: "127.0.0.1:1", HeartbeatInterval: time.Second, InstancePollInterval: time.Second,
-	}, entry.Hooks{}, (&Spec{}).quietLog())
+	}, entry.Hooks{}, (&ClusterSpec{}).quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 				t.Error(got.err)
 			}
 		case <-time.After(time.Millisecond):
-			most = max(most, c.Running())
+			most = max(most, c.RunningTasks())
 		}
 	}
 	if most > 6 || most == 0 {
@@ -216,7 +216,7 @@
 	}
 	awaitRevision(t, c, 1)
 	await(t, "the answer to be let go", func() bool {
-		answer, err := s.SendTo(context.Background(), c.Addresses()[0])
+		answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 		return err == nil && answer.Fate == fate.Unknown && answer.Reason == fate.ReasonNoLongerKept
 	})
 	if n := c.startsOf(s.Key()); n != 2 {
--- a/experiment/stop_test.go
+++ b/experiment/stop_test.go
@@ -18,7 +18,7 @@
 			cl := callers(t, c)
 			bad := c.Upstreams[0]
 			if before {
-				bad.Faults.DropRequests.Store(true)
+				bad.Faults.DropStarts.Store(true)
 			} else {
 				bad.Faults.DropAnswers.Store(true)
 			}
@@ -119,14 +119,14 @@
 	cl := callers(t, c)
 	leaving := c.Upstreams[0].Instance()
 	leaving.Leaving = true
-	c.Platform.List(leaving)
+	c.Platform.PutInstance(leaving)
 	until := time.Now().Add(2 * time.Second)
 	for {
 		s := prepare(t, cl, tasks(40, time.Millisecond))
 		answer, err := s.Submit(context.Background())
 		wantComplete(t, answer, err, 40)
 		used := false
-		for _, start := range c.Recorder.Of(s.Key().String() + "/") {
+		for _, start := range c.Recorder.StartsByPrefix(s.Key().String() + "/") {
 			used = used || start.Upstream == leaving.ID
 		}
 		if !used {
@@ -144,7 +144,7 @@
 // the other started, and after the cut they agree.
 func TestHomeCutOff(t *testing.T) {
 	network := NewNetwork(func(_, _ string) time.Duration { return 0 })
-	c := small(t, func(s *Spec) {
+	c := small(t, func(s *ClusterSpec) {
 		quick(s)
 		s.Network = network
 		s.Settings = "[fleet]\nwitness = region\n"
@@ -158,7 +158,7 @@
 	}
 	first := background(s, c.Node(home).CallerAddress())
 	await(t, "tasks to run while others wait", func() bool { return c.startsOf(s.Key()) >= 24 })
-	network.Cut("a", "b")
+	network.Partition("a", "b")
 	second, err := s.SendTo(context.Background(), c.Node(witness).CallerAddress())
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 	if err := c.AwaitMembers(len(c.Names()), 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	for _, address := range c.Addresses() {
+	for _, address := range c.CallerAddresses() {
 		answer, err := s.SendTo(context.Background(), address)
 		if err != nil {
 			t.Fatal(err)
--- a/experiment/throughput_test.go
+++ b/experiment/throughput_test.go
@@ -20,7 +20,7 @@
 // idle is a fleet of one entry, or two, whose upstreams answer at once.
 func idle(b *testing.B, entries int) *Cluster {
 	b.Helper()
-	c, err := StartCluster(Spec{Zones: []ZoneSpec{{"a", entries, 8}}, Slots: 64})
+	c, err := StartCluster(ClusterSpec{Zones: []ZoneSpec{{"a", entries, 8}}, Slots: 64})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -144,10 +144,10 @@
 // TestBounds holds the allocations and messages of a task, callers and
 // upstreams included, in jobs of 50 on two entries.
 func TestBounds(t *testing.T) {
-	c := small(t, func(s *Spec) {
+	c := small(t, func(s *ClusterSpec) {
 		s.Zones = []ZoneSpec{{"a", 2, 8}}
 		s.Slots = 64
-		s.Heartbeat = 500 * time.Millisecond
+		s.HeartbeatInterval = 500 * time.Millisecond
 	})
 	cl := callers(t, c)
 	const perJob, jobs = 50, 40
--- a/experiment/variants.go
+++ b/experiment/variants.go
@@ -16,29 +16,29 @@
 // Variants are ways to compare on one scenario. An empty list is what the
 // scenario says itself.
 type Variants struct {
-	Policies  []string
-	Placings  []string
-	Witnesses []string
-	Loads     []float64
-	Seconds   float64
+	QueueOrders []string
+	Placements  []string
+	Witnesses   []string
+	Loads       []float64
+	Seconds     float64
 }
 
-// Row is one run.
-type Row struct {
-	Name   string  `json:"name"`
-	Way    string  `json:"way"` // the variant without its load
-	Load   float64 `json:"load"`
-	Report Report  `json:"report"`
+// RunResult is one run.
+type RunResult struct {
+	Name    string  `json:"name"`
+	Variant string  `json:"way"` // the variant without its load
+	Load    float64 `json:"load"`
+	Report  Report  `json:"report"`
 }
 
-// Play runs every variant of s, one after another, and calls done after each.
-func (v *Variants) Play(s *Scenario, done func(*Row)) ([]Row, error) {
-	var rows []Row
-	for _, placing := range orOwn(v.Placings, s.Cluster.Placing) {
-		for _, policy := range orOwn(v.Policies, s.Cluster.Order) {
+// Run runs every variant of s, one after another, and calls done after each.
+func (v *Variants) Run(s *Scenario, done func(*RunResult)) ([]RunResult, error) {
+	var rows []RunResult
+	for _, placing := range orOwn(v.Placements, s.Cluster.Placing) {
+		for _, policy := range orOwn(v.QueueOrders, s.Cluster.Order) {
 			for _, witness := range orOwn(v.Witnesses, s.Cluster.Witness) {
 				for _, load := range orOwn(v.Loads, s.Load.Level) {
-					row, err := v.play(*s, placing, policy, witness, load)
+					row, err := v.runOne(*s, placing, policy, witness, load)
 					if err != nil {
 						return rows, err
 					}
@@ -58,30 +58,30 @@
 	return list
 }
 
-func (v *Variants) play(s Scenario, placing, policy, witness string, load float64) (Row, error) {
+func (v *Variants) runOne(s Scenario, placing, policy, witness string, load float64) (RunResult, error) {
 	s.Cluster.Placing, s.Cluster.Order, s.Cluster.Witness, s.Load.Level = placing, policy, witness, load
 	if v.Seconds > 0 {
 		s.Load.Seconds = v.Seconds
 	}
-	row := Row{Way: fmt.Sprintf("%s %s %s witness=%s", s.Name, placing, policy, witness), Load: load}
-	row.Name = fmt.Sprintf("%s load=%g", row.Way, load)
-	report, err := s.Play()
+	row := RunResult{Variant: fmt.Sprintf("%s %s %s witness=%s", s.Name, placing, policy, witness), Load: load}
+	row.Name = fmt.Sprintf("%s load=%g", row.Variant, load)
+	report, err := s.Run()
 	row.Report = report
 	return row, err
 }
 
-// Demo runs both users' services, scaled down, on a small fleet, with some
+// RunDemo runs both users' services, scaled down, on a small fleet, with some
 // jobs resubmitted on purpose to another entry.
-func Demo() (Report, error) {
-	c, err := StartCluster(Spec{
-		Zones:     []ZoneSpec{{"plaine", 2, 6}, {"depot", 2, 6}},
-		Heartbeat: 200 * time.Millisecond, PollList: 200 * time.Millisecond,
+func RunDemo() (Report, error) {
+	c, err := StartCluster(ClusterSpec{
+		Zones:             []ZoneSpec{{"plaine", 2, 6}, {"depot", 2, 6}},
+		HeartbeatInterval: 200 * time.Millisecond, InstancePollInterval: 200 * time.Millisecond,
 	})
 	if err != nil {
 		return Report{}, err
 	}
 	defer c.Close()
-	return Run(c, Load{Seed: 1, Duration: 5 * time.Second, Services: []ServiceLoad{
+	return RunLoad(c, Load{Seed: 1, Duration: 5 * time.Second, Services: []ServiceLoad{
 		{
 			Name: "wardrobe-desk", Callers: 6, Rate: 12, MinTasks: 5, MaxTasks: 30, Resubmit: 0.1,
 			RunMs: Dist{Median: 50, Sigma: 0.8, Min: 12, Max: 250, Long: 800, LongShare: 0.005}, Deadline: 8 * time.Second,
@@ -98,8 +98,8 @@
 	plotHeight = 11 * vg.Centimeter
 )
 
-// Plot writes response ratios and messages against load as PNG files in dir.
-func Plot(dir string, rows []Row) error {
+// WritePlots writes response ratios and messages against load as PNG files in dir.
+func WritePlots(dir string, rows []RunResult) error {
 	plots := []struct {
 		file, title, axis string
 		value             func(*Report) float64
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func drawPlot(path, title, axis string, rows []Row, value func(*Report) float64) error {
+func drawPlot(path, title, axis string, rows []RunResult, value func(*Report) float64) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "load, share of all slots"
@@ -126,11 +126,11 @@
 	var lines []any
 	index := map[string]int{}
 	for i := range rows {
-		at, known := index[rows[i].Way]
+		at, known := index[rows[i].Variant]
 		if !known {
 			at = len(lines) + 1
-			index[rows[i].Way] = at
-			lines = append(lines, rows[i].Way, plotter.XYs{})
+			index[rows[i].Variant] = at
+			lines = append(lines, rows[i].Variant, plotter.XYs{})
 		}
 		lines[at] = append(lines[at].(plotter.XYs), plotter.XY{X: rows[i].Load, Y: value(&rows[i].Report)})
 	}
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -85,16 +85,16 @@
 // Calls returns the number of reads, watches among them, and of writes so far.
 func (p *Platform) Calls() (reads, writes int64) { return p.reads.Load(), p.writes.Load() }
 
-// List puts an instance on the list, or changes it.
-func (p *Platform) List(i api.PlatformInstance) {
+// PutInstance puts an instance on the list, or changes it.
+func (p *Platform) PutInstance(i api.PlatformInstance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.instances[i.ID] = i
 	p.remember()
 }
 
-// Unlist takes an instance off the list.
-func (p *Platform) Unlist(id string) {
+// RemoveInstance takes an instance off the list.
+func (p *Platform) RemoveInstance(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.instances, id)
--- a/standin/recorder.go
+++ b/standin/recorder.go
@@ -9,8 +9,8 @@
 
 const recorderShards = 32
 
-// Recorder holds every start that upstreams saw, for the invariant checks.
-type Recorder struct {
+// StartRecorder holds every start that upstreams saw, for the invariant checks.
+type StartRecorder struct {
 	shards [recorderShards]recorderShard
 }
 
@@ -26,16 +26,16 @@
 	Trace    string
 }
 
-// NewRecorder returns an empty recorder.
-func NewRecorder() *Recorder {
-	r := &Recorder{}
+// NewStartRecorder returns an empty recorder.
+func NewStartRecorder() *StartRecorder {
+	r := &StartRecorder{}
 	for i := range r.shards {
 		r.shards[i].starts = map[string][]StartRecord{}
 	}
 	return r
 }
 
-func (r *Recorder) started(lease, upstream, trace string) {
+func (r *StartRecorder) started(lease, upstream, trace string) {
 	task := taskOf(lease)
 	s := &r.shards[xxhash.Sum64String(task)%recorderShards]
 	s.mu.Lock()
@@ -52,7 +52,7 @@
 }
 
 // Starts returns the number of starts, and the tasks that started twice.
-func (r *Recorder) Starts() (total int, twice []string) {
+func (r *StartRecorder) Starts() (total int, twice []string) {
 	for i := range r.shards {
 		s := &r.shards[i]
 		s.mu.Lock()
@@ -67,9 +67,9 @@
 	return total, twice
 }
 
-// Of returns the starts of the tasks whose name begins with prefix, such as a
+// StartsByPrefix returns the starts of the tasks whose name begins with prefix, such as a
 // key and a slash.
-func (r *Recorder) Of(prefix string) []StartRecord {
+func (r *StartRecorder) StartsByPrefix(prefix string) []StartRecord {
 	var found []StartRecord
 	for i := range r.shards {
 		s := &r.shards[i]
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -19,8 +19,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Work is the payload that a stand-in upstream understands.
-type Work struct {
+// TaskPayload is the payload that a stand-in upstream understands.
+type TaskPayload struct {
 	SleepUs int64           `json:"sleep_us,omitempty"` // the true run time, microseconds
 	Fail    bool            `json:"fail,omitempty"`
 	Echo    json.RawMessage `json:"echo,omitempty"` // comes back as the result
@@ -28,18 +28,18 @@
 
 // UpstreamFaults are the faults of one upstream; all may change at any time.
 type UpstreamFaults struct {
-	FailAll      atomic.Bool  // every task fails at once
-	DropRequests atomic.Bool  // connections die before the start takes effect
-	DropAnswers  atomic.Bool  // connections die after it took effect
-	Straggle     atomic.Int64 // run times are multiplied by this, when above 1
-	Leaving      atomic.Bool  // new starts are refused
-	Deaf         atomic.Bool  // lookups and stops die unanswered
+	FailAll        atomic.Bool  // every task fails at once
+	DropStarts     atomic.Bool  // connections die before the start takes effect
+	DropAnswers    atomic.Bool  // connections die after it took effect
+	SlowdownFactor atomic.Int64 // run times are multiplied by this, when above 1
+	Leaving        atomic.Bool  // new starts are refused
+	DropLeaseCalls atomic.Bool  // lookups and stops die unanswered
 }
 
 // UpstreamConfig describes an upstream.
 type UpstreamConfig struct {
 	Info     api.UpstreamInfo
-	Recorder *Recorder
+	Recorder *StartRecorder
 	Listen   string        // host and port; empty is any port of the loopback
 	UsageLag time.Duration // how old usage reports are
 }
@@ -77,7 +77,7 @@
 		cfg.Info.Incarnation = uuid.NewString()
 	}
 	if cfg.Recorder == nil {
-		cfg.Recorder = NewRecorder()
+		cfg.Recorder = NewStartRecorder()
 	}
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -135,7 +135,7 @@
 		drop(ctx)
 		return
 	}
-	if path != api.PathTasks && u.Faults.Deaf.Load() {
+	if path != api.PathTasks && u.Faults.DropLeaseCalls.Load() {
 		drop(ctx)
 		return
 	}
@@ -184,11 +184,11 @@
 }
 
 func (u *Upstream) start(ctx *fasthttp.RequestCtx) {
-	if u.Faults.DropRequests.Load() {
+	if u.Faults.DropStarts.Load() {
 		drop(ctx)
 		return
 	}
-	var work Work
+	var work TaskPayload
 	if body := ctx.PostBody(); len(body) > 0 && json.Unmarshal(body, &work) != nil {
 		refuse(ctx, http.StatusBadRequest, api.RefusedBadRequest)
 		return
@@ -268,10 +268,10 @@
 }
 
 // run runs a task to its end.
-func (u *Upstream) run(l *lease, service string, work Work) {
+func (u *Upstream) run(l *lease, service string, work TaskPayload) {
 	began := time.Now()
 	length := time.Duration(work.SleepUs) * time.Microsecond
-	if factor := u.Faults.Straggle.Load(); factor > 1 {
+	if factor := u.Faults.SlowdownFactor.Load(); factor > 1 {
 		length *= time.Duration(factor)
 	}
 	state, text := api.LeaseFinished, ""
