--- a/entry/node.go
+++ b/entry/node.go
@@ -31,7 +31,7 @@
 // Hooks replace what reaches the outside. Tests cut and delay there; the zero
 // value is plain TCP.
 type Hooks struct {
-	DialInner    inner.Dialer
+	DialInner    inner.DialFunc
 	DialUpstream func(address string) (net.Conn, error)
 	DialPlatform func(address string) (net.Conn, error)
 	// Tracer replaces the one that the configuration asks for.
--- a/inner/mesh.go
+++ b/inner/mesh.go
@@ -52,8 +52,8 @@
 	Address(instance string) (string, bool)
 }
 
-// Dialer opens a connection to an address. Tests replace it to delay and break connections.
-type Dialer func(ctx context.Context, address string) (net.Conn, error)
+// DialFunc opens a connection to an address. Tests replace it to delay and break connections.
+type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
 // Config configures a Mesh.
 type Config struct {
@@ -65,7 +65,7 @@
 	Address     string // of this instance's inner listener
 	Resolver    AddressResolver
 	Handler     Handler
-	Dial        Dialer            // TCP if nil
+	Dial        DialFunc          // TCP if nil
 	DialTimeout time.Duration     // DefaultDialTimeout if zero
 	CountSent   func(kind string) // counts each frame that is sent; may be nil
 	OnHello     func(*Hello)      // called with the hello of each connection's peer; may be nil
