--- a/dispatch/appender.go
+++ b/dispatch/appender.go
@@ -61,9 +61,9 @@
 		if a.ackAwaitedSince.IsZero() {
 			a.ackAwaitedSince = time.Now()
 		}
-		err = peers.Notify(witness, f, a.handleReply)
+		err = peers.CallAsync(witness, f, a.handleReply)
 	} else {
-		err = peers.Post(witness, f)
+		err = peers.TrySend(witness, f)
 	}
 	if err == nil {
 		return false
--- a/dispatch/brokers.go
+++ b/dispatch/brokers.go
@@ -123,8 +123,8 @@
 		return nil
 	}
 	return lo.MapValues(b.d.tuning.Load().Shares, func(s placement.Share, _ string) placement.Share {
-		if s.Slots > 0 {
-			s.Slots = max((s.Slots*p.slots+fleetSlots/2)/fleetSlots, 1)
+		if s.MaxSlots > 0 {
+			s.MaxSlots = max((s.MaxSlots*p.slots+fleetSlots/2)/fleetSlots, 1)
 		}
 		return s
 	})
@@ -153,10 +153,10 @@
 // The lock must be held.
 func (p *brokerPool) grantMessage(g *placement.Grant) *inner.SlotGrant {
 	m := &inner.SlotGrant{
-		Pool: p.id, Ticket: g.Ticket, Service: g.Service, Sequence: g.Sequence, Refused: string(g.Refused), RetryAfterMs: uint32(g.RetryAfterMs),
-		Hurry: p.broker.Queued() > 0, Free: uint32(p.broker.Free()), Queued: uint32(p.broker.Queued()),
+		Pool: p.id, Ticket: g.Ticket, Service: g.Service, Sequence: g.Sequence, Refused: string(g.Refusal), RetryAfterMs: uint32(g.RetryAfterMs),
+		Hurry: p.broker.QueuedTasks() > 0, Free: uint32(p.broker.FreeSlots()), Queued: uint32(p.broker.QueuedTasks()),
 	}
-	for _, place := range g.Places {
+	for _, place := range g.Slots {
 		m.Places = append(m.Places, &inner.Place{Upstream: place.Upstream, Count: uint32(place.Count)})
 	}
 	return m
@@ -165,7 +165,7 @@
 // homesToHurry returns the homes that have to release free slots without delay. It
 // returns them once, whenever tasks begin to queue. The lock must be held.
 func (p *brokerPool) homesToHurry() []fate.Incarnation {
-	queueing := p.broker.Queued() > 0
+	queueing := p.broker.QueuedTasks() > 0
 	queueStarted := queueing && !p.queueing
 	p.queueing = queueing
 	if !queueStarted {
@@ -183,7 +183,7 @@
 		b.d.slots.handleGrant(home, m)
 		return
 	}
-	if err := b.d.peers.Post(home, &inner.Frame{Body: &inner.Frame_SlotGrant{SlotGrant: m}}); err != nil {
+	if err := b.d.peers.TrySend(home, &inner.Frame{Body: &inner.Frame_SlotGrant{SlotGrant: m}}); err != nil {
 		b.d.cfg.Metrics.CountWasted("slot_grant")
 	}
 }
@@ -210,13 +210,13 @@
 	return placement.Request{
 		Home: string(home), Ticket: m.GetTicket(), Count: int(m.GetCount()),
 		Needs: toNeeds(m.GetNeeds()), RunMs: float64(m.GetRunMs()), Service: m.GetService(), DeadlineMs: m.GetDeadlineMs(),
-		Zone: m.GetZone(), Avoid: m.GetAvoidZones(),
+		Zone: m.GetZone(), AvoidZones: m.GetAvoidZones(),
 	}
 }
 
 func (b *brokers) sync(home fate.Incarnation, m *inner.SlotSync) {
-	held := lo.Map(m.GetHeld(), func(h *inner.Place, _ int) placement.Place {
-		return placement.Place{Upstream: h.GetUpstream(), Service: h.GetService(), Count: int(h.GetCount())}
+	held := lo.Map(m.GetHeld(), func(h *inner.Place, _ int) placement.UpstreamSlots {
+		return placement.UpstreamSlots{Upstream: h.GetUpstream(), Service: h.GetService(), Count: int(h.GetCount())}
 	})
 	waiting := lo.Map(m.GetWaiting(), func(r *inner.SlotRequest, _ int) placement.Request { return toRequest(home, r) })
 	b.apply(b.pool(m.GetPool()), func(broker *placement.Broker) []placement.Grant {
@@ -225,9 +225,9 @@
 }
 
 func (b *brokers) release(home fate.Incarnation, m *inner.SlotRelease) {
-	usages := make([]placement.Usage, 0, len(m.GetUsages()))
+	usages := make([]placement.ReleasedSlots, 0, len(m.GetUsages()))
 	for _, u := range m.GetUsages() {
-		usages = append(usages, placement.Usage{
+		usages = append(usages, placement.ReleasedSlots{
 			Upstream: u.GetUpstream(), Needs: toNeeds(u.GetNeeds()), Service: u.GetService(), Count: int(u.GetCount()),
 			RunMs: float64(u.GetRunUs()) / 1000, Failed: int(u.GetFailed()), HoldMs: int64(u.GetHoldMs()), Leaving: u.GetLeaving(),
 		})
@@ -246,7 +246,7 @@
 // scheduleGrants grants the released slots together after GrantDelay. The lock
 // must be held.
 func (b *brokers) scheduleGrants(p *brokerPool) {
-	if p.grantsScheduled || p.broker.Queued() == 0 {
+	if p.grantsScheduled || p.broker.QueuedTasks() == 0 {
 		return
 	}
 	p.grantsScheduled = true
@@ -267,7 +267,7 @@
 
 func (b *brokers) handleHomeLoss(home fate.Incarnation) {
 	for _, p := range b.all() {
-		b.apply(p, func(broker *placement.Broker) []placement.Grant { return broker.HomeGone(string(home), nowMs()) })
+		b.apply(p, func(broker *placement.Broker) []placement.Grant { return broker.HandleHomeLost(string(home), nowMs()) })
 	}
 }
 
@@ -290,17 +290,17 @@
 func (b *brokers) load() (free, queued int) {
 	for _, p := range b.all() {
 		p.mu.Lock()
-		free += p.broker.Free()
-		queued += p.broker.Queued()
+		free += p.broker.FreeSlots()
+		queued += p.broker.QueuedTasks()
 		p.mu.Unlock()
 	}
 	return free, queued
 }
 
-func toNeeds(m *inner.Needs) placement.Needs {
-	return placement.Needs{CPU: m.GetCpu(), MemoryMB: m.GetMemoryMb(), Accelerators: m.GetAccelerators()}
+func toNeeds(m *inner.Needs) placement.Resources {
+	return placement.Resources{CPU: m.GetCpu(), MemoryMB: m.GetMemoryMb(), Accelerators: m.GetAccelerators()}
 }
 
-func fromNeeds(n placement.Needs) *inner.Needs {
+func fromNeeds(n placement.Resources) *inner.Needs {
 	return &inner.Needs{Cpu: n.CPU, MemoryMb: n.MemoryMB, Accelerators: n.Accelerators}
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -28,8 +28,8 @@
 
 // Peers sends frames to other instances. It is implemented by inner.Mesh.
 type Peers interface {
-	Post(peer fate.Incarnation, f *inner.Frame) error
-	Notify(peer fate.Incarnation, f *inner.Frame, done func(*inner.Frame, error)) error
+	TrySend(peer fate.Incarnation, f *inner.Frame) error
+	CallAsync(peer fate.Incarnation, f *inner.Frame, done func(*inner.Frame, error)) error
 	Call(ctx context.Context, peer fate.Incarnation, f *inner.Frame) (*inner.Frame, error)
 }
 
@@ -63,7 +63,7 @@
 	GrantDelay   time.Duration
 	Broker       placement.BrokerConfig
 	Placement    PlacementMode
-	DialUpstream upstream.Dial
+	DialUpstream upstream.DialFunc
 	Metrics      *metrics.Set
 	Tracer       *tracing.Tracer
 	Log          *slog.Logger
@@ -126,7 +126,7 @@
 		c.Retention = DefaultRetention
 	}
 	if c.Broker == (placement.BrokerConfig{}) {
-		c.Broker = placement.DefaultBroker
+		c.Broker = placement.DefaultBrokerConfig
 	}
 	if c.Metrics == nil {
 		c.Metrics = metrics.NewSet()
--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -102,7 +102,7 @@
 type actions struct {
 	starts         []startOrder
 	stops          []fate.Start
-	unusedSlots    []placement.Usage
+	unusedSlots    []placement.ReleasedSlots
 	deliveries     []delivery
 	witnessQueries []fate.Key
 	tickets        []string
@@ -135,7 +135,7 @@
 	todo := actions{stops: e.Stops, witnessQueries: e.WitnessQueries}
 	for _, u := range e.UnusedSlots {
 		if r := l.submissions[u.Lease.Key]; r != nil {
-			todo.unusedSlots = append(todo.unusedSlots, placement.Usage{Upstream: u.Upstream, Service: r.service, Count: 1})
+			todo.unusedSlots = append(todo.unusedSlots, placement.ReleasedSlots{Upstream: u.Upstream, Service: r.service, Count: 1})
 		}
 	}
 	for _, s := range e.Starts {
@@ -406,13 +406,13 @@
 func (d *Dispatcher) fitsSomeUpstream(job *fate.Job) bool {
 	upstreams := d.view.Load().upstreams
 	for i := range job.Tasks {
-		if !placement.CanEver(upstreams, needsOf(&job.Tasks[i])) {
+		if !placement.AnyLargeEnough(upstreams, needsOf(&job.Tasks[i])) {
 			return false
 		}
 	}
 	return true
 }
 
-func needsOf(t *fate.Task) placement.Needs {
-	return placement.Needs{CPU: t.CPU, MemoryMB: t.MemoryMB, Accelerators: t.Accelerators}
+func needsOf(t *fate.Task) placement.Resources {
+	return placement.Resources{CPU: t.CPU, MemoryMB: t.MemoryMB, Accelerators: t.Accelerators}
 }
--- a/dispatch/homelogs.go
+++ b/dispatch/homelogs.go
@@ -32,7 +32,7 @@
 
 // logShard identifies one of the logs that accept sessions at the same time.
 type logShard struct {
-	scope placement.Scope
+	scope placement.WitnessScope
 	shard uint64
 }
 
@@ -48,7 +48,7 @@
 // OpenSession opens a session for a caller, in a log whose witness is chosen by
 // scope. It returns the session, and for how long new jobs should be submitted in
 // it. The error is Stopping if this instance is draining.
-func (d *Dispatcher) OpenSession(caller string, scope placement.Scope) (fate.Session, time.Duration, error) {
+func (d *Dispatcher) OpenSession(caller string, scope placement.WitnessScope) (fate.Session, time.Duration, error) {
 	if d.draining.Load() {
 		return "", 0, failure.Stopping.New("instance %s is shutting down", d.cfg.Self.Instance())
 	}
@@ -91,28 +91,28 @@
 
 // canGetWitness reports whether l has no witness although a new log could have
 // one by now.
-func (h *homeLogs) canGetWitness(l *homeLog, scope placement.Scope) bool {
-	return l.id.Witness == "" && scope != placement.ScopeNone && len(h.d.view.Load().Members) > 1
+func (h *homeLogs) canGetWitness(l *homeLog, scope placement.WitnessScope) bool {
+	return l.id.Witness == "" && scope != placement.WitnessScopeNone && len(h.d.view.Load().Members) > 1
 }
 
 // open opens a log with a witness, or without one if no instance can be its
 // witness.
-func (h *homeLogs) open(scope placement.Scope) *homeLog {
+func (h *homeLogs) open(scope placement.WitnessScope) *homeLog {
 	id := fate.LogID{Home: h.d.cfg.Self, Number: h.lastNumber.Add(1)}
 	view := h.awaitOtherInstances(scope)
-	self := placement.Entry{Instance: h.d.cfg.Self.Instance(), Region: h.d.cfg.Region, Zone: h.d.cfg.Zone, Rack: h.d.cfg.Rack}
+	self := placement.InstanceLocation{Instance: h.d.cfg.Self.Instance(), Region: h.d.cfg.Region, Zone: h.d.cfg.Zone, Rack: h.d.cfg.Rack}
 	for candidates := view.instances; ; {
-		m, found := view.member(placement.WitnessOf(self, id.Number, scope, candidates))
+		m, found := view.member(placement.ChooseWitness(self, id.Number, scope, candidates))
 		id.Witness = m.Incarnation
 		if !found || h.openAtWitness(id) == nil {
 			break
 		}
-		candidates = lo.Reject(candidates, func(e placement.Entry, _ int) bool { return e.Instance == m.Instance })
+		candidates = lo.Reject(candidates, func(e placement.InstanceLocation, _ int) bool { return e.Instance == m.Instance })
 	}
 	switch {
 	case id.Witness != "":
 		event.LogOpened.Log(h.d.cfg.Log, slog.String("log", id.String()))
-	case scope != placement.ScopeNone:
+	case scope != placement.WitnessScopeNone:
 		event.LogAlone.Log(h.d.cfg.Log, slog.String("log", id.String()))
 	}
 	return newHomeLog(h.d, id)
@@ -121,11 +121,11 @@
 // awaitOtherInstances returns the view as soon as it has another instance that can
 // be witness, or none is listed, but after WitnessTimeout at the latest. An
 // instance that has just started may not have received heartbeats of others yet.
-func (h *homeLogs) awaitOtherInstances(scope placement.Scope) *View {
+func (h *homeLogs) awaitOtherInstances(scope placement.WitnessScope) *View {
 	deadline := time.Now().Add(h.d.cfg.WitnessTimeout)
 	for {
 		v := h.d.view.Load()
-		if scope == placement.ScopeNone || len(v.Members) > 1 || v.OtherInstances == 0 || time.Now().After(deadline) {
+		if scope == placement.WitnessScopeNone || len(v.Members) > 1 || v.OtherInstances == 0 || time.Now().After(deadline) {
 			return v
 		}
 		select {
--- a/dispatch/release.go
+++ b/dispatch/release.go
@@ -10,7 +10,7 @@
 // pendingRelease holds the free slots of one pool until they are released to its
 // broker.
 type pendingRelease struct {
-	usages []placement.Usage
+	usages []placement.ReleasedSlots
 	timer  *time.Timer
 	sendAt time.Time // when the timer fires
 	hurry  bool      // release without delay: tasks are queued at the broker, or it needs the information
@@ -27,7 +27,7 @@
 }
 
 // release releases free slots to their broker, together with others.
-func (s *slots) release(u placement.Usage) {
+func (s *slots) release(u placement.ReleasedSlots) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := slotKey{u.Upstream, u.Service}
@@ -55,7 +55,7 @@
 }
 
 // merge adds u to a usage with the same properties, or to the list.
-func (r *pendingRelease) merge(u placement.Usage) {
+func (r *pendingRelease) merge(u placement.ReleasedSlots) {
 	for i := range r.usages {
 		o := &r.usages[i]
 		if o.Upstream == u.Upstream && o.Needs == u.Needs && o.Service == u.Service && o.HoldMs == u.HoldMs && o.Leaving == u.Leaving {
@@ -106,7 +106,7 @@
 	s.sendRelease(pool, r.usages)
 }
 
-func (s *slots) sendRelease(pool string, usages []placement.Usage) {
+func (s *slots) sendRelease(pool string, usages []placement.ReleasedSlots) {
 	p := s.d.view.Load().pools[pool]
 	if p == nil || p.broker == "" {
 		return
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -36,7 +36,7 @@
 	log          *homeLog
 	key          fate.Key
 	waitingTasks []int // task indexes
-	needs        placement.Needs
+	needs        placement.Resources
 	runMs        uint32
 	service      string
 	deadlineMs   int64
@@ -106,7 +106,7 @@
 		s.d.brokers.handleFrame(s.d.cfg.Self, f)
 		return
 	}
-	if err := s.d.peers.Post(p.broker, f); err != nil {
+	if err := s.d.peers.TrySend(p.broker, f); err != nil {
 		s.mu.Lock()
 		s.unsynced[p.ID] = true
 		s.mu.Unlock()
@@ -132,7 +132,7 @@
 	}
 	s.mu.Unlock()
 	for _, upstream := range spare {
-		s.release(placement.Usage{Upstream: upstream, Service: m.GetService(), Count: 1})
+		s.release(placement.ReleasedSlots{Upstream: upstream, Service: m.GetService(), Count: 1})
 	}
 	if t == nil {
 		return
@@ -142,7 +142,7 @@
 	}
 	if len(assigned) > 0 {
 		for _, a := range t.log.place(t.key, assigned) {
-			s.release(placement.Usage{Upstream: a.upstream, Service: t.service, Needs: t.needs, Count: 1})
+			s.release(placement.ReleasedSlots{Upstream: a.upstream, Service: t.service, Needs: t.needs, Count: 1})
 		}
 	}
 	if m.GetRefused() != "" {
--- a/dispatch/starter.go
+++ b/dispatch/starter.go
@@ -40,7 +40,7 @@
 	startedAt := time.Now()
 	reply, err := l.send(order, task, span.Traceparent())
 	span.End() // before the caller gets the answer, because it may then read the trace
-	usage := placement.Usage{Upstream: order.Upstream, Needs: needsOf(task), Service: order.job.Service, Count: 1}
+	usage := placement.ReleasedSlots{Upstream: order.Upstream, Needs: needsOf(task), Service: order.job.Service, Count: 1}
 	switch {
 	case failure.Is(err, failure.Unreachable):
 		l.d.cfg.Metrics.CountWasted("start")
@@ -59,23 +59,23 @@
 	}
 }
 
-func (l *homeLog) send(order startOrder, task *fate.Task, trace string) (upstream.Reply, error) {
+func (l *homeLog) send(order startOrder, task *fate.Task, trace string) (upstream.StartReply, error) {
 	client := l.d.upstreams.get(order.Upstream)
 	if client == nil {
-		return upstream.Reply{}, failure.Unreachable.New("upstream %s is unknown", order.Upstream)
+		return upstream.StartReply{}, failure.Unreachable.New("upstream %s is unknown", order.Upstream)
 	}
 	if l.d.upstreams.isLeaving(order.Upstream) {
-		return upstream.Reply{State: api.LeaseRefused, Refusal: api.RefusedLeaving}, nil
+		return upstream.StartReply{State: api.LeaseRefused, Refusal: api.RefusedLeaving}, nil
 	}
 	l.d.cfg.Metrics.CountSent("start")
 	leaseDuration := l.d.cfg.LeaseDuration + time.Duration(task.RunMs)*time.Millisecond
 	lease := order.Lease.String()
 	renewal := l.d.startRenewal(client, lease, leaseDuration)
 	defer renewal.stop()
-	reply, err := client.Start(&upstream.Start{
+	reply, err := client.Start(&upstream.StartRequest{
 		Lease: lease, LeaseMs: leaseDuration.Milliseconds(),
 		Service: order.job.Service, Task: task, Trace: trace,
-		Patience: resultGrace + time.Duration(task.RunMs)*time.Millisecond,
+		Timeout: resultGrace + time.Duration(task.RunMs)*time.Millisecond,
 	})
 	if err == nil {
 		l.d.cfg.Metrics.CountSent("result")
@@ -124,7 +124,7 @@
 // withLeaseEnd returns usage with the way in which the task ended. A stopped task
 // counts neither as failed nor with its run time, because it tells nothing about
 // its upstream.
-func withLeaseEnd(usage placement.Usage, state api.LeaseState) placement.Usage {
+func withLeaseEnd(usage placement.ReleasedSlots, state api.LeaseState) placement.ReleasedSlots {
 	switch state {
 	case api.LeaseFailed:
 		usage.Failed = 1
@@ -137,7 +137,7 @@
 // finishTask releases the slot of a task and records its outcome. The slot is
 // released first, so that the next task does not wait for the actions that result
 // from the outcome.
-func (l *homeLog) finishTask(order startOrder, usage placement.Usage, outcome fate.Outcome) {
+func (l *homeLog) finishTask(order startOrder, usage placement.ReleasedSlots, outcome fate.Outcome) {
 	l.d.slots.release(usage)
 	if !l.finish(order.Lease, outcome) {
 		l.d.cfg.Metrics.CountWasted("result")
@@ -146,12 +146,12 @@
 
 // requeueTask releases the slot of a task that provably did not start, and
 // requeues the task.
-func (l *homeLog) requeueTask(order startOrder, usage placement.Usage) {
+func (l *homeLog) requeueTask(order startOrder, usage placement.ReleasedSlots) {
 	l.d.slots.release(usage)
 	l.requeue(order.Lease)
 }
 
-func (l *homeLog) handleRefusal(order startOrder, usage placement.Usage, refusal api.Refusal) {
+func (l *homeLog) handleRefusal(order startOrder, usage placement.ReleasedSlots, refusal api.Refusal) {
 	switch refusal {
 	case api.RefusedBadRequest, api.RefusedUnfit:
 		outcome := fate.Outcome{State: fate.TaskFailed, Error: "the upstream refused the task: " + string(refusal)}
@@ -169,7 +169,7 @@
 
 // resolveStart finds out the result of a start whose answer was lost, and handles
 // it.
-func (l *homeLog) resolveStart(order startOrder, usage placement.Usage) {
+func (l *homeLog) resolveStart(order startOrder, usage placement.ReleasedSlots) {
 	resolution := l.d.resolveLease(order.Lease.String(), order.Upstream, func() bool { return l.awaitsOutcome(order.Lease) })
 	switch resolution.status {
 	case leaseBarred:
--- a/dispatch/starter_test.go
+++ b/dispatch/starter_test.go
@@ -13,12 +13,12 @@
 // Otherwise one failed job would count against every upstream that ran its other
 // tasks.
 func TestStoppedSaysNothingOfItsUpstream(t *testing.T) {
-	for state, want := range map[api.LeaseState]placement.Usage{
+	for state, want := range map[api.LeaseState]placement.ReleasedSlots{
 		api.LeaseFinished: {RunMs: 5},
 		api.LeaseFailed:   {RunMs: 5, Failed: 1},
 		api.LeaseStopped:  {},
 	} {
-		if got := withLeaseEnd(placement.Usage{RunMs: 5}, state); got != want {
+		if got := withLeaseEnd(placement.ReleasedSlots{RunMs: 5}, state); got != want {
 			t.Errorf("%s: usage %+v", state, got)
 		}
 	}
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -18,7 +18,7 @@
 
 // Member is an instance that is alive and not draining.
 type Member struct {
-	placement.Entry
+	placement.InstanceLocation
 	Incarnation fate.Incarnation
 }
 
@@ -41,7 +41,7 @@
 	// upstreams are not used.
 	ZonesWithInstances map[string]bool
 
-	instances        []placement.Entry
+	instances        []placement.InstanceLocation
 	pools            map[string]*poolView
 	poolIDs          []string             // in the order of placement.Pools
 	poolOf           map[string]string    // pool id by upstream id
@@ -59,7 +59,7 @@
 func (v *View) buildIndex(mode PlacementMode, self string) {
 	incarnations := map[string]fate.Incarnation{}
 	for _, m := range v.Members {
-		v.instances = append(v.instances, m.Entry)
+		v.instances = append(v.instances, m.InstanceLocation)
 		incarnations[m.Instance] = m.Incarnation
 	}
 	var usable []placement.Upstream
@@ -94,13 +94,13 @@
 }
 
 // brokeredPools groups upstreams and chooses brokers.
-func brokeredPools(mode PlacementMode, upstreams []placement.Upstream, instances []placement.Entry, self string) []brokeredPool {
+func brokeredPools(mode PlacementMode, upstreams []placement.Upstream, instances []placement.InstanceLocation, self string) []brokeredPool {
 	if mode == PlacementStatic || mode == PlacementProbe {
 		return singleUpstreamPools(mode, upstreams, instances)
 	}
 	var list []brokeredPool
 	for _, p := range placement.Pools(upstreams) {
-		b := brokeredPool{p, placement.BrokerOf(&p, instances)}
+		b := brokeredPool{p, placement.ChooseBroker(&p, instances)}
 		if mode == PlacementGuess {
 			b.broker = self
 		}
@@ -111,13 +111,13 @@
 
 // singleUpstreamPools makes each upstream a pool of its own. In mode
 // PlacementStatic it assigns the upstreams to one pool per instance instead.
-func singleUpstreamPools(mode PlacementMode, upstreams []placement.Upstream, instances []placement.Entry) []brokeredPool {
-	sortedInstances := slices.SortedFunc(slices.Values(instances), func(a, b placement.Entry) int { return cmp.Compare(a.Instance, b.Instance) })
+func singleUpstreamPools(mode PlacementMode, upstreams []placement.Upstream, instances []placement.InstanceLocation) []brokeredPool {
+	sortedInstances := slices.SortedFunc(slices.Values(instances), func(a, b placement.InstanceLocation) int { return cmp.Compare(a.Instance, b.Instance) })
 	sorted := slices.SortedFunc(slices.Values(upstreams), func(a, b placement.Upstream) int { return cmp.Compare(a.ID, b.ID) })
 	byID := map[string]*brokeredPool{}
 	for i, u := range sorted {
 		pool := placement.Pool{ID: "single/" + u.ID, Region: u.Region, Zone: u.Zone}
-		b := brokeredPool{pool, placement.BrokerOf(&pool, instances)}
+		b := brokeredPool{pool, placement.ChooseBroker(&pool, instances)}
 		if mode == PlacementStatic && len(sortedInstances) > 0 {
 			b.broker = sortedInstances[i%len(sortedInstances)].Instance
 			b.Pool = placement.Pool{ID: "static/" + b.broker, Region: u.Region}
@@ -132,7 +132,7 @@
 
 // partitioned reports whether a zone has instances, but none of them is alive.
 func (v *View) partitioned(zone string) bool {
-	return v.ZonesWithInstances[zone] && !slices.ContainsFunc(v.instances, func(e placement.Entry) bool { return e.Zone == zone })
+	return v.ZonesWithInstances[zone] && !slices.ContainsFunc(v.instances, func(e placement.InstanceLocation) bool { return e.Zone == zone })
 }
 
 // isBroker reports whether an incarnation is the broker of a pool.
@@ -232,7 +232,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.clients {
-		c.Close()
+		c.CloseIdleConnections()
 	}
 }
 
--- a/experiment/failure_test.go
+++ b/experiment/failure_test.go
@@ -25,9 +25,9 @@
 )
 
 // quick makes failures be noticed soon.
-func quick(s *Spec) {
+func quick(s *ClusterSpec) {
 	if os.Getenv("SEDGE_DEBUG") != "" {
-		s.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
+		s.Logger = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
 	s.Membership = membership.Config{SuspectMs: 300, DeadMs: 600}
 	s.Dispatch = dispatch.Config{WitnessTimeout: 300 * time.Millisecond, UpstreamLostAfter: time.Second}
@@ -80,7 +80,9 @@
 	}
 }
 
-func (c *Cluster) startsOf(key fate.Key) int { return len(c.Recorder.Of(key.String() + "/")) }
+func (c *Cluster) startsOf(key fate.Key) int {
+	return len(c.Recorder.StartsByPrefix(key.String() + "/"))
+}
 
 func checkStarts(t *testing.T, c *Cluster) {
 	t.Helper()
@@ -122,13 +124,13 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(20, 300*time.Millisecond))
 	home, witness := homeOf(t, s)
-	lost := background(s, c.Node(home).CallersAddress())
+	lost := background(s, c.Node(home).CallerAddress())
 	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 20 })
 	c.KillEntry(home)
 	if got := <-lost; got.err == nil {
 		t.Error("the lost home answered")
 	}
-	answer, err := s.SendTo(context.Background(), c.Node(witness).CallersAddress())
+	answer, err := s.SendTo(context.Background(), c.Node(witness).CallerAddress())
 	wantComplete(t, answer, err, 20)
 	checkStarts(t, c)
 }
@@ -139,10 +141,10 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(120, 200*time.Millisecond))
 	home, witness := homeOf(t, s)
-	background(s, c.Node(home).CallersAddress())
+	background(s, c.Node(home).CallerAddress())
 	await(t, "some tasks to start", func() bool { return c.startsOf(s.Key()) >= 48 })
 	c.KillEntry(home)
-	answer, err := s.SendTo(context.Background(), c.Node(witness).CallersAddress())
+	answer, err := s.SendTo(context.Background(), c.Node(witness).CallerAddress())
 	wantComplete(t, answer, err, 120)
 	checkStarts(t, c)
 }
@@ -153,9 +155,9 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(10, 100*time.Millisecond))
 	home, _ := homeOf(t, s)
-	first := background(s, c.Node(home).CallersAddress())
+	first := background(s, c.Node(home).CallerAddress())
 	await(t, "a start", func() bool { return c.startsOf(s.Key()) > 0 })
-	for _, address := range c.Addresses() {
+	for _, address := range c.CallerAddresses() {
 		answer, err := s.SendTo(context.Background(), address)
 		wantComplete(t, answer, err, 10)
 	}
@@ -172,7 +174,7 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(10, 300*time.Millisecond))
 	home, witness := homeOf(t, s)
-	first := background(s, c.Node(home).CallersAddress())
+	first := background(s, c.Node(home).CallerAddress())
 	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 10 })
 	c.KillEntry(witness)
 	got := <-first
@@ -187,11 +189,11 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(10, 200*time.Millisecond))
 	home, witness := homeOf(t, s)
-	background(s, c.Node(home).CallersAddress())
+	background(s, c.Node(home).CallerAddress())
 	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 10 })
 	c.KillEntry(home)
 	c.KillEntry(witness)
-	answer, err := s.SendTo(context.Background(), c.Addresses()[0])
+	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	if err != nil || answer.Fate != fate.Unknown {
 		t.Errorf("answer %s, %v", answer.Fate, err)
 	}
@@ -205,7 +207,7 @@
 	s := prepare(t, cl, tasks(3, time.Millisecond))
 	home, _ := homeOf(t, s)
 	c.KillEntry(home)
-	answer, err := s.SendTo(context.Background(), c.Addresses()[0])
+	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	if err != nil || answer.Fate != fate.NotRun {
 		t.Fatalf("answer %s, %v", answer.Fate, err)
 	}
@@ -221,7 +223,7 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(200, 300*time.Millisecond))
 	home, _ := homeOf(t, s)
-	done := background(s, c.Node(home).CallersAddress())
+	done := background(s, c.Node(home).CallerAddress())
 	await(t, "a start", func() bool { return c.startsOf(s.Key()) > 0 })
 	answer, err := cl.Cancel(context.Background(), s.Key())
 	if err != nil || answer.Fate != fate.Failed || answer.Reason != fate.ReasonCancelled {
@@ -307,7 +309,7 @@
 // An upstream may answer after its lease has ended: the task ran once, and its
 // result is as good.
 func TestAnswerAfterTheLease(t *testing.T) {
-	c := small(t, func(s *Spec) {
+	c := small(t, func(s *ClusterSpec) {
 		quick(s)
 		s.Dispatch.LeaseDuration = 20 * time.Millisecond
 	})
@@ -316,7 +318,7 @@
 		job.Tasks[i].RunMs = 1
 	}
 	for _, u := range c.Upstreams {
-		u.Faults.Deaf.Store(true) // renewals die too
+		u.Faults.DropLeaseCalls.Store(true) // renewals die too
 	}
 	answer, err := callers(t, c).Do(context.Background(), job)
 	wantComplete(t, answer, err, 4)
@@ -330,7 +332,7 @@
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(4, 100*time.Millisecond))
 	home, _ := homeOf(t, s)
-	conn, err := net.Dial("tcp", c.Node(home).CallersAddress())
+	conn, err := net.Dial("tcp", c.Node(home).CallerAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -341,7 +343,7 @@
 	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: e\r\nContent-Length: %d\r\n\r\n%s", api.PathJobs, len(body), body)
 	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 4 })
 	_ = conn.Close()
-	answer, err := s.SendTo(context.Background(), c.Addresses()[0])
+	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	wantComplete(t, answer, err, 4)
 	if n := c.startsOf(s.Key()); n != 4 {
 		t.Errorf("%d starts", n)
@@ -352,7 +354,7 @@
 // names its field, and starts nothing.
 func TestBadRequests(t *testing.T) {
 	c := small(t, nil)
-	address := c.Addresses()[0]
+	address := c.CallerAddresses()[0]
 	for name, r := range map[string]struct {
 		body          string
 		status        int
@@ -390,7 +392,7 @@
 func TestOneTraceAcrossHops(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	tracer := tracing.FromExporter(spans, tracing.Config{Ratio: 1, Service: "test"})
-	c := small(t, func(s *Spec) { s.Tracer = tracer })
+	c := small(t, func(s *ClusterSpec) { s.Tracer = tracer })
 	cl := callers(t, c)
 	s := prepare(t, cl, tasks(3, time.Millisecond))
 	home, _ := homeOf(t, s)
@@ -398,7 +400,7 @@
 	if other == home {
 		other = c.Names()[1]
 	}
-	answer, err := s.SendTo(context.Background(), c.Node(other).CallersAddress())
+	answer, err := s.SendTo(context.Background(), c.Node(other).CallerAddress())
 	wantComplete(t, answer, err, 3)
 	if err := tracer.Flush(context.Background()); err != nil {
 		t.Fatal(err)
@@ -412,7 +414,7 @@
 	if !maps.Equal(names, want) || len(traces) != 1 {
 		t.Errorf("spans %v in %d traces", names, len(traces))
 	}
-	for _, start := range c.Recorder.Of(s.Key().String() + "/") {
+	for _, start := range c.Recorder.StartsByPrefix(s.Key().String() + "/") {
 		if len(start.Trace) < 36 || !traces[start.Trace[3:35]] {
 			t.Errorf("the upstream got trace %q", start.Trace)
 		}
--- a/experiment/throughput_test.go
+++ b/experiment/throughput_test.go
@@ -20,7 +20,7 @@
 // idle is a fleet of one entry, or two, whose upstreams answer at once.
 func idle(b *testing.B, entries int) *Cluster {
 	b.Helper()
-	c, err := StartCluster(Spec{Zones: []ZoneSpec{{"a", entries, 8}}, Slots: 64})
+	c, err := StartCluster(ClusterSpec{Zones: []ZoneSpec{{"a", entries, 8}}, Slots: 64})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -69,13 +69,13 @@
 func BenchmarkDirect(b *testing.B) {
 	c := idle(b, 1)
 	cl := upstream.NewClient("u", c.Upstreams[0].Address(), 64, nil)
-	defer cl.Close()
+	defer cl.CloseIdleConnections()
 	task := &fate.Task{}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		id := time.Now().String()
 		for n := 0; pb.Next(); n++ {
-			if _, err := cl.Start(&upstream.Start{Lease: id + "/" + time.Now().String(), LeaseMs: 1000, Service: "desk", Task: task, Patience: time.Second}); err != nil {
+			if _, err := cl.Start(&upstream.StartRequest{Lease: id + "/" + time.Now().String(), LeaseMs: 1000, Service: "desk", Task: task, Timeout: time.Second}); err != nil {
 				b.Error(err)
 			}
 		}
@@ -89,7 +89,7 @@
 		b.Run(name, func(b *testing.B) {
 			c := idle(b, entries)
 			direct := upstream.NewClient("u", c.Upstreams[0].Address(), 4, nil)
-			defer direct.Close()
+			defer direct.CloseIdleConnections()
 			cl, err := c.Client("desk")
 			if err != nil {
 				b.Fatal(err)
@@ -123,7 +123,7 @@
 					return err
 				})
 				timed(straight, func() error {
-					_, err := direct.Start(&upstream.Start{Lease: fmt.Sprintf("d/%p/%d/0", c, n), LeaseMs: 1000, Service: "desk", Task: &fate.Task{}, Patience: time.Second})
+					_, err := direct.Start(&upstream.StartRequest{Lease: fmt.Sprintf("d/%p/%d/0", c, n), LeaseMs: 1000, Service: "desk", Task: &fate.Task{}, Timeout: time.Second})
 					return err
 				})
 			}
@@ -144,10 +144,10 @@
 // TestBounds holds the allocations and messages of a task, callers and
 // upstreams included, in jobs of 50 on two entries.
 func TestBounds(t *testing.T) {
-	c := small(t, func(s *Spec) {
+	c := small(t, func(s *ClusterSpec) {
 		s.Zones = []ZoneSpec{{"a", 2, 8}}
 		s.Slots = 64
-		s.Heartbeat = 500 * time.Millisecond
+		s.HeartbeatInterval = 500 * time.Millisecond
 	})
 	cl := callers(t, c)
 	const perJob, jobs = 50, 40
