--- a/dispatch/appender.go
+++ b/dispatch/appender.go
@@ -51,8 +51,8 @@
 }
 
 // send sends one append, and reports whether the witness has to be considered
-// lost. An error of the connection to it proves that no byte of the append was
-// sent. The lock must be held.
+// lost. If CallAsync or TrySend returns an error, no byte of the append was sent.
+// The lock must be held.
 func (a *appender) send(next fate.Append) (lost bool) {
 	f := &inner.Frame{Body: &inner.Frame_Append{Append: inner.FromAppend(&next)}}
 	peers, witness := a.log.d.peers, a.log.id.Witness
--- a/dispatch/brokers.go
+++ b/dispatch/brokers.go
@@ -225,9 +225,9 @@
 }
 
 func (b *brokers) release(home fate.Incarnation, m *inner.SlotRelease) {
-	usages := make([]placement.ReleasedSlots, 0, len(m.GetUsages()))
+	released := make([]placement.ReleasedSlots, 0, len(m.GetUsages()))
 	for _, u := range m.GetUsages() {
-		usages = append(usages, placement.ReleasedSlots{
+		released = append(released, placement.ReleasedSlots{
 			Upstream: u.GetUpstream(), Needs: toNeeds(u.GetNeeds()), Service: u.GetService(), Count: int(u.GetCount()),
 			RunMs: float64(u.GetRunUs()) / 1000, Failed: int(u.GetFailed()), HoldMs: int64(u.GetHoldMs()), Leaving: u.GetLeaving(),
 		})
@@ -237,7 +237,7 @@
 	}
 	p := b.pool(m.GetPool())
 	b.apply(p, func(broker *placement.Broker) []placement.Grant {
-		broker.Release(string(home), usages, nowMs())
+		broker.Release(string(home), released, nowMs())
 		b.scheduleGrants(p)
 		return nil
 	})
--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// expired reports whether the log is no longer needed: it has no open jobs, and all
-// of its answers have expired.
+// expired reports whether the log can be removed: it has accepted no jobs for the
+// maximum age of answers, and has no open jobs.
 func (l *homeLog) expired(now time.Time) bool {
 	retention := time.Duration(l.d.tuning.Load().Retention.MaxAgeMs) * time.Millisecond
 	if now.Sub(l.openedAt) < 2*l.d.cfg.RotateLogsAfter+retention {
--- a/dispatch/release.go
+++ b/dispatch/release.go
@@ -10,10 +10,10 @@
 // pendingRelease holds the free slots of one pool until they are released to its
 // broker.
 type pendingRelease struct {
-	usages []placement.ReleasedSlots
-	timer  *time.Timer
-	sendAt time.Time // when the timer fires
-	hurry  bool      // release without delay: tasks are queued at the broker, or it needs the information
+	released []placement.ReleasedSlots
+	timer    *time.Timer
+	sendAt   time.Time // when the timer fires
+	hurry    bool      // release without delay: tasks are queued at the broker, or it needs the information
 }
 
 // hurryRelease makes free slots of a pool be released without delay, because tasks
@@ -21,7 +21,7 @@
 func (s *slots) hurryRelease(pool string) {
 	r := s.pendingReleaseOf(pool)
 	r.hurry = true
-	if len(r.usages) > 0 {
+	if len(r.released) > 0 {
 		s.scheduleRelease(pool, r)
 	}
 }
@@ -54,10 +54,10 @@
 	return r
 }
 
-// merge adds u to a usage with the same properties, or to the list.
+// merge adds u to an element of the list with the same properties, or appends it.
 func (r *pendingRelease) merge(u placement.ReleasedSlots) {
-	for i := range r.usages {
-		o := &r.usages[i]
+	for i := range r.released {
+		o := &r.released[i]
 		if o.Upstream == u.Upstream && o.Needs == u.Needs && o.Service == u.Service && o.HoldMs == u.HoldMs && o.Leaving == u.Leaving {
 			o.Count += u.Count
 			o.RunMs += u.RunMs
@@ -65,7 +65,7 @@
 			return
 		}
 	}
-	r.usages = append(r.usages, u)
+	r.released = append(r.released, u)
 }
 
 // hurriedReleaseDelay is how long free slots wait to be released together with
@@ -94,7 +94,7 @@
 func (s *slots) flushReleases(pool string) {
 	s.mu.Lock()
 	r := s.releases[pool]
-	if r == nil || len(r.usages) == 0 || s.closed {
+	if r == nil || len(r.released) == 0 || s.closed {
 		s.mu.Unlock()
 		return
 	}
@@ -103,16 +103,16 @@
 		r.timer.Stop()
 	}
 	s.mu.Unlock()
-	s.sendRelease(pool, r.usages)
+	s.sendRelease(pool, r.released)
 }
 
-func (s *slots) sendRelease(pool string, usages []placement.ReleasedSlots) {
+func (s *slots) sendRelease(pool string, released []placement.ReleasedSlots) {
 	p := s.d.view.Load().pools[pool]
 	if p == nil || p.broker == "" {
 		return
 	}
 	m := &inner.SlotRelease{Pool: pool}
-	for _, u := range usages {
+	for _, u := range released {
 		m.Usages = append(m.Usages, &inner.Usage{
 			Upstream: u.Upstream, Needs: fromNeeds(u.Needs), Service: u.Service, Count: uint32(u.Count),
 			RunUs: uint32(u.RunMs * 1000), Failed: uint32(u.Failed), HoldMs: uint32(u.HoldMs), Leaving: u.Leaving,
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -35,7 +35,7 @@
 	pool         string
 	log          *homeLog
 	key          fate.Key
-	waitingTasks []int // task indexes
+	waitingTasks []int // indexes of the tasks that still wait for a slot
 	needs        placement.Resources
 	runMs        uint32
 	service      string
--- a/dispatch/starter.go
+++ b/dispatch/starter.go
@@ -40,22 +40,22 @@
 	startedAt := time.Now()
 	reply, err := l.send(order, task, span.Traceparent())
 	span.End() // before the caller gets the answer, because it may then read the trace
-	usage := placement.ReleasedSlots{Upstream: order.Upstream, Needs: needsOf(task), Service: order.job.Service, Count: 1}
+	released := placement.ReleasedSlots{Upstream: order.Upstream, Needs: needsOf(task), Service: order.job.Service, Count: 1}
 	switch {
 	case failure.Is(err, failure.Unreachable):
 		l.d.cfg.Metrics.CountWasted("start")
-		usage.Failed = 1
-		usage.HoldMs = unreachableHold.Milliseconds()
-		l.requeueTask(order, usage)
+		released.Failed = 1
+		released.HoldMs = unreachableHold.Milliseconds()
+		l.requeueTask(order, released)
 	case err != nil || reply.Refusal == api.RefusedDuplicate:
-		l.resolveStart(order, usage)
+		l.resolveStart(order, released)
 	case reply.State == api.LeaseRefused:
 		l.d.cfg.Metrics.CountWasted("start")
 		l.d.cfg.Metrics.CountWasted("refusal")
-		l.handleRefusal(order, usage, reply.Refusal)
+		l.handleRefusal(order, released, reply.Refusal)
 	default:
-		usage.RunMs = float64(time.Since(startedAt).Microseconds()) / 1000
-		l.finishTask(order, withLeaseEnd(usage, reply.State), outcomeOf(reply.State, reply.Body))
+		released.RunMs = float64(time.Since(startedAt).Microseconds()) / 1000
+		l.finishTask(order, withLeaseEnd(released, reply.State), outcomeOf(reply.State, reply.Body))
 	}
 }
 
@@ -121,24 +121,24 @@
 	}
 }
 
-// withLeaseEnd returns usage with the way in which the task ended. A stopped task
+// withLeaseEnd returns released with the way in which the task ended. A stopped task
 // counts neither as failed nor with its run time, because it tells nothing about
 // its upstream.
-func withLeaseEnd(usage placement.ReleasedSlots, state api.LeaseState) placement.ReleasedSlots {
+func withLeaseEnd(released placement.ReleasedSlots, state api.LeaseState) placement.ReleasedSlots {
 	switch state {
 	case api.LeaseFailed:
-		usage.Failed = 1
+		released.Failed = 1
 	case api.LeaseStopped:
-		usage.RunMs = 0
+		released.RunMs = 0
 	}
-	return usage
+	return released
 }
 
 // finishTask releases the slot of a task and records its outcome. The slot is
 // released first, so that the next task does not wait for the actions that result
 // from the outcome.
-func (l *homeLog) finishTask(order startOrder, usage placement.ReleasedSlots, outcome fate.Outcome) {
-	l.d.slots.release(usage)
+func (l *homeLog) finishTask(order startOrder, released placement.ReleasedSlots, outcome fate.Outcome) {
+	l.d.slots.release(released)
 	if !l.finish(order.Lease, outcome) {
 		l.d.cfg.Metrics.CountWasted("result")
 	}
@@ -146,44 +146,44 @@
 
 // requeueTask releases the slot of a task that provably did not start, and
 // requeues the task.
-func (l *homeLog) requeueTask(order startOrder, usage placement.ReleasedSlots) {
-	l.d.slots.release(usage)
+func (l *homeLog) requeueTask(order startOrder, released placement.ReleasedSlots) {
+	l.d.slots.release(released)
 	l.requeue(order.Lease)
 }
 
-func (l *homeLog) handleRefusal(order startOrder, usage placement.ReleasedSlots, refusal api.Refusal) {
+func (l *homeLog) handleRefusal(order startOrder, released placement.ReleasedSlots, refusal api.Refusal) {
 	switch refusal {
 	case api.RefusedBadRequest, api.RefusedUnfit:
 		outcome := fate.Outcome{State: fate.TaskFailed, Error: "the upstream refused the task: " + string(refusal)}
-		l.d.slots.release(usage)
+		l.d.slots.release(released)
 		l.finish(order.Lease, outcome)
 		return
 	case api.RefusedLeaving:
 		l.d.MarkUpstreamLeaving(order.Upstream)
-		usage.Leaving = true
+		released.Leaving = true
 	default:
-		usage.HoldMs = busyHold.Milliseconds()
+		released.HoldMs = busyHold.Milliseconds()
 	}
-	l.requeueTask(order, usage)
+	l.requeueTask(order, released)
 }
 
 // resolveStart finds out the result of a start whose answer was lost, and handles
 // it.
-func (l *homeLog) resolveStart(order startOrder, usage placement.ReleasedSlots) {
+func (l *homeLog) resolveStart(order startOrder, released placement.ReleasedSlots) {
 	resolution := l.d.resolveLease(order.Lease.String(), order.Upstream, func() bool { return l.awaitsOutcome(order.Lease) })
 	switch resolution.status {
 	case leaseBarred:
-		usage.HoldMs = busyHold.Milliseconds()
-		l.requeueTask(order, usage)
+		released.HoldMs = busyHold.Milliseconds()
+		l.requeueTask(order, released)
 	case leaseEnded:
-		l.finishTask(order, withLeaseEnd(usage, resolution.state), resolution.outcome)
+		l.finishTask(order, withLeaseEnd(released, resolution.state), resolution.outcome)
 	case leaseUnanswered:
 		event.UpstreamLost.Log(l.d.cfg.Log, slog.String("upstream", order.Upstream), slog.String("lease", order.Lease.String()))
-		usage.HoldMs = unreachableHold.Milliseconds()
-		l.finishTask(order, usage, fate.Outcome{State: fate.TaskUnknown, Error: "the upstream does not answer"})
+		released.HoldMs = unreachableHold.Milliseconds()
+		l.finishTask(order, released, fate.Outcome{State: fate.TaskUnknown, Error: "the upstream does not answer"})
 	case leaseNotNeeded:
-		usage.HoldMs = busyHold.Milliseconds()
-		l.d.slots.release(usage)
+		released.HoldMs = busyHold.Milliseconds()
+		l.d.slots.release(released)
 	}
 }
 
--- a/dispatch/starter_test.go
+++ b/dispatch/starter_test.go
@@ -19,7 +19,7 @@
 		api.LeaseStopped:  {},
 	} {
 		if got := withLeaseEnd(placement.ReleasedSlots{RunMs: 5}, state); got != want {
-			t.Errorf("%s: usage %+v", state, got)
+			t.Errorf("%s: released %+v", state, got)
 		}
 	}
 }
--- a/dispatch/sync.go
+++ b/dispatch/sync.go
@@ -105,7 +105,7 @@
 		}
 	}
 	if r := s.releases[pool]; r != nil {
-		for _, u := range r.usages {
+		for _, u := range r.released {
 			counts[slotKey{u.Upstream, u.Service}] += u.Count
 		}
 	}
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -43,7 +43,7 @@
 
 	instances        []placement.InstanceLocation
 	pools            map[string]*poolView
-	poolIDs          []string             // in the order of placement.Pools
+	poolIDs          []string             // sorted
 	poolOf           map[string]string    // pool id by upstream id
 	upstreams        []placement.Upstream // all, including those of partitioned zones
 	partitionedZones []string
--- a/fate/seal.go
+++ b/fate/seal.go
@@ -10,8 +10,8 @@
 
 // Seal applies the notification that the witness has sealed the log: no further
 // task starts here. Started tasks continue. Jobs that need further starts or an
-// acknowledgement are decided by the witness, and jobs that the witness cannot
-// know have not run.
+// acknowledgement are left to the witness. Jobs that the witness cannot know are
+// answered NotRun.
 func (h *Home) Seal() Effects {
 	var e Effects
 	if h.sealed {
