--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -31,7 +31,7 @@
 
 // View is an immutable snapshot of the fleet as this instance knows it.
 type View struct {
-	Members   []Member // includes this instance, unless it is draining
+	Members   []Member // includes this instance, unless it is draining and others are alive
 	Upstreams []UpstreamSpec
 	// OtherInstances is the number of other instances that the platform lists, or -1
 	// while that is unknown.
