--- a/inner/mesh.go
+++ b/inner/mesh.go
@@ -74,8 +74,8 @@
 	// side opened it. Both sides must then call SendHeartbeat several times within
 	// SilenceTimeout.
 	ShareConnections bool
-	// SilenceTimeout returns how long after the last received frame a connection to an
-	// instance counts as broken. It is only used, and required, with ShareConnections.
+	// SilenceTimeout returns for how long a connection to an instance may receive no frame
+	// before it counts as broken. It is required with ShareConnections and otherwise unused.
 	SilenceTimeout func(instance string) time.Duration
 	// QueueOnly ensures that TrySend, CallAsync and replies never wait for a peer that does
 	// not read. It costs an additional wake-up per frame.
