--- a/placement/broker.go
+++ b/placement/broker.go
@@ -5,385 +5,405 @@
 	"slices"
 )
 
-// Order is the order in which waiting tickets get places.
+// Order is the order in which the queued requests of a service are granted slots.
 type Order string
 
-// The orders.
 const (
-	// OrderFIFO serves tickets as they came.
+	// OrderFIFO grants requests slots in their order of arrival.
 	OrderFIFO Order = "fifo"
-	// OrderLeastRemaining serves the job first that needs the fewest places
-	// still, so that jobs finish whole; tickets age, so that none starves.
+	// OrderLeastRemaining grants slots first to the request with the fewest tasks
+	// still waiting, so that jobs complete early. Requests that have waited longer
+	// than agingAfterMs precede all others, in their order of arrival, so that none
+	// starves.
 	OrderLeastRemaining Order = "least_remaining"
 )
 
-// BrokerConfig bounds a broker.
+// BrokerConfig configures a Broker.
 type BrokerConfig struct {
 	Order     Order
-	MaxQueued int // tasks that may wait
+	MaxQueued int // maximum number of tasks waiting for slots
 	Health    HealthConfig
-	// LostHomeReleaseDelayMs is how long the places of a lost home stay taken: its tasks run
-	// on at their upstreams.
+	// LostHomeReleaseDelayMs is how long the slots of a lost home remain in use, in
+	// milliseconds: the upstreams are still running its tasks.
 	LostHomeReleaseDelayMs int64
 }
 
-// DefaultBrokerConfig is what applies where settings say nothing.
+// DefaultBrokerConfig is the configuration for brokers for which none is given.
 var DefaultBrokerConfig = BrokerConfig{Order: OrderFIFO, MaxQueued: 20000, Health: DefaultHealthConfig, LostHomeReleaseDelayMs: 1000}
 
-// Request asks for places for tasks that are alike.
+// Request asks for a slot for each of Count tasks of one job that have the same needs.
 type Request struct {
-	Home       string
-	Ticket     string
+	Home       string // instance that accepted the job and starts its tasks
+	Ticket     string // identifies the request among those of its home
 	Count      int
 	Needs      Resources
-	RunMs      float64 // declared
+	RunMs      float64 // declared run time of a task; 0 if none is declared
 	Service    string
-	DeadlineMs int64 // Unix milliseconds; zero is none
-	Zone       string
-	// AvoidZones holds zones that the home cannot reach.
+	DeadlineMs int64  // Unix milliseconds; 0 means none
+	Zone       string // of the home
+	// AvoidZones are zones that the home cannot reach.
 	AvoidZones []string
 }
 
-// UpstreamSlots is a number of slots at one upstream.
+// UpstreamSlots is a number of slots of one upstream.
 type UpstreamSlots struct {
 	Upstream string
-	Service  string // whose they are, in a sync
+	Service  string // service whose tasks hold the slots; only used by Broker.Sync
 	Count    int
 }
 
-// Refusal is why a ticket gets no more places.
+// Refusal is the reason why a request is granted no more slots.
 type Refusal string
 
-// The refusals of a ticket.
+// Reasons to refuse a request.
 const (
 	NotRefused        Refusal = ""
 	RefusedOverloaded Refusal = "overloaded"
 )
 
-// Grant gives places to a ticket, or refuses the rest of it.
+// Grant assigns slots to the tasks of a request, or refuses its remaining tasks.
 type Grant struct {
 	Home         string
 	Ticket       string
 	Service      string
-	Sequence     uint64 // counts the grants to this home, refusals aside
+	Sequence     uint64 // number of the grant among all grants to this home, from 1; 0 in refusals
 	Slots        []UpstreamSlots
 	Refusal      Refusal
-	RetryAfterMs int64
+	RetryAfterMs int64 // if refused, the estimated time until a new request can succeed
 }
 
-// ReleasedSlots gives places back and says what the tasks there were like.
+// ReleasedSlots returns slots of one upstream to the broker, and reports what became of
+// the tasks that they were granted for.
 type ReleasedSlots struct {
 	Upstream string
-	Needs    Resources
+	Needs    Resources // of each task
 	Service  string
-	Count    int
-	RunMs    float64 // sum over the tasks that ran; zero where none did
-	Failed   int
-	HoldMs   int64 // the upstream was busy: leave these places alone so long
-	Leaving  bool  // the upstream said that it is leaving
+	Count    int     // slots, one for each task
+	RunMs    float64 // sum of the run times of the tasks that ran; 0 if none did
+	Failed   int     // number of tasks that failed, or whose start did not reach the upstream
+	// HoldMs is set if the tasks did not run, or nobody knows whether they did: the
+	// slots are not granted again for so many milliseconds.
+	HoldMs  int64
+	Leaving bool // the upstream has answered that it is shutting down
 }
 
-type ticket struct {
-	Request
-	arrived int64
+// queuedRequest is a request of which some tasks are still waiting for slots.
+type queuedRequest struct {
+	Request         // Count is the number of tasks still waiting
+	arrivedMs int64 // Unix milliseconds
 }
 
-type place struct {
+// upstreamState is what a broker keeps about one upstream.
+type upstreamState struct {
 	Upstream
-	used   int
-	taken  Resources
-	health health
-	listed bool
-	// reserved is the ticket that this upstream is kept free for, or nil.
-	reserved *ticket
+	usedSlots     int
+	usedResources Resources
+	health        health
+	listed        bool // whether the current list of upstreams has it
+	// reservedFor is the only request that may be granted slots of this upstream, or
+	// nil if all may.
+	reservedFor *queuedRequest
 }
 
 type ticketKey struct{ home, ticket string }
 
-// Broker hands out the places of one pool. It is not safe for concurrent use.
+// Broker allocates the slots of one pool of upstreams. It is not safe for concurrent use.
+// Parameters named now are times in Unix milliseconds.
 type Broker struct {
-	cfg      BrokerConfig
-	places   map[string]*place
-	sorted   []*place
-	queue    []*ticket
-	tickets  map[ticketKey]*ticket
-	queued   int // tasks
-	held     map[heldKey]*holding
-	homes    map[string]*grants
-	uses     map[string]*use // by service
-	orphans  []orphan
-	services *estimates
-	meanMs   float64 // run time of the pool's tasks of late
-	overhead float64 // how long places are taken, against the run times of tasks
-	judged   int64   // Unix milliseconds, when paces were last compared
-	// quietUntil is when a new broker may begin to grant.
-	quietUntil int64
+	cfg             BrokerConfig
+	upstreams       map[string]*upstreamState
+	sortedUpstreams []*upstreamState // those listed, by ID
+	queue           []*queuedRequest // in order of arrival
+	requests        map[ticketKey]*queuedRequest
+	queuedTasks     int
+	held            map[heldKey]*heldSlots
+	homeGrants      map[string]*homeGrants   // by home
+	services        map[string]*serviceState // by service
+	pendingReleases []pendingRelease
+	estimates       *estimates
+	meanRunMs       float64 // moving mean of the run time of the pool's tasks
+	// slotOverhead is the ratio between the time that slots are in use and the run
+	// times of their tasks, from 1 to maxSlotOverhead.
+	slotOverhead    float64
+	pacesComparedMs int64 // Unix milliseconds of the last comparePaces
+	grantsFromMs    int64 // Unix milliseconds, before which nothing is granted
 }
 
 // NewBroker returns a broker without upstreams. It grants nothing before
-// quietUntil (Unix milliseconds), so that homes can say what they hold.
-func NewBroker(cfg BrokerConfig, quietUntil int64) *Broker {
+// grantsFromMs (Unix milliseconds), so that homes can first report which slots they hold.
+func NewBroker(cfg BrokerConfig, grantsFromMs int64) *Broker {
 	return &Broker{
-		cfg: cfg, places: map[string]*place{}, tickets: map[ticketKey]*ticket{},
-		held: map[heldKey]*holding{}, homes: map[string]*grants{}, uses: map[string]*use{}, quietUntil: quietUntil, services: newEstimates(), meanMs: unknownRunMs, overhead: 1,
+		cfg: cfg, upstreams: map[string]*upstreamState{}, requests: map[ticketKey]*queuedRequest{},
+		held: map[heldKey]*heldSlots{}, homeGrants: map[string]*homeGrants{}, services: map[string]*serviceState{}, grantsFromMs: grantsFromMs, estimates: newEstimates(), meanRunMs: defaultRunMs, slotOverhead: 1,
 	}
 }
 
-// SetUpstreams replaces the list of upstreams. What is known of those that
-// stay is kept.
+// SetUpstreams replaces the list of upstreams. The state of an upstream is kept if it is in
+// the new list or has slots in use.
 func (b *Broker) SetUpstreams(list []Upstream, now int64) []Grant {
-	for _, p := range b.places {
-		p.listed = false
+	for _, u := range b.upstreams {
+		u.listed = false
 	}
-	for _, u := range list {
-		p := b.places[u.ID]
-		if p == nil {
-			p = &place{}
-			b.places[u.ID] = p
+	for _, upstream := range list {
+		u := b.upstreams[upstream.ID]
+		if u == nil {
+			u = &upstreamState{}
+			b.upstreams[upstream.ID] = u
 		}
-		p.Upstream = u
-		p.listed = true
+		u.Upstream = upstream
+		u.listed = true
 	}
-	b.sorted = b.sorted[:0]
-	for id, p := range b.places {
-		if p.listed {
-			b.sorted = append(b.sorted, p)
-		} else if p.used == 0 {
-			delete(b.places, id)
+	b.sortedUpstreams = b.sortedUpstreams[:0]
+	for id, u := range b.upstreams {
+		if u.listed {
+			b.sortedUpstreams = append(b.sortedUpstreams, u)
+		} else if u.usedSlots == 0 {
+			delete(b.upstreams, id)
 		}
 	}
-	slices.SortFunc(b.sorted, func(x, y *place) int { return cmp.Compare(x.ID, y.ID) })
-	return b.serve(now)
+	slices.SortFunc(b.sortedUpstreams, func(x, y *upstreamState) int { return cmp.Compare(x.ID, y.ID) })
+	return b.grantQueued(now)
 }
 
-// SetMaxQueued bounds the tasks that may wait.
+// SetMaxQueued sets the maximum number of tasks waiting for slots.
 func (b *Broker) SetMaxQueued(tasks int) { b.cfg.MaxQueued = tasks }
 
-// QueuedTasks returns the number of tasks that wait.
-func (b *Broker) QueuedTasks() int { return b.queued }
+// QueuedTasks returns the number of tasks waiting for slots.
+func (b *Broker) QueuedTasks() int { return b.queuedTasks }
 
-// FreeSlots returns the number of free slots.
+// FreeSlots returns the number of free slots of the upstreams that may get tasks.
 func (b *Broker) FreeSlots() int {
 	free := 0
-	for _, p := range b.sorted {
-		if p.open() {
-			free += p.Slots - p.used
+	for _, u := range b.sortedUpstreams {
+		if u.isAvailable() {
+			free += u.Slots - u.usedSlots
 		}
 	}
 	return free
 }
 
-func (p *place) open() bool { return p.listed && !p.Leaving && !p.health.ejected && p.used < p.Slots }
+// isAvailable reports whether the upstream may get tasks and has a free slot.
+func (u *upstreamState) isAvailable() bool {
+	return u.listed && !u.Leaving && !u.health.ejected && u.usedSlots < u.Slots
+}
 
-func (b *Broker) slots() int {
+// usableSlots returns the number of slots, free or not, of the upstreams that may get tasks
+// and are not slow.
+func (b *Broker) usableSlots() int {
 	slots := 0
-	for _, p := range b.sorted {
-		if !p.Leaving && !p.health.ejected && !p.health.isSlow(&b.cfg.Health) {
-			slots += p.Slots
+	for _, u := range b.sortedUpstreams {
+		if !u.Leaving && !u.health.ejected && !u.health.isSlow(&b.cfg.Health) {
+			slots += u.Slots
 		}
 	}
 	return slots
 }
 
-// Request takes a request. What can be placed is granted at once, the rest
-// waits, unless it would wait past its deadline or past the queue's bound.
+// Request adds a request to the queue and grants what can be granted now. The request is
+// refused if it is likely to miss its deadline, or if the queue would exceed its limit.
 func (b *Broker) Request(r Request, now int64) []Grant {
 	if refused := b.enqueue(r, now); refused != nil {
 		return refused
 	}
-	return b.serve(now)
+	return b.grantQueued(now)
 }
 
-// enqueue makes a request wait, or refuses it.
+// enqueue adds r to the queue, or returns its refusal. It ignores a request that is queued
+// already.
 func (b *Broker) enqueue(r Request, now int64) []Grant {
 	key := ticketKey{r.Home, r.Ticket}
-	if b.tickets[key] != nil || r.Count <= 0 {
+	if b.requests[key] != nil || r.Count <= 0 {
 		return nil
 	}
-	if wait, full := b.wait(&r, now); full {
+	if wait, tooLong := b.estimateWait(&r, now); tooLong {
 		return []Grant{{Home: r.Home, Ticket: r.Ticket, Service: r.Service, Refusal: RefusedOverloaded, RetryAfterMs: wait}}
 	}
-	t := &ticket{Request: r, arrived: now}
-	b.tickets[key] = t
-	b.queue = append(b.queue, t)
-	b.waits(t, r.Count)
+	q := &queuedRequest{Request: r, arrivedMs: now}
+	b.requests[key] = q
+	b.queue = append(b.queue, q)
+	b.addQueued(q, r.Count)
 	return nil
 }
 
-// admitShare is the part of the time to its deadline that a job may be expected
-// to take. Under overload every job that is admitted is near this bound, and
-// estimates err both ways.
-const admitShare = 0.75
-
-// wait estimates how long r would wait, in milliseconds, and whether that is
-// too long.
-func (b *Broker) wait(r *Request, now int64) (int64, bool) {
-	run, tail := b.services.run(r.Service, r.RunMs)
-	waitMs := int64(max(b.waitIn(b.queued+r.Count-b.FreeSlots(), run, b.slots()), b.waitOf(r, run)))
-	late := r.DeadlineMs > 0 && float64(waitMs)+tail > admitShare*float64(r.DeadlineMs-now)
-	return max(waitMs, 1), late || b.queued+r.Count > b.cfg.MaxQueued
+// maxWaitShare is the share of the time until its deadline within which a request must be
+// expected to complete. It is below 1 because estimates err in both directions, and under
+// overload the expected time of nearly every admitted request is close to this limit.
+const maxWaitShare = 0.75
+
+// estimateWait estimates how long r would wait, in milliseconds, and reports whether r has
+// to be refused, because it would be late or the queue would exceed its limit.
+func (b *Broker) estimateWait(r *Request, now int64) (int64, bool) {
+	runMs, tailMs := b.estimates.runTime(r.Service, r.RunMs)
+	waitMs := int64(max(b.timeToFree(b.queuedTasks+r.Count-b.FreeSlots(), runMs, b.usableSlots()), b.waitWithinShare(r, runMs)))
+	tooLate := r.DeadlineMs > 0 && float64(waitMs)+tailMs > maxWaitShare*float64(r.DeadlineMs-now)
+	return max(waitMs, 1), tooLate || b.queuedTasks+r.Count > b.cfg.MaxQueued
 }
 
-// waitIn estimates how long it takes until missing places have come back among
-// slots, in milliseconds.
-func (b *Broker) waitIn(missing int, run float64, slots int) float64 {
+// timeToFree estimates how long it takes until the missing slots become free, in
+// milliseconds. The slots that may become free are all in use, by tasks with a run time of
+// runMs.
+func (b *Broker) timeToFree(missing int, runMs float64, slots int) float64 {
 	switch {
 	case missing <= 0:
 		return 0
 	case slots <= 0:
-		return run
+		return runMs
 	default:
-		return float64(missing) * run * b.overhead / float64(slots)
+		return float64(missing) * runMs * b.slotOverhead / float64(slots)
 	}
 }
 
-// waitOf is the wait within what r's service may have: its bound, and its part
-// against the others that wait, or more where those leave it.
-func (b *Broker) waitOf(r *Request, run float64) float64 {
-	u := b.useOf(r.Service)
-	slots := b.slots()
-	mine := max(b.partOf(u, slots), slots-b.usedByOthers(u))
-	if u.share.MaxSlots > 0 {
-		mine = min(mine, u.share.MaxSlots)
+// waitWithinShare estimates how long r would wait, in milliseconds, for the slots to which
+// its service is entitled: its fair share, or more if the other services use less than
+// theirs, but at most its MaxSlots.
+func (b *Broker) waitWithinShare(r *Request, runMs float64) float64 {
+	s := b.serviceState(r.Service)
+	slots := b.usableSlots()
+	entitled := max(b.fairSlots(s, slots), slots-b.slotsUsedByOthers(s))
+	if s.share.MaxSlots > 0 {
+		entitled = min(entitled, s.share.MaxSlots)
 	}
-	return b.waitIn(u.queued+r.Count-max(mine-u.used, 0), run, mine)
+	return b.timeToFree(s.queuedTasks+r.Count-max(entitled-s.usedSlots, 0), runMs, entitled)
 }
 
-func (b *Broker) usedByOthers(u *use) int {
+func (b *Broker) slotsUsedByOthers(s *serviceState) int {
 	used := 0
-	for _, o := range b.uses {
-		if o != u {
-			used += o.used
+	for _, other := range b.services {
+		if other != s {
+			used += other.usedSlots
 		}
 	}
 	return used
 }
 
-// partOf is the part of slots that u's weight gives it against the services
-// that wait.
-func (b *Broker) partOf(u *use, slots int) int {
-	weights := u.weight()
-	for _, o := range b.uses {
-		if o != u && o.queued > 0 {
-			weights += o.weight()
+// fairSlots returns how many of the slots the weight of s entitles it to, compared with the
+// weights of the services that have tasks waiting.
+func (b *Broker) fairSlots(s *serviceState, slots int) int {
+	weights := s.weight()
+	for _, other := range b.services {
+		if other != s && other.queuedTasks > 0 {
+			weights += other.weight()
 		}
 	}
-	return int(float64(slots) * u.weight() / weights)
+	return int(float64(slots) * s.weight() / weights)
 }
 
-// Withdraw takes back what still waits of a home's tickets.
+// Withdraw removes requests of a home from the queue.
 func (b *Broker) Withdraw(home string, tickets []string) {
 	for _, name := range tickets {
-		if t := b.tickets[ticketKey{home, name}]; t != nil {
-			b.remove(t)
+		if q := b.requests[ticketKey{home, name}]; q != nil {
+			b.remove(q)
 		}
 	}
 }
 
-// waits counts tasks of t that wait from now on, or no longer do.
-func (b *Broker) waits(t *ticket, count int) {
-	b.queued += count
-	b.useOf(t.Service).queued += count
+// addQueued adds count, which may be negative, to the number of waiting tasks.
+func (b *Broker) addQueued(q *queuedRequest, count int) {
+	b.queuedTasks += count
+	b.serviceState(q.Service).queuedTasks += count
 }
 
-func (b *Broker) remove(t *ticket) {
-	delete(b.tickets, ticketKey{t.Home, t.Ticket})
-	b.waits(t, -t.Count)
-	b.queue = slices.DeleteFunc(b.queue, func(q *ticket) bool { return q == t })
+func (b *Broker) remove(q *queuedRequest) {
+	delete(b.requests, ticketKey{q.Home, q.Ticket})
+	b.addQueued(q, -q.Count)
+	b.queue = slices.DeleteFunc(b.queue, func(other *queuedRequest) bool { return other == q })
 }
 
-// Release takes places back and learns from what was seen there. It grants
-// nothing: Tick does, so that places that come back one after another go out
-// together.
-func (b *Broker) Release(home string, usages []ReleasedSlots, now int64) {
-	for i := range usages {
-		b.release(home, &usages[i], now)
+// Release frees slots of a home and records how their tasks ended. It grants nothing. Tick
+// does, so that slots that are released shortly after one another are granted together.
+func (b *Broker) Release(home string, released []ReleasedSlots, now int64) {
+	for i := range released {
+		b.release(home, &released[i], now)
 	}
 }
 
-func (b *Broker) release(home string, u *ReleasedSlots, now int64) {
-	p := b.places[u.Upstream]
-	if p == nil {
+func (b *Broker) release(home string, r *ReleasedSlots, now int64) {
+	u := b.upstreams[r.Upstream]
+	if u == nil {
 		return
 	}
-	p.health.pace.running(p.used, b.meanMs, now)
-	p.health.pace.ended += float64(u.Count)
-	b.learn(p, u, now)
-	p.Leaving = p.Leaving || u.Leaving
-	key := heldKey{home, u.Upstream, u.Service}
+	u.health.pace.advance(u.usedSlots, b.meanRunMs, now)
+	u.health.pace.ends += float64(r.Count)
+	b.recordTasks(u, r, now)
+	u.Leaving = u.Leaving || r.Leaving
+	key := heldKey{home, r.Upstream, r.Service}
 	h := b.held[key]
 	if h == nil {
 		return
 	}
-	count := min(u.Count, h.count)
-	freed := b.giveUp(key, count)
-	if u.HoldMs > 0 {
-		b.orphans = append(b.orphans, orphan{u.Upstream, count, freed, now + u.HoldMs})
+	count := min(r.Count, h.count)
+	freed := b.removeHeld(key, count)
+	if r.HoldMs > 0 {
+		b.pendingReleases = append(b.pendingReleases, pendingRelease{r.Upstream, count, freed, now + r.HoldMs})
 		return
 	}
-	p.vacate(freed, count)
+	u.free(freed, count)
 }
 
-// Tick lets time pass: places come back, ejections end, tickets expire.
+// Tick frees the slots whose delay has passed, compares the paces of the upstreams, and
+// grants what can be granted now. It has to be called regularly.
 func (b *Broker) Tick(now int64) []Grant {
-	b.orphans = slices.DeleteFunc(b.orphans, func(o orphan) bool {
-		if o.at > now {
+	b.pendingReleases = slices.DeleteFunc(b.pendingReleases, func(r pendingRelease) bool {
+		if r.dueMs > now {
 			return false
 		}
-		if p := b.places[o.upstream]; p != nil {
-			p.vacate(o.taken, o.count)
+		if u := b.upstreams[r.upstream]; u != nil {
+			u.free(r.resources, r.count)
 		}
 		return true
 	})
-	b.judgePaces(now)
-	return b.serve(now)
+	b.comparePaces(now)
+	return b.grantQueued(now)
 }
 
-// serve grants what can be granted: again and again to the service that has
-// least of its share, and within it in the order of the configuration.
-func (b *Broker) serve(now int64) []Grant {
-	if b.queued == 0 || now < b.quietUntil {
+// grantQueued grants slots to queued requests, one at a time, until no more can be granted.
+// Each goes to the service that uses the fewest in proportion to its weight, and within the
+// service to the first request in the configured order.
+func (b *Broker) grantQueued(now int64) []Grant {
+	if b.queuedTasks == 0 || now < b.grantsFromMs {
 		return nil
 	}
 	round := b.newRound(now)
-	for t := round.next(); t != nil; t = round.next() {
-		p := b.choose(t, now)
-		if p == nil {
-			round.skip(t)
+	for q := round.next(); q != nil; q = round.next() {
+		u := b.chooseUpstream(q, now)
+		if u == nil {
+			round.skip(q)
 			continue
 		}
-		b.give(t, p, now)
-		round.gave(t, p.ID)
+		b.allocate(q, u, now)
+		round.recordGrant(q, u.ID)
 	}
-	return b.collect(round, now)
+	return b.buildGrants(round, now)
 }
 
-func (b *Broker) give(t *ticket, p *place, now int64) {
-	p.health.pace.running(p.used, b.meanMs, now)
-	b.take(t.Home, p, t.Service, t.Needs, 1)
-	t.Count--
-	b.waits(t, -1)
-	if p.health.isSlow(&b.cfg.Health) {
-		p.health.probed = now
+// allocate gives a slot of u to one task of q.
+func (b *Broker) allocate(q *queuedRequest, u *upstreamState, now int64) {
+	u.health.pace.advance(u.usedSlots, b.meanRunMs, now)
+	b.addHeld(q.Home, u, q.Service, q.Needs, 1)
+	q.Count--
+	b.addQueued(q, -1)
+	if u.health.isSlow(&b.cfg.Health) {
+		u.health.lastProbeMs = now
 	}
 }
 
-// collect turns a round into grants, in the order of the queue.
-func (b *Broker) collect(r *round, now int64) []Grant {
+// buildGrants returns the grants of a round, numbered, and removes the requests from the
+// queue that have no more tasks waiting.
+func (b *Broker) buildGrants(r *grantRound, now int64) []Grant {
 	var list []Grant
-	for _, t := range r.order {
-		if g := r.grants[t]; g != nil {
-			g.Sequence = b.granted(t.Home, now)
+	for _, q := range r.ordered {
+		if g := r.grants[q]; g != nil {
+			g.Sequence = b.nextSequence(q.Home, now)
 			list = append(list, *g)
 		}
-		if t.Count == 0 {
-			b.remove(t)
+		if q.Count == 0 {
+			b.remove(q)
 		}
 	}
 	return list
 }
 
-func (g *Grant) add(upstream string) {
+func (g *Grant) addSlot(upstream string) {
 	for i := range g.Slots {
 		if g.Slots[i].Upstream == upstream {
 			g.Slots[i].Count++
--- a/placement/broker_test.go
+++ b/placement/broker_test.go
@@ -8,25 +8,25 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScenarios runs the stories in testdata: inputs of a broker, and what it
-// grants.
+// TestScenarios runs the scenarios in testdata, each a sequence of broker inputs with the
+// expected grants.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		cfg := DefaultBrokerConfig
 		cfg.MaxQueued = 20
 		cfg.Health = HealthConfig{FailuresToEject: 2, MaxEjected: 0.5, FirstEjectionMs: 100, MaxEjectionMs: 1000, SlowFactor: 1.5}
-		s := &story{cfg: cfg, b: NewBroker(cfg, 0)}
+		s := &scenario{cfg: cfg, b: NewBroker(cfg, 0)}
 		datadriven.RunTest(t, path, s.step)
 	})
 }
 
-type story struct {
+type scenario struct {
 	cfg BrokerConfig
 	b   *Broker
 	now int64
 }
 
-func (s *story) step(t *testing.T, d *datadriven.TestData) string {
+func (s *scenario) step(t *testing.T, d *datadriven.TestData) string {
 	if d.HasArg("at") {
 		d.ScanArgs(t, "at", &s.now)
 	}
@@ -36,24 +36,24 @@
 		s.b = NewBroker(s.cfg, 0)
 		return ""
 	case "upstreams":
-		return told(s.b.SetUpstreams(s.upstreams(t, d), s.now))
+		return formatGrants(s.b.SetUpstreams(s.upstreams(t, d), s.now))
 	case "request":
-		return told(s.b.Request(s.request(t, d), s.now))
+		return formatGrants(s.b.Request(s.request(t, d), s.now))
 	case "release":
 		s.b.Release(arg(t, d, "home", "h"), []ReleasedSlots{s.usage(t, d)}, s.now)
-		return told(s.b.Tick(s.now))
+		return formatGrants(s.b.Tick(s.now))
 	case "withdraw":
 		s.b.Withdraw(arg(t, d, "home", "h"), []string{arg(t, d, "ticket", "")})
-		return told(s.b.Tick(s.now))
+		return formatGrants(s.b.Tick(s.now))
 	case "gone":
-		return told(s.b.HandleHomeLost(arg(t, d, "home", "h"), s.now))
+		return formatGrants(s.b.HandleHomeLost(arg(t, d, "home", "h"), s.now))
 	case "sync":
-		return told(s.sync(t, d))
+		return formatGrants(s.sync(t, d))
 	case "shares":
 		s.b.SetShares(shares(t, d))
-		return told(s.b.Tick(s.now))
+		return formatGrants(s.b.Tick(s.now))
 	case "tick":
-		return told(s.b.Tick(s.now))
+		return formatGrants(s.b.Tick(s.now))
 	case "state":
 		return fmt.Sprintf("free %d, queued %d\n", s.b.FreeSlots(), s.b.QueuedTasks())
 	}
@@ -75,8 +75,9 @@
 	return fallback
 }
 
-// upstreams reads a line for each: name, zone, slots, cpu, accelerators.
-func (s *story) upstreams(t *testing.T, d *datadriven.TestData) []Upstream {
+// upstreams reads one upstream per line: ID, zone, slots, CPU cores, accelerators, and any
+// further word if it is leaving.
+func (s *scenario) upstreams(t *testing.T, d *datadriven.TestData) []Upstream {
 	var list []Upstream
 	for line := range strings.Lines(d.Input) {
 		u := Upstream{Capacity: Resources{MemoryMB: 1000}}
@@ -90,7 +91,7 @@
 	return list
 }
 
-func (s *story) request(t *testing.T, d *datadriven.TestData) Request {
+func (s *scenario) request(t *testing.T, d *datadriven.TestData) Request {
 	r := Request{
 		Home: arg(t, d, "home", "h"), Ticket: arg(t, d, "ticket", "t"), Count: num(t, d, "count", 1),
 		Needs:      Resources{CPU: float64(num(t, d, "cpu", 0)), Accelerators: uint32(num(t, d, "accelerators", 0))},
@@ -103,14 +104,14 @@
 	return r
 }
 
-func (s *story) usage(t *testing.T, d *datadriven.TestData) ReleasedSlots {
+func (s *scenario) usage(t *testing.T, d *datadriven.TestData) ReleasedSlots {
 	return ReleasedSlots{
 		Upstream: arg(t, d, "upstream", "u"), Count: num(t, d, "count", 1), Service: arg(t, d, "service", "s"),
 		RunMs: float64(num(t, d, "run", 0)), Failed: num(t, d, "failed", 0), HoldMs: int64(num(t, d, "hold", 0)),
 	}
 }
 
-// shares reads a line for each service: name, weight, slots.
+// shares reads one service per line: name, weight, maximum number of slots.
 func shares(t *testing.T, d *datadriven.TestData) map[string]Share {
 	all := map[string]Share{}
 	for line := range strings.Lines(d.Input) {
@@ -124,8 +125,8 @@
 	return all
 }
 
-// sync reads the places held, a line each: upstream, count.
-func (s *story) sync(t *testing.T, d *datadriven.TestData) []Grant {
+// sync reads the slots held by a home, one upstream per line: ID, number of slots.
+func (s *scenario) sync(t *testing.T, d *datadriven.TestData) []Grant {
 	var held []UpstreamSlots
 	for line := range strings.Lines(d.Input) {
 		var p UpstreamSlots
@@ -137,17 +138,17 @@
 	return s.b.Sync(arg(t, d, "home", "h"), uint64(num(t, d, "sequence", 0)), held, nil, s.now)
 }
 
-func told(grants []Grant) string {
-	var b strings.Builder
+func formatGrants(grants []Grant) string {
+	var text strings.Builder
 	for _, g := range grants {
-		fmt.Fprintf(&b, "%s/%s:", g.Home, g.Ticket)
+		fmt.Fprintf(&text, "%s/%s:", g.Home, g.Ticket)
 		for _, p := range g.Slots {
-			fmt.Fprintf(&b, " %s=%d", p.Upstream, p.Count)
+			fmt.Fprintf(&text, " %s=%d", p.Upstream, p.Count)
 		}
 		if g.Refusal != "" {
-			fmt.Fprintf(&b, " refused %s, retry after %d", g.Refusal, g.RetryAfterMs)
+			fmt.Fprintf(&text, " refused %s, retry after %d", g.Refusal, g.RetryAfterMs)
 		}
-		b.WriteString("\n")
+		text.WriteString("\n")
 	}
-	return b.String()
+	return text.String()
 }
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -2,65 +2,72 @@
 
 import "slices"
 
-// What is added to the score of an upstream, a share of slots in use.
+// Penalties added to the score of an upstream. The score is its share of slots in use.
 const (
-	sparing  = 100  // it has accelerators, and the task needs none
-	awayCost = 0.13 // it is in another zone than the home: about one slot of 8
+	// acceleratorPenalty is for upstreams with accelerators if the task needs none, so
+	// that the accelerators stay available for tasks that need them.
+	acceleratorPenalty = 100
+	// otherZonePenalty is for upstreams outside the zone of the home. It equals about
+	// one of 8 slots.
+	otherZonePenalty = 0.13
 )
 
-// choose returns the upstream with the lowest score for a task of t, or nil.
-func (b *Broker) choose(t *ticket, now int64) *place {
-	var best *place
+// chooseUpstream returns the upstream with the lowest score for a task of q, or nil if none
+// can run it now.
+func (b *Broker) chooseUpstream(q *queuedRequest, now int64) *upstreamState {
+	var best *upstreamState
 	var lowest float64
-	for _, p := range b.sorted {
-		if !b.usable(p, t, now) || !p.taken.plus(t.Needs).FitsIn(p.Capacity) {
+	for _, u := range b.sortedUpstreams {
+		if !b.usable(u, q, now) || !u.usedResources.plus(q.Needs).FitsIn(u.Capacity) {
 			continue
 		}
-		if score := b.score(p, &t.Request); best == nil || score < lowest {
-			best, lowest = p, score
+		if score := b.score(u, &q.Request); best == nil || score < lowest {
+			best, lowest = u, score
 		}
 	}
 	return best
 }
 
-func (b *Broker) score(p *place, r *Request) float64 {
-	score := float64(p.used+1) / float64(p.Slots)
-	if r.Needs.Accelerators == 0 && p.Capacity.Accelerators > 0 {
-		score += sparing
+func (b *Broker) score(u *upstreamState, r *Request) float64 {
+	score := float64(u.usedSlots+1) / float64(u.Slots)
+	if r.Needs.Accelerators == 0 && u.Capacity.Accelerators > 0 {
+		score += acceleratorPenalty
 	}
-	if p.Zone != r.Zone {
-		score += awayCost
+	if u.Zone != r.Zone {
+		score += otherZonePenalty
 	}
 	return score
 }
 
-// usable reports whether p may get a task of t now.
-func (b *Broker) usable(p *place, t *ticket, now int64) bool {
+// usable reports whether u may get a task of q now, regardless of the resources that the
+// task needs.
+func (b *Broker) usable(u *upstreamState, q *queuedRequest, now int64) bool {
 	switch {
-	case !p.listed || p.Leaving || p.used >= p.Slots:
+	case !u.listed || u.Leaving || u.usedSlots >= u.Slots:
 		return false
-	case slices.Contains(t.AvoidZones, p.Zone):
+	case slices.Contains(q.AvoidZones, u.Zone):
 		return false
-	case p.reserved != nil && p.reserved != t:
+	case u.reservedFor != nil && u.reservedFor != q:
 		return false
-	case p.health.ejected:
-		return now >= p.health.until && p.used == 0 // a single probe
-	case p.health.doubted:
-		return p.used == 0
-	case p.health.isSlow(&b.cfg.Health):
-		return b.worthIt(p, t, now)
+	case u.health.ejected:
+		return now >= u.health.probeAfterMs && u.usedSlots == 0 // only a single task, as a probe
+	case u.health.suspected:
+		return u.usedSlots == 0
+	case u.health.isSlow(&b.cfg.Health):
+		return b.worthUsingSlow(u, q, now)
 	default:
 		return true
 	}
 }
 
-// worthIt reports whether a task should go to a slow upstream: to see whether
-// it still is slow, or where waiting would take longer.
-func (b *Broker) worthIt(p *place, t *ticket, now int64) bool {
-	if p.used == 0 && now-p.health.probed >= slowProbeMs {
+// worthUsingSlow reports whether a task of q should go to the slow upstream u, either as a
+// probe of whether it is still slow, or because waiting for another upstream would take
+// longer.
+func (b *Broker) worthUsingSlow(u *upstreamState, q *queuedRequest, now int64) bool {
+	if u.usedSlots == 0 && now-u.health.lastProbeMs >= slowProbeIntervalMs {
 		return true
 	}
-	run, _ := b.services.run(t.Service, t.RunMs)
-	wait := float64(b.queued) * run / float64(max(b.slots(), 1))
-	return wait > (p.health.slow-1)*run
+	runMs, _ := b.estimates.runTime(q.Service, q.RunMs)
+	waitMs := float64(b.queuedTasks) * runMs / float64(max(b.usableSlots(), 1))
+	return waitMs > (u.health.slowdown-1)*runMs
 }
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -2,41 +2,45 @@
 
 import "math"
 
-// estimates learns what the tasks of services are like. One sample is never
-// trusted: what was declared fades only as samples come in.
+// estimates predicts the run times and failures of tasks from those of earlier tasks of the
+// same service. A declared run time loses weight only gradually as samples are added, since
+// a single sample is unreliable.
 type estimates struct {
 	byService map[string]*estimate
 }
 
 type estimate struct {
-	mean    float64 // run time, milliseconds
-	tail    float64 // about the longest run time of late, milliseconds
-	failing float64 // share of tasks that failed of late
-	samples int
+	meanMs       float64 // moving mean of the run time
+	tailMs       float64 // longest recent run time; decays with each sample
+	failureShare float64 // moving mean of the share of tasks that failed
+	samples      int
 }
 
 const (
-	// trustedAfter is how many samples outweigh a declaration.
-	trustedAfter = 20
-	// unknownRunMs stands in for a run time that is neither declared nor seen.
-	unknownRunMs = 300
-	// minRunMs keeps ratios of run times finite.
+	// samplesToTrust is the number of samples from which on a declared run time is
+	// ignored.
+	samplesToTrust = 20
+	// defaultRunMs is the assumed run time if none has been declared or measured.
+	defaultRunMs = 300
+	// minRunMs is the shortest run time recorded, so that ratios of run times are finite.
 	minRunMs = 0.01
-	// tailDecay is how a longest run time fades with each sample.
+	// tailDecay is the factor by which the longest run time decays with each sample.
 	tailDecay = 0.995
-	// runSmoothing is the least weight of one task in its service's run time:
-	// small, for run times vary and waits are worked out from their mean.
-	runSmoothing = 0.02
-	// failSmoothing is the weight of one task in its service's share of failures.
-	failSmoothing = 0.002
-	// chance is how likely failures in a row may be by chance before they speak
-	// against an upstream.
-	chance = 1e-6
-	// rarelyFails is the share of failures below which a single one is a reason
-	// for doubt.
-	rarelyFails = 0.004
-	// oftenFails is the share from which on failures say nothing of upstreams.
-	oftenFails = 0.5
+	// serviceRunSmoothing is the minimum weight of a new sample in the mean run time of
+	// its service. It is small because run times vary and waiting times are estimated
+	// from their mean.
+	serviceRunSmoothing = 0.02
+	// failureSmoothing is the weight of one task in its service's share of failures.
+	failureSmoothing = 0.002
+	// maxChance is the probability at or below which consecutive failures are blamed on
+	// the upstream instead of chance.
+	maxChance = 1e-6
+	// rareFailureShare is the share of failures of a service below which a single
+	// failure makes the upstream suspected.
+	rareFailureShare = 0.004
+	// frequentFailureShare is the share of failures of a service from which on its
+	// failures are not blamed on upstreams.
+	frequentFailureShare = 0.5
 )
 
 func newEstimates() *estimates { return &estimates{byService: map[string]*estimate{}} }
@@ -50,54 +54,57 @@
 	return s
 }
 
-// seen takes the mean run time of count tasks.
-func (e *estimates) seen(service string, meanMs float64, count int) {
+// recordRunTimes adds count samples with the given mean run time.
+func (e *estimates) recordRunTimes(service string, meanMs float64, count int) {
 	s := e.of(service)
 	meanMs = max(meanMs, minRunMs)
 	if s.samples == 0 {
-		s.mean = meanMs
+		s.meanMs = meanMs
 	}
-	for range min(count, trustedAfter) {
-		s.mean += max(runSmoothing, 1/float64(s.samples+1)) * (meanMs - s.mean)
-		s.tail = max(s.tail*tailDecay, meanMs)
+	for range min(count, samplesToTrust) {
+		s.meanMs += max(serviceRunSmoothing, 1/float64(s.samples+1)) * (meanMs - s.meanMs)
+		s.tailMs = max(s.tailMs*tailDecay, meanMs)
 	}
 	s.samples += count
 }
 
-// ended takes whether a task of a service failed.
-func (e *estimates) ended(service string, failed bool) {
+// recordOutcome records whether a task of a service has failed.
+func (e *estimates) recordOutcome(service string, failed bool) {
 	s := e.of(service)
 	sample := 0.0
 	if failed {
 		sample = 1
 	}
-	s.failing += failSmoothing * (sample - s.failing)
+	s.failureShare += failureSmoothing * (sample - s.failureShare)
 }
 
-// inRow returns how many failures of the service in a row speak against an
-// upstream, at least; zero is that none do.
-func (e *estimates) inRow(service string) int {
-	failing := e.of(service).failing
-	if failing >= oftenFails {
+// failuresToEject returns the number of consecutive failures of tasks of the service from
+// which on they are blamed on the upstream, or 0 if they never are.
+func (e *estimates) failuresToEject(service string) int {
+	failureShare := e.of(service).failureShare
+	if failureShare >= frequentFailureShare {
 		return 0
 	}
-	return int(math.Ceil(math.Log(chance) / math.Log(max(failing, chance))))
+	return int(math.Ceil(math.Log(maxChance) / math.Log(max(failureShare, maxChance))))
 }
 
-// rarely reports whether tasks of the service hardly ever fail.
-func (e *estimates) rarely(service string) bool { return e.of(service).failing < rarelyFails }
+// failsRarely reports whether tasks of the service fail so rarely that a single failure
+// makes an upstream suspected.
+func (e *estimates) failsRarely(service string) bool {
+	return e.of(service).failureShare < rareFailureShare
+}
 
-// run returns the run time to expect of a task, and about the longest, in
-// milliseconds.
-func (e *estimates) run(service string, declaredMs float64) (mean, tail float64) {
+// runTime returns the expected run time of a task of the service and an estimate of the
+// longest, in milliseconds.
+func (e *estimates) runTime(service string, declaredMs float64) (meanMs, tailMs float64) {
 	if declaredMs <= 0 {
-		declaredMs = unknownRunMs
+		declaredMs = defaultRunMs
 	}
 	s := e.byService[service]
 	if s == nil {
 		return declaredMs, declaredMs
 	}
-	weight := min(float64(s.samples)/trustedAfter, 1)
-	mix := func(seen float64) float64 { return weight*seen + (1-weight)*declaredMs }
-	return mix(s.mean), mix(s.tail)
+	weight := min(float64(s.samples)/samplesToTrust, 1)
+	blend := func(seen float64) float64 { return weight*seen + (1-weight)*declaredMs }
+	return blend(s.meanMs), blend(s.tailMs)
 }
--- a/placement/held.go
+++ b/placement/held.go
@@ -4,86 +4,92 @@
 	"slices"
 )
 
-// heldKey says who holds places, where and for what.
+// heldKey identifies the slots that a home holds at an upstream for the tasks of a service.
 type heldKey struct{ home, upstream, service string }
 
-// orphan is a number of places that come back at a time.
-type orphan struct {
-	upstream string
-	count    int
-	taken    Resources
-	at       int64
+// pendingRelease is a number of slots that are no longer held but remain in use until
+// dueMs.
+type pendingRelease struct {
+	upstream  string
+	count     int
+	resources Resources
+	dueMs     int64 // Unix milliseconds
 }
 
-func (b *Broker) placeOf(id string) *place {
-	p := b.places[id]
-	if p == nil {
-		p = &place{Upstream: Upstream{ID: id}}
-		b.places[id] = p
+// upstreamState returns the state of an upstream. It creates one if the upstream is neither
+// listed nor has slots in use.
+func (b *Broker) upstreamState(id string) *upstreamState {
+	u := b.upstreams[id]
+	if u == nil {
+		u = &upstreamState{Upstream: Upstream{ID: id}}
+		b.upstreams[id] = u
 	}
-	return p
+	return u
 }
 
-// holding is what one home holds of one upstream.
-type holding struct {
-	count int
-	taken Resources
+// heldSlots are the slots held under one heldKey, and the resources of the tasks on them.
+type heldSlots struct {
+	count     int
+	resources Resources
 }
 
-func (b *Broker) take(home string, p *place, service string, n Resources, count int) {
-	key := heldKey{home, p.ID, service}
-	b.useOf(service).used += count
+// addHeld records that a home holds count more slots of u for a service, for tasks that
+// need n each.
+func (b *Broker) addHeld(home string, u *upstreamState, service string, n Resources, count int) {
+	key := heldKey{home, u.ID, service}
+	b.serviceState(service).usedSlots += count
 	h := b.held[key]
 	if h == nil {
-		h = &holding{}
+		h = &heldSlots{}
 		b.held[key] = h
 	}
 	for range count {
-		p.taken = p.taken.plus(n)
-		h.taken = h.taken.plus(n)
+		u.usedResources = u.usedResources.plus(n)
+		h.resources = h.resources.plus(n)
 	}
-	p.used += count
+	u.usedSlots += count
 	h.count += count
 }
 
-// giveUp takes count places of a holding back and returns what they took. The
-// places stay used until they are vacated.
-func (b *Broker) giveUp(key heldKey, count int) Resources {
+// removeHeld records that count slots are no longer held under key and returns their share
+// of the resources. The slots remain in use until they are freed.
+func (b *Broker) removeHeld(key heldKey, count int) Resources {
 	h := b.held[key]
 	share := float64(count) / float64(h.count)
-	freed := Resources{h.taken.CPU * share, uint64(float64(h.taken.MemoryMB) * share), uint32(float64(h.taken.Accelerators) * share)}
-	h.taken = h.taken.minus(freed)
+	freed := Resources{h.resources.CPU * share, uint64(float64(h.resources.MemoryMB) * share), uint32(float64(h.resources.Accelerators) * share)}
+	h.resources = h.resources.minus(freed)
 	h.count -= count
 	if h.count <= 0 {
 		delete(b.held, key)
 	}
-	u := b.useOf(key.service)
-	u.used = max(u.used-count, 0)
+	s := b.serviceState(key.service)
+	s.usedSlots = max(s.usedSlots-count, 0)
 	return freed
 }
 
-func (p *place) vacate(freed Resources, count int) {
-	p.used = max(p.used-count, 0)
-	p.taken = p.taken.minus(freed)
-	if p.used == 0 {
-		p.taken = Resources{}
+// free frees slots and the resources of the tasks on them.
+func (u *upstreamState) free(freed Resources, count int) {
+	u.usedSlots = max(u.usedSlots-count, 0)
+	u.usedResources = u.usedResources.minus(freed)
+	if u.usedSlots == 0 {
+		u.usedResources = Resources{}
 	}
 }
 
-// HandleHomeLost takes the news that a home is lost: what waits for it is dropped,
-// what it holds comes back after a while.
+// HandleHomeLost removes the queued requests of a lost home. The slots that it holds are
+// freed after LostHomeReleaseDelayMs.
 func (b *Broker) HandleHomeLost(home string, now int64) []Grant {
-	for _, t := range slices.Clone(b.queue) {
-		if t.Home == home {
-			b.remove(t)
+	for _, q := range slices.Clone(b.queue) {
+		if q.Home == home {
+			b.remove(q)
 		}
 	}
 	for key, h := range b.held {
 		if key.home == home {
 			count := h.count
-			b.orphans = append(b.orphans, orphan{key.upstream, count, b.giveUp(key, count), now + b.cfg.LostHomeReleaseDelayMs})
+			b.pendingReleases = append(b.pendingReleases, pendingRelease{key.upstream, count, b.removeHeld(key, count), now + b.cfg.LostHomeReleaseDelayMs})
 		}
 	}
-	delete(b.homes, home)
-	return b.serve(now)
+	delete(b.homeGrants, home)
+	return b.grantQueued(now)
 }
--- a/placement/learn.go
+++ b/placement/learn.go
@@ -1,82 +1,86 @@
 package placement
 
-// learn takes what the tasks of released slots were like.
-func (b *Broker) learn(p *place, u *ReleasedSlots, now int64) {
-	finished := u.Count - u.Failed
-	if u.HoldMs > 0 || u.RunMs == 0 {
-		finished = 0 // the places were not used
+// recordTasks records the run times and failures of the tasks on released slots.
+func (b *Broker) recordTasks(u *upstreamState, r *ReleasedSlots, now int64) {
+	finished := r.Count - r.Failed
+	if r.HoldMs > 0 || r.RunMs == 0 {
+		finished = 0 // no task is known to have run
 	}
 	if finished > 0 {
-		mean := u.RunMs / float64(finished)
-		b.services.seen(u.Service, mean, finished)
-		b.meanMs += smoothing * (mean - b.meanMs)
-		p.health.succeeded(now, mean)
+		meanMs := r.RunMs / float64(finished)
+		b.estimates.recordRunTimes(r.Service, meanMs, finished)
+		b.meanRunMs += poolRunSmoothing * (meanMs - b.meanRunMs)
+		u.health.recordSuccess(now, meanMs)
 	}
 	for range finished {
-		b.services.ended(u.Service, false)
+		b.estimates.recordOutcome(r.Service, false)
 	}
-	for range u.Failed {
-		b.failed(p, u, now)
+	for range r.Failed {
+		b.recordFailure(u, r, now)
 	}
 }
 
-// failed counts a failure against an upstream: as many in a row as chance does
-// not explain eject it, and a first one of a service that hardly ever fails
-// casts doubt. Being out of one home's reach says less.
-func (b *Broker) failed(p *place, u *ReleasedSlots, now int64) {
-	p.health.inRow++
-	p.health.failed = now
-	needed := unreachedInRow
-	if ran := u.HoldMs == 0; ran {
-		b.services.ended(u.Service, true)
-		p.health.doubted = p.health.doubted || b.services.rarely(u.Service)
-		needed = b.services.inRow(u.Service)
+// recordFailure records one failure on u, either of a task or of a start that did not reach
+// u. It ejects u if its consecutive failures are too many to be explained by chance. A
+// single failure of a task makes u suspected if the tasks of the service rarely fail. An
+// unreachable upstream is ejected only after more failures, since it may be unreachable
+// only for one home.
+func (b *Broker) recordFailure(u *upstreamState, r *ReleasedSlots, now int64) {
+	u.health.consecutiveFailures++
+	u.health.lastFailureMs = now
+	needed := unreachableToEject
+	if ran := r.HoldMs == 0; ran {
+		b.estimates.recordOutcome(r.Service, true)
+		u.health.suspected = u.health.suspected || b.estimates.failsRarely(r.Service)
+		needed = b.estimates.failuresToEject(r.Service)
 	}
-	if needed > 0 && p.health.inRow >= max(needed, b.cfg.Health.FailuresToEject) && b.mayEject(p, now) {
-		p.health.eject(now, &b.cfg.Health)
+	if needed > 0 && u.health.consecutiveFailures >= max(needed, b.cfg.Health.FailuresToEject) && b.mayEject(u, now) {
+		u.health.eject(now, &b.cfg.Health)
 	}
 }
 
-// unreachedInRow is how many starts in a row must not reach an upstream before
-// it is ejected.
-const unreachedInRow = 6
+// unreachableToEject is the number of consecutive starts that must fail to reach an
+// upstream before it is ejected.
+const unreachableToEject = 6
 
-// mayEject keeps the ejected share of the pool bounded. Failures of what ran
-// on when an upstream was ejected do not prolong that; those of a probe do.
-func (b *Broker) mayEject(p *place, now int64) bool {
-	if p.health.ejected {
-		return now >= p.health.until
+// mayEject reports whether u may be ejected, or ejected again. It limits the share of the
+// pool that is ejected. While u is ejected, failures of tasks that were started before do
+// not prolong the ejection; the failure of a probe does.
+func (b *Broker) mayEject(u *upstreamState, now int64) bool {
+	if u.health.ejected {
+		return now >= u.health.probeAfterMs
 	}
 	ejected := 1
-	for _, o := range b.sorted {
-		if o.health.ejected {
+	for _, other := range b.sortedUpstreams {
+		if other.health.ejected {
 			ejected++
 		}
 	}
-	return float64(ejected) <= b.cfg.Health.MaxEjected*float64(len(b.sorted))
+	return float64(ejected) <= b.cfg.Health.MaxEjected*float64(len(b.sortedUpstreams))
 }
 
-// judgeEveryMs is how often paces are compared.
-const judgeEveryMs = 50
+// paceIntervalMs is the minimum time between two comparisons of paces.
+const paceIntervalMs = 50
 
-// judgePaces compares the pace of each upstream with that of the pool.
-func (b *Broker) judgePaces(now int64) {
-	if now-b.judged < judgeEveryMs {
+// comparePaces updates the slowdown of each upstream, which compares its pace with that of
+// the pool, and slotOverhead.
+func (b *Broker) comparePaces(now int64) {
+	if now-b.pacesComparedMs < paceIntervalMs {
 		return
 	}
-	b.judged = now
+	b.pacesComparedMs = now
 	pool := pace{}
-	for _, p := range b.sorted {
-		p.health.pace.running(p.used, b.meanMs, now)
-		pool.expected += p.health.pace.expected
-		pool.ended += p.health.pace.ended
+	for _, u := range b.sortedUpstreams {
+		u.health.pace.advance(u.usedSlots, b.meanRunMs, now)
+		pool.expectedEnds += u.health.pace.expectedEnds
+		pool.ends += u.health.pace.ends
 	}
-	for _, p := range b.sorted {
-		p.health.slow = p.health.pace.ratio() / pool.ratio()
+	for _, u := range b.sortedUpstreams {
+		u.health.slowdown = u.health.pace.slowdown() / pool.slowdown()
 	}
-	b.overhead = min(max(pool.ratio(), 1), maxOverhead)
+	b.slotOverhead = min(max(pool.slowdown(), 1), maxSlotOverhead)
 }
 
-// maxOverhead bounds how much longer than its task's run time a place may seem
-// to be taken.
-const maxOverhead = 2
+// maxSlotOverhead limits slotOverhead: a slot is assumed to be in use for at most twice the
+// run time of its task.
+const maxSlotOverhead = 2
--- a/placement/pool.go
+++ b/placement/pool.go
@@ -8,21 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxPoolSize is the most upstreams that one broker hands out together.
+// MaxPoolSize is the maximum number of upstreams in a pool that spans the zones of a
+// region, and the average that the pools of larger regions do not exceed.
 const MaxPoolSize = 64
 
-// Pool is a set of upstreams that share a broker.
+// Pool is a set of upstreams whose slots are allocated by one broker.
 type Pool struct {
 	ID        string
 	Region    string
-	Zone      string // "" where the pool spans the zones of its region
+	Zone      string // "" if the pool spans the zones of its region
 	Upstreams []Upstream
 }
 
-// Pools groups upstreams. A region of up to MaxPoolSize upstreams is one pool: the
-// larger the pool, the less a job waits while a place is free elsewhere. In a
-// larger region each zone has pools of its own, which upstreams share out by
-// hash, so that one that comes or goes moves no other.
+// Pools groups upstreams into pools. A region of up to MaxPoolSize upstreams is one pool:
+// the larger a pool is, the less often a job waits in one pool while another has free
+// slots. In a larger region each zone has its own pools, whose number is a power of two.
+// Upstreams are assigned to them by hash, so that an upstream that is added or removed does
+// not move others between pools, unless the number of pools changes.
 func Pools(upstreams []Upstream) []Pool {
 	inRegion, inZone := map[string]int{}, map[string]int{}
 	for i := range upstreams {
@@ -59,7 +61,8 @@
 	return Pool{ID: "zone/" + u.Zone + "/" + part, Region: u.Region, Zone: u.Zone}
 }
 
-// InstanceLocation is an instance that may be a broker or a witness.
+// InstanceLocation is the name and location of an instance that can be a broker or a
+// witness.
 type InstanceLocation struct {
 	Instance string
 	Region   string
@@ -67,65 +70,72 @@
 	Rack     string
 }
 
-// ChooseBroker chooses the broker of a pool by rendezvous hash: among the entries
-// of its zone, or else of its region, or else all. It returns "" without
-// entries.
-func ChooseBroker(p *Pool, entries []InstanceLocation) string {
-	choices := []func(*InstanceLocation) bool{
+// ChooseBroker chooses the broker of a pool by rendezvous hashing, among the instances of
+// its zone if there are any, else among those of its region, else among all. It returns ""
+// if there are no instances.
+func ChooseBroker(p *Pool, instances []InstanceLocation) string {
+	preferences := []func(*InstanceLocation) bool{
 		func(e *InstanceLocation) bool { return p.Zone != "" && e.Zone == p.Zone },
 		func(e *InstanceLocation) bool { return e.Region == p.Region },
 		func(*InstanceLocation) bool { return true },
 	}
-	return firstOf(p.ID, entries, choices)
+	return choosePreferred(p.ID, instances, preferences)
 }
 
-func firstOf(name string, entries []InstanceLocation, choices []func(*InstanceLocation) bool) string {
-	for _, may := range choices {
-		if found := highest(name, entries, may); found != "" {
-			return found
+// choosePreferred chooses an instance by rendezvous hashing among those that satisfy the
+// first of the preferences that any instance satisfies.
+func choosePreferred(name string, instances []InstanceLocation, preferences []func(*InstanceLocation) bool) string {
+	for _, isEligible := range preferences {
+		if chosen := highestScore(name, instances, isEligible); chosen != "" {
+			return chosen
 		}
 	}
 	return ""
 }
 
-func highest(name string, entries []InstanceLocation, may func(*InstanceLocation) bool) string {
+// highestScore returns the eligible instance with the highest hash of its name and the
+// given name, or "" if none is eligible.
+func highestScore(name string, instances []InstanceLocation, isEligible func(*InstanceLocation) bool) string {
 	best, score := "", uint64(0)
-	for i := range entries {
-		if !may(&entries[i]) {
+	for i := range instances {
+		if !isEligible(&instances[i]) {
 			continue
 		}
-		s := xxhash.Sum64String(name + "|" + entries[i].Instance)
-		if best == "" || s > score || (s == score && entries[i].Instance < best) {
-			best, score = entries[i].Instance, s
+		s := xxhash.Sum64String(name + "|" + instances[i].Instance)
+		if best == "" || s > score || (s == score && instances[i].Instance < best) {
+			best, score = instances[i].Instance, s
 		}
 	}
 	return best
 }
 
-// WitnessScope says how far away a witness is looked for.
+// WitnessScope is where the witness of a home may be.
 type WitnessScope string
 
-// The scopes of a witness, each with what it survives besides one instance.
+// The scopes of witnesses. With a witness, a permit log survives the loss of any single
+// instance, and what is noted here.
 const (
 	WitnessScopeNone   WitnessScope = "none"   // no witness
-	WitnessScopeZone   WitnessScope = "zone"   // the same zone, another rack where there is one
-	WitnessScopeRegion WitnessScope = "region" // another zone where there is one
+	WitnessScopeZone   WitnessScope = "zone"   // another rack of the same zone, if possible: survives the loss of a rack
+	WitnessScopeRegion WitnessScope = "region" // another zone of the region, if possible: survives the loss of a zone
 )
 
-// ChooseWitness chooses the witness for log number of an entry: another rack
-// before the same one, in the order that scope asks for. It returns "" when
-// nobody else is there. Numbers spread the logs of one home over witnesses.
-func ChooseWitness(self InstanceLocation, number uint64, scope WitnessScope, others []InstanceLocation) string {
+// ChooseWitness chooses the witness for a permit log of the home self. It prefers instances
+// as far away as scope asks for and in another rack, then those as far away in any rack,
+// then any other. It returns "" if there is no other instance, or if scope is
+// WitnessScopeNone. Because the choice depends on logNumber, the logs of a home are spread
+// over several witnesses.
+func ChooseWitness(self InstanceLocation, logNumber uint64, scope WitnessScope, others []InstanceLocation) string {
 	if scope == WitnessScopeNone {
 		return ""
 	}
-	name := self.Instance + "#" + strconv.FormatUint(number, 10)
+	name := self.Instance + "#" + strconv.FormatUint(logNumber, 10)
 	near := func(e *InstanceLocation) bool { return e.Zone == self.Zone }
 	if scope == WitnessScopeRegion {
 		near = func(e *InstanceLocation) bool { return e.Zone != self.Zone && e.Region == self.Region }
 	}
 	other := func(e *InstanceLocation) bool { return e.Instance != self.Instance }
-	return firstOf(name, others, []func(*InstanceLocation) bool{
+	return choosePreferred(name, others, []func(*InstanceLocation) bool{
 		func(e *InstanceLocation) bool { return other(e) && near(e) && e.Rack != self.Rack },
 		func(e *InstanceLocation) bool { return other(e) && near(e) },
 		other,
--- a/placement/round.go
+++ b/placement/round.go
@@ -5,41 +5,42 @@
 	"slices"
 )
 
-// agingMs is how long a ticket waits before it goes ahead of all that are not
-// as old, and before an upstream is kept free for it if it fits nowhere.
-const agingMs = 2000
+// agingAfterMs is how long a request waits before, in the order OrderLeastRemaining, it
+// precedes all newer ones, and before an upstream is reserved for it if none can run its
+// tasks.
+const agingAfterMs = 2000
 
-// round is one pass over what waits.
-type round struct {
-	b        *Broker
-	order    []*ticket // of the queue
-	services map[string][]*ticket
-	grants   map[*ticket]*Grant
+// grantRound is one pass over the queue that grants slots.
+type grantRound struct {
+	b         *Broker
+	ordered   []*queuedRequest // the queue, in the configured order
+	byService map[string][]*queuedRequest
+	grants    map[*queuedRequest]*Grant
 }
 
-func (b *Broker) newRound(now int64) *round {
-	r := &round{b: b, order: slices.Clone(b.queue), services: map[string][]*ticket{}, grants: map[*ticket]*Grant{}}
-	b.arrange(r.order, now)
-	for _, t := range r.order {
-		r.services[t.Service] = append(r.services[t.Service], t)
+func (b *Broker) newRound(now int64) *grantRound {
+	r := &grantRound{b: b, ordered: slices.Clone(b.queue), byService: map[string][]*queuedRequest{}, grants: map[*queuedRequest]*Grant{}}
+	b.sortRequests(r.ordered, now)
+	for _, q := range r.ordered {
+		r.byService[q.Service] = append(r.byService[q.Service], q)
 	}
 	b.reserve(now)
 	return r
 }
 
-// arrange puts tickets into the order of the configuration.
-func (b *Broker) arrange(tickets []*ticket, now int64) {
+// sortRequests sorts requests in the configured order.
+func (b *Broker) sortRequests(requests []*queuedRequest, now int64) {
 	if b.cfg.Order != OrderLeastRemaining {
 		return
 	}
-	slices.SortStableFunc(tickets, func(x, y *ticket) int {
-		oldX, oldY := x.aged(now), y.aged(now)
+	slices.SortStableFunc(requests, func(x, y *queuedRequest) int {
+		agedX, agedY := x.isAged(now), y.isAged(now)
 		switch {
-		case oldX && oldY:
-			return cmp.Compare(x.arrived, y.arrived)
-		case oldX:
+		case agedX && agedY:
+			return cmp.Compare(x.arrivedMs, y.arrivedMs)
+		case agedX:
 			return -1
-		case oldY:
+		case agedY:
 			return 1
 		default:
 			return cmp.Compare(x.Count, y.Count)
@@ -47,72 +48,75 @@
 	})
 }
 
-func (t *ticket) aged(now int64) bool { return now-t.arrived > agingMs }
+func (q *queuedRequest) isAged(now int64) bool { return now-q.arrivedMs > agingAfterMs }
 
-// reserve keeps one upstream free for the oldest ticket that has waited too
-// long and fits nowhere now: small tasks would fill every gap before it.
+// reserve reserves an upstream for the oldest request that has waited for too long, if no
+// upstream has room for one of its tasks now. Otherwise smaller tasks would take up any
+// resources that become free before there are enough for it.
 func (b *Broker) reserve(now int64) {
-	for _, p := range b.sorted {
-		p.reserved = nil
+	for _, u := range b.sortedUpstreams {
+		u.reservedFor = nil
 	}
-	for _, t := range b.queue {
-		if !t.aged(now) || b.useOf(t.Service).atBound() {
+	for _, q := range b.queue {
+		if !q.isAged(now) || b.serviceState(q.Service).atMaxSlots() {
 			continue
 		}
-		if b.choose(t, now) == nil {
-			b.reserveFor(t)
+		if b.chooseUpstream(q, now) == nil {
+			b.reserveFor(q)
 		}
 		return
 	}
 }
 
-// reserveFor keeps the emptiest upstream that is large enough for t.
-func (b *Broker) reserveFor(t *ticket) {
-	var best *place
-	for _, p := range b.sorted {
-		if p.Leaving || p.health.ejected || slices.Contains(t.AvoidZones, p.Zone) || !t.Needs.FitsIn(p.Capacity) {
+// reserveFor reserves for q the upstream with the fewest slots in use among those that are
+// large enough.
+func (b *Broker) reserveFor(q *queuedRequest) {
+	var best *upstreamState
+	for _, u := range b.sortedUpstreams {
+		if u.Leaving || u.health.ejected || slices.Contains(q.AvoidZones, u.Zone) || !q.Needs.FitsIn(u.Capacity) {
 			continue
 		}
-		if best == nil || p.used < best.used {
-			best = p
+		if best == nil || u.usedSlots < best.usedSlots {
+			best = u
 		}
 	}
 	if best != nil {
-		best.reserved = t
+		best.reservedFor = q
 	}
 }
 
-// next returns the first ticket of the service that has least of its share, or
-// nil when nothing more can be given.
-func (r *round) next() *ticket {
-	var first *ticket
-	var least float64
-	before := func(t *ticket, standing float64) bool {
-		return cmp.Or(cmp.Compare(standing, least), cmp.Compare(t.arrived, first.arrived), cmp.Compare(t.Service, first.Service)) < 0
+// next returns the first request of the service that uses the least in proportion to its
+// weight, or nil if no request can be granted slots in this round.
+func (r *grantRound) next() *queuedRequest {
+	var first *queuedRequest
+	var leastUse float64
+	goesBefore := func(q *queuedRequest, weightedUse float64) bool {
+		return cmp.Or(cmp.Compare(weightedUse, leastUse), cmp.Compare(q.arrivedMs, first.arrivedMs), cmp.Compare(q.Service, first.Service)) < 0
 	}
-	for service, tickets := range r.services {
-		u := r.b.useOf(service)
-		if len(tickets) == 0 || u.atBound() {
+	for service, requests := range r.byService {
+		s := r.b.serviceState(service)
+		if len(requests) == 0 || s.atMaxSlots() {
 			continue
 		}
-		if first == nil || before(tickets[0], u.standing()) {
-			first, least = tickets[0], u.standing()
+		if first == nil || goesBefore(requests[0], s.weightedUse()) {
+			first, leastUse = requests[0], s.weightedUse()
 		}
 	}
 	return first
 }
 
-// skip leaves a ticket that fits nowhere for the next round.
-func (r *round) skip(t *ticket) { r.services[t.Service] = r.services[t.Service][1:] }
+// skip excludes q, the first request of its service, from this round.
+func (r *grantRound) skip(q *queuedRequest) { r.byService[q.Service] = r.byService[q.Service][1:] }
 
-func (r *round) gave(t *ticket, upstream string) {
-	g := r.grants[t]
+// recordGrant adds a slot of an upstream to the grant for q.
+func (r *grantRound) recordGrant(q *queuedRequest, upstream string) {
+	g := r.grants[q]
 	if g == nil {
-		g = &Grant{Home: t.Home, Ticket: t.Ticket, Service: t.Service}
-		r.grants[t] = g
+		g = &Grant{Home: q.Home, Ticket: q.Ticket, Service: q.Service}
+		r.grants[q] = g
 	}
-	g.add(upstream)
-	if t.Count == 0 {
-		r.skip(t)
+	g.addSlot(upstream)
+	if q.Count == 0 {
+		r.skip(q)
 	}
 }
--- a/placement/share.go
+++ b/placement/share.go
@@ -1,46 +1,50 @@
 package placement
 
-// use is what one service has of the pool, and what it may have.
-type use struct {
-	used   int
-	queued int // tasks that wait
-	share  Share
+// serviceState is the use of the pool by one service, and its Share.
+type serviceState struct {
+	usedSlots   int
+	queuedTasks int // tasks waiting for slots
+	share       Share
 }
 
-// Share is a service's part of a pool.
+// Share configures how many slots of a pool a service may use.
 type Share struct {
-	Weight   float64 // against the other services that wait; zero is 1
-	MaxSlots int     // the most that it may have; zero is no bound
+	Weight   float64 // relative to the other services with waiting tasks; 0 means 1
+	MaxSlots int     // maximum number of slots in use; 0 means no limit
 }
 
-func (b *Broker) useOf(service string) *use {
-	u := b.uses[service]
-	if u == nil {
-		u = &use{}
-		b.uses[service] = u
+func (b *Broker) serviceState(service string) *serviceState {
+	s := b.services[service]
+	if s == nil {
+		s = &serviceState{}
+		b.services[service] = s
 	}
-	return u
+	return s
 }
 
-// SetShares replaces the parts of services; those not named weigh 1.
+// SetShares replaces the shares of all services. A service without a share has weight 1 and
+// no limit.
 func (b *Broker) SetShares(shares map[string]Share) {
-	for _, u := range b.uses {
-		u.share = Share{}
+	for _, s := range b.services {
+		s.share = Share{}
 	}
 	for service, share := range shares {
-		b.useOf(service).share = share
+		b.serviceState(service).share = share
 	}
 }
 
-func (u *use) weight() float64 {
-	if u.share.Weight > 0 {
-		return u.share.Weight
+func (s *serviceState) weight() float64 {
+	if s.share.Weight > 0 {
+		return s.share.Weight
 	}
 	return 1
 }
 
-// standing is how much a service has for its weight: the least goes first.
-func (u *use) standing() float64 { return float64(u.used+1) / u.weight() }
+// weightedUse returns the number of slots that the service would use with one more, divided
+// by its weight. The service with the lowest value is granted the next slot.
+func (s *serviceState) weightedUse() float64 { return float64(s.usedSlots+1) / s.weight() }
 
-// atBound reports whether the service has all that it may have.
-func (u *use) atBound() bool { return u.share.MaxSlots > 0 && u.used >= u.share.MaxSlots }
+// atMaxSlots reports whether the service uses all the slots that it may use.
+func (s *serviceState) atMaxSlots() bool {
+	return s.share.MaxSlots > 0 && s.usedSlots >= s.share.MaxSlots
+}
--- a/placement/sync.go
+++ b/placement/sync.go
@@ -4,74 +4,76 @@
 	"slices"
 )
 
-// grants counts what was granted to one home.
-type grants struct {
-	sequence uint64
-	last     int64 // Unix milliseconds
+// homeGrants counts the grants to one home.
+type homeGrants struct {
+	sequence uint64 // of the last grant
+	lastMs   int64  // Unix milliseconds of the last grant
 }
 
-func (b *Broker) granted(home string, now int64) uint64 {
-	g := b.homes[home]
+// nextSequence returns the sequence number of the next grant to a home.
+func (b *Broker) nextSequence(home string, now int64) uint64 {
+	g := b.homeGrants[home]
 	if g == nil {
-		g = &grants{}
-		b.homes[home] = g
+		g = &homeGrants{}
+		b.homeGrants[home] = g
 	}
 	g.sequence++
-	g.last = now
+	g.lastMs = now
 	return g.sequence
 }
 
-// grantMs is how long a grant may be on its way. After that it was lost.
-const grantMs = 1000
+// maxGrantDelayMs is how long a grant may take to arrive. After that it counts as lost.
+const maxGrantDelayMs = 1000
 
-// Sync puts the books right by what a home says that it has: the places that
-// it holds and the requests that wait. It changes nothing while a grant may be
-// on its way; sequence is that of the last one that the home got.
+// Sync replaces the broker's records about a home by the home's own: the slots that it
+// holds and its requests that are waiting. The sequence is the Sequence of the last grant
+// that the home has received. If it is not the last one sent, a grant may still be on its
+// way, and Sync does nothing until maxGrantDelayMs have passed.
 func (b *Broker) Sync(home string, sequence uint64, held []UpstreamSlots, waiting []Request, now int64) []Grant {
-	if g := b.homes[home]; g != nil && g.sequence != sequence && now-g.last < grantMs {
+	if g := b.homeGrants[home]; g != nil && g.sequence != sequence && now-g.lastMs < maxGrantDelayMs {
 		return nil
 	}
 	b.syncHeld(home, held)
 	refused := b.syncWaiting(home, waiting, now)
-	return append(refused, b.serve(now)...)
+	return append(refused, b.grantQueued(now)...)
 }
 
 func (b *Broker) syncHeld(home string, held []UpstreamSlots) {
-	now := map[heldKey]int{}
+	reported := map[heldKey]int{}
 	for _, h := range held {
-		now[heldKey{home, h.Upstream, h.Service}] += h.Count
+		reported[heldKey{home, h.Upstream, h.Service}] += h.Count
 	}
 	for key, h := range b.held {
-		if over := h.count - now[key]; key.home == home && over > 0 {
-			b.placeOf(key.upstream).vacate(b.giveUp(key, over), over)
+		if excess := h.count - reported[key]; key.home == home && excess > 0 {
+			b.upstreamState(key.upstream).free(b.removeHeld(key, excess), excess)
 		}
 	}
-	for key, count := range now {
+	for key, count := range reported {
 		missing := count
 		if h := b.held[key]; h != nil {
 			missing -= h.count
 		}
 		if missing > 0 {
-			b.take(home, b.placeOf(key.upstream), key.service, Resources{}, missing)
+			b.addHeld(home, b.upstreamState(key.upstream), key.service, Resources{}, missing)
 		}
 	}
 }
 
 func (b *Broker) syncWaiting(home string, waiting []Request, now int64) []Grant {
-	named := map[string]bool{}
+	reported := map[string]bool{}
 	var refused []Grant
 	for _, r := range waiting {
-		named[r.Ticket] = true
-		if t := b.tickets[ticketKey{home, r.Ticket}]; t != nil {
-			b.waits(t, r.Count-t.Count)
-			t.Count = r.Count
+		reported[r.Ticket] = true
+		if q := b.requests[ticketKey{home, r.Ticket}]; q != nil {
+			b.addQueued(q, r.Count-q.Count)
+			q.Count = r.Count
 			continue
 		}
 		refused = append(refused, b.enqueue(r, now)...)
 	}
-	for _, t := range slices.Clone(b.queue) {
-		if t.Home == home && !named[t.Ticket] {
-			b.remove(t)
+	for _, q := range slices.Clone(b.queue) {
+		if q.Home == home && !reported[q.Ticket] {
+			b.remove(q)
 		}
 	}
 	return refused
