--- a/entry/config_test.go
+++ b/entry/config_test.go
@@ -8,7 +8,7 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-const good = `
+const validConfig = `
 [instance]
 fleet = f
 name = e1
@@ -21,7 +21,7 @@
 `
 
 func TestConfigDefaults(t *testing.T) {
-	c, problems := ParseConfig("e.ini", []byte(good))
+	c, problems := ParseConfig("e.ini", []byte(validConfig))
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestConfigListsEveryProblem holds that one check names all that is wrong.
+// TestConfigListsEveryProblem verifies that a single check reports all problems of a file.
 func TestConfigListsEveryProblem(t *testing.T) {
 	_, problems := ParseConfig("e.ini", []byte(`
 [instance]
@@ -51,7 +51,7 @@
 	var fields []string
 	for _, p := range problems {
 		if !failure.Is(p, failure.InvalidInput) {
-			t.Errorf("problem without its type: %v", p)
+			t.Errorf("problem is not of type InvalidInput: %v", p)
 		}
 		fields = append(fields, failure.FieldOf(p))
 	}
--- a/entry/http.go
+++ b/entry/http.go
@@ -20,25 +20,26 @@
 	"github.com/gofiber/fiber/v2/middleware/expvar"
 )
 
-// Timeouts of the callers' connections.
+// Timeouts of callers' connections.
 const (
 	readTimeout = 30 * time.Second
 	idleTimeout = 2 * time.Minute
 )
 
-// mostRead bounds what is read of a request, in bytes. It is more than what is
-// allowed, so that a request that is somewhat too large is read to its end and
-// told so: one that is cut off while its caller writes may see only a reset.
-const mostRead = 2 * api.MaxBody
+// maxBodyRead is the maximum size of a request body that is read, in bytes. It exceeds the
+// allowed size, so that a request that is somewhat too large is read to its end and
+// answered with an error. If it were not read to its end, its caller, still writing, might
+// only see a connection reset.
+const maxBodyRead = 2 * api.MaxBody
 
 func (n *Node) newApp() *fiber.App {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		BodyLimit:             mostRead,
+		BodyLimit:             maxBodyRead,
 		ReadTimeout:           readTimeout,
 		IdleTimeout:           idleTimeout,
 		DisableDefaultDate:    true,
-		Immutable:             true, // strings outlive their request here
+		Immutable:             true, // strings of a request are used after it has been answered
 		ErrorHandler:          n.sendError,
 	})
 	app.Use(expvar.New())
@@ -51,7 +52,7 @@
 	return app
 }
 
-// sendError answers with a problem document.
+// sendError answers a request with the problem document for err.
 func (n *Node) sendError(c *fiber.Ctx, err error) error {
 	var fromFiber *fiber.Error
 	if e, ok := err.(*fiber.Error); ok {
@@ -59,7 +60,7 @@
 	}
 	p := api.NewProblem(err)
 	if fromFiber != nil {
-		p = problemOfStatus(fromFiber)
+		p = problemFromFiber(fromFiber)
 	}
 	n.metrics.Add("problem_"+p.Code, 1)
 	c.Status(p.Status)
@@ -71,11 +72,12 @@
 	return c.Send(body)
 }
 
-// problemOfStatus types the errors that fiber finds itself.
-func problemOfStatus(e *fiber.Error) *api.Problem {
+// problemFromFiber returns the problem document for an error that fiber itself has
+// detected.
+func problemFromFiber(e *fiber.Error) *api.Problem {
 	switch e.Code {
 	case http.StatusRequestEntityTooLarge:
-		return api.NewProblem(failure.Field(failure.TooLarge, "body", "is over %d bytes", api.MaxBody))
+		return api.NewProblem(failure.Field(failure.TooLarge, "body", "is larger than %d bytes", api.MaxBody))
 	case http.StatusNotFound, http.StatusMethodNotAllowed:
 		p := api.NewProblem(failure.Field(failure.NotFound, "path", "%s", e.Message))
 		p.Status = e.Code
@@ -86,23 +88,23 @@
 }
 
 func (n *Node) postSession(c *fiber.Ctx) error {
-	var open api.OpenSession
-	if err := api.Decode(c.Body(), &open); err != nil {
+	var request api.OpenSession
+	if err := api.Decode(c.Body(), &request); err != nil {
 		return err
 	}
-	if err := api.CheckName("caller", open.Caller); err != nil {
+	if err := api.CheckName("caller", request.Caller); err != nil {
 		return err
 	}
-	if err := n.needSettings(); err != nil {
+	if err := n.requireSettings(); err != nil {
 		return err
 	}
-	scope := n.settings.Load().tree.Get(n.path("", open.Caller), settings.KeyWitness).Text
-	session, life, err := n.dispatch.OpenSession(open.Caller, placement.WitnessScope(scope))
+	scope := n.settings.Load().tree.Get(n.settingsPath("", request.Caller), settings.KeyWitness).Text
+	session, expiresIn, err := n.dispatch.OpenSession(request.Caller, placement.WitnessScope(scope))
 	if err != nil {
 		return err
 	}
 	n.metrics.CountSent("session")
-	return c.JSON(api.SessionOpened{Session: session, ExpiresInMs: life.Milliseconds(), Entry: n.cfg.Instance})
+	return c.JSON(api.SessionOpened{Session: session, ExpiresInMs: expiresIn.Milliseconds(), Entry: n.cfg.Instance})
 }
 
 func (n *Node) postJob(c *fiber.Ctx) error {
@@ -116,31 +118,32 @@
 		return err
 	}
 	n.metrics.CountSent("submit")
-	if err := n.needSettings(); err != nil {
+	if err := n.requireSettings(); err != nil {
 		return err
 	}
 	tree := n.settings.Load().tree
-	path := n.path(s.Service, s.Session.Caller())
-	release, err := n.flights.enter(tree, path, s.Attempt)
+	path := n.settingsPath(s.Service, s.Session.Caller())
+	release, err := n.jobsInFlight.admit(tree, path, s.Attempt)
 	if err != nil {
 		return err
 	}
 	defer release()
-	return n.run(c, &s, uint32(tree.Int(path, settings.KeyDeadlineMs)), tree.Float(path, settings.KeyTraceRatio))
+	return n.submit(c, &s, uint32(tree.Int(path, settings.KeyDeadlineMs)), tree.Float(path, settings.KeyTraceRatio))
 }
 
-// run submits a checked job and answers with what is known of it in the end.
-func (n *Node) run(c *fiber.Ctx, s *api.Submission, defaultDeadlineMs uint32, traceRatio float64) error {
+// submit submits a checked job, waits for its outcome, and answers with what is known of it
+// then.
+func (n *Node) submit(c *fiber.Ctx, s *api.Submission, defaultDeadlineMs uint32, traceRatio float64) error {
 	now := time.Now()
 	job := s.Job(now.UnixMilli(), defaultDeadlineMs)
-	span := n.tracer.Start(traceOf(c, traceRatio), "entry")
+	span := n.tracer.Start(callerTrace(c, traceRatio), "entry")
 	defer span.End()
 	job.Trace = span.Traceparent()
 	wait := time.UnixMilli(job.DeadlineMs).Sub(now) + answerGrace
 	if s.WaitMs != nil {
 		wait = min(wait, time.Duration(*s.WaitMs)*time.Millisecond)
 	}
-	r, err := n.dispatch.Submit(n.stop, dispatch.Request{
+	r, err := n.dispatch.Submit(n.ctx, dispatch.Request{
 		Key: s.Key(), Job: job, Attempt: s.Attempt, Wait: wait, Trace: span.Traceparent(),
 	})
 	if err != nil {
@@ -150,19 +153,21 @@
 	return sendAnswer(c, &r)
 }
 
-// answerGrace is how much longer than to its deadline a call waits for the
-// fate that the deadline brings.
+// answerGrace is how long after the deadline of its job a call still waits for the outcome,
+// since the outcome may be determined only when the deadline passes.
 const answerGrace = 2 * time.Second
 
-// traceOf returns the caller's trace context, or "" for none.
-func traceOf(c *fiber.Ctx, ratio float64) string {
+// callerTrace returns the trace context that the caller has sent, or "" if it sent none.
+// The ratio does not affect the result.
+func callerTrace(c *fiber.Ctx, ratio float64) string {
 	if given := c.Get(api.HeaderTrace); given != "" || ratio == 0 || rand.Float64() >= ratio {
 		return given
 	}
 	return ""
 }
 
-// sendAnswer answers 200 with a fate, or 202 while there is none.
+// sendAnswer answers with status 200 and the outcome of a job, or with 202 if it has none
+// yet.
 func sendAnswer(c *fiber.Ctx, r *dispatch.Result) error {
 	answer := api.FromFate(&r.Answer)
 	answer.Done, answer.Total, answer.RetryAfterMs = r.Done, r.Total, r.RetryAfterMs
@@ -176,19 +181,19 @@
 	return c.JSON(answer)
 }
 
-// keyOf reads the key of a job from the query.
-func keyOf(c *fiber.Ctx) (fate.Key, error) {
+// parseKey returns the job key given in the query parameters.
+func parseKey(c *fiber.Ctx) (fate.Key, error) {
 	key := fate.Key{Session: fate.Session(c.Query("session"))}
 	if _, err := key.Session.Log(); err != nil {
 		return key, err
 	}
 	sequence, err := strconv.ParseUint(c.Query("sequence"), 10, 64)
 	if err != nil || sequence == 0 {
-		return key, failure.Field(failure.InvalidInput, "sequence", "is a number from 1 on")
+		return key, failure.Field(failure.InvalidInput, "sequence", "must be an integer of at least 1")
 	}
 	generation, err := strconv.ParseUint(c.Query("generation", "0"), 10, 32)
 	if err != nil {
-		return key, failure.Field(failure.InvalidInput, "generation", "is a number from 0 on")
+		return key, failure.Field(failure.InvalidInput, "generation", "must be an integer of at least 0")
 	}
 	key.Sequence, key.Generation = sequence, uint32(generation)
 	return key, nil
@@ -197,16 +202,16 @@
 func (n *Node) getJob(c *fiber.Ctx) error {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
-	key, err := keyOf(c)
+	key, err := parseKey(c)
 	if err != nil {
 		return err
 	}
 	wait, err := strconv.ParseUint(c.Query("wait_ms", "0"), 10, 32)
 	if err != nil || wait > api.MaxDeadlineMs {
-		return failure.Field(failure.InvalidInput, "wait_ms", "is a number from 0 to %d", api.MaxDeadlineMs)
+		return failure.Field(failure.InvalidInput, "wait_ms", "must be an integer from 0 to %d", api.MaxDeadlineMs)
 	}
 	n.metrics.CountSent("poll")
-	r, err := n.dispatch.Submit(n.stop, dispatch.Request{Key: key, Wait: time.Duration(wait) * time.Millisecond})
+	r, err := n.dispatch.Submit(n.ctx, dispatch.Request{Key: key, Wait: time.Duration(wait) * time.Millisecond})
 	if err != nil {
 		return err
 	}
@@ -216,12 +221,12 @@
 func (n *Node) deleteJob(c *fiber.Ctx) error {
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
-	key, err := keyOf(c)
+	key, err := parseKey(c)
 	if err != nil {
 		return err
 	}
 	n.metrics.CountSent("cancel")
-	r, err := n.dispatch.Cancel(n.stop, key)
+	r, err := n.dispatch.Cancel(n.ctx, key)
 	if err != nil {
 		return err
 	}
@@ -231,7 +236,7 @@
 func (n *Node) getInstances(c *fiber.Ctx) error {
 	free, queued := n.dispatch.Load()
 	list := []api.InstanceStatus{{
-		Instance: n.cfg.Instance, Incarnation: string(n.self), Zone: n.cfg.Zone, Role: api.RoleEntry,
+		Instance: n.cfg.Instance, Incarnation: string(n.incarnation), Zone: n.cfg.Zone, Role: api.RoleEntry,
 		State: n.state(), ActiveJobs: uint64(n.dispatch.ActiveJobs()), Revision: n.Revision(),
 		FreeSlots: uint64(free), QueuedTasks: uint64(queued),
 	}}
@@ -245,6 +250,7 @@
 	return c.JSON(list)
 }
 
+// state returns the state of this instance, as listed to callers.
 func (n *Node) state() string {
 	if n.leaving.Load() {
 		return "leaving"
@@ -254,21 +260,21 @@
 
 func (n *Node) getStatus(c *fiber.Ctx) error {
 	return c.JSON(api.Status{
-		Instance: n.cfg.Instance, Incarnation: string(n.self), Fleet: n.cfg.Fleet, Zone: n.cfg.Zone,
+		Instance: n.cfg.Instance, Incarnation: string(n.incarnation), Fleet: n.cfg.Fleet, Zone: n.cfg.Zone,
 		Leaving: n.leaving.Load(), ActiveJobs: n.dispatch.ActiveJobs(), Messages: metrics.Values(n.metrics.Messages),
 	})
 }
 
-// flights counts the calls in flight of each service and caller.
-type flights struct {
+// inFlightCounts counts the submissions in flight, by service and by caller.
+type inFlightCounts struct {
 	mu     sync.Mutex
 	counts map[settings.Node]int64
 }
 
-// enter counts a call in, or refuses it when its service or its caller has as
-// many in flight as the settings allow. A resubmission is never refused: its
-// answer may be there already.
-func (f *flights) enter(tree *settings.Tree, path settings.Path, attempt uint32) (release func(), err error) {
+// admit counts a submission. It returns an Overloaded error if the service or the caller
+// has reached the limit set for it. A resubmission is never refused, because its answer may
+// already exist.
+func (f *inFlightCounts) admit(tree *settings.Tree, path settings.Path, attempt uint32) (release func(), err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.counts == nil {
@@ -276,27 +282,28 @@
 	}
 	byService := settings.Node{Level: settings.LevelService, Name: path.Service}
 	byCaller := settings.Node{Level: settings.LevelCaller, Name: path.Caller}
-	above := path
-	above.Caller = ""
+	servicePath := path
+	servicePath.Caller = ""
 	if attempt <= 1 {
-		if limit := tree.Int(above, settings.KeyMaxInFlight); limit > 0 && f.counts[byService] >= limit {
+		if limit := tree.Int(servicePath, settings.KeyMaxInFlight); limit > 0 && f.counts[byService] >= limit {
 			return nil, overLimit("service", path.Service, limit)
 		}
-		own := tree.Get(path, settings.KeyMaxInFlight)
-		if limit := tree.Int(path, settings.KeyMaxInFlight); own.From == byCaller && limit > 0 && f.counts[byCaller] >= limit {
+		callerLimit := tree.Get(path, settings.KeyMaxInFlight)
+		if limit := tree.Int(path, settings.KeyMaxInFlight); callerLimit.From == byCaller && limit > 0 && f.counts[byCaller] >= limit {
 			return nil, overLimit("caller", path.Caller, limit)
 		}
 	}
 	f.counts[byService]++
 	f.counts[byCaller]++
-	return func() { f.leave(byService, byCaller) }, nil
+	return func() { f.release(byService, byCaller) }, nil
 }
 
 func overLimit(field, name string, limit int64) error {
-	return failure.Field(failure.Overloaded, field, "%s has %d jobs in flight at this entry, as many as it may", name, limit)
+	return failure.Field(failure.Overloaded, field, "%s has reached its limit of %d jobs in flight at this instance", name, limit)
 }
 
-func (f *flights) leave(nodes ...settings.Node) {
+// release uncounts a submission.
+func (f *inFlightCounts) release(nodes ...settings.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, node := range nodes {
--- a/entry/main.go
+++ b/entry/main.go
@@ -19,26 +19,25 @@
 // The exit codes of the daemon.
 const (
 	ExitOK        = 0
-	ExitFailed    = 1 // it could not start or run
-	ExitConfig    = 2 // the configuration or the command line is wrong
-	ExitUndrained = 3 // a planned stop ended with work in flight
+	ExitFailed    = 1 // the daemon could not start
+	ExitConfig    = 2 // the configuration or the command line is invalid
+	ExitUndrained = 3 // a planned shutdown ended with jobs still in flight
 )
 
-// Main runs the daemon with the arguments of a process, and returns its exit
-// code.
+// Main runs the daemon with the given process arguments and returns its exit code.
 func Main(args []string) int {
 	code := ExitOK
 	app := &cli.Command{
 		Name:  "sedgehatchd",
-		Usage: "one entry instance of sedgehatch",
+		Usage: "run an instance of sedgehatch",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "config", Usage: "the configuration `FILE` (INI); required"},
-			&cli.BoolFlag{Name: "check", Usage: "only check the configuration"},
+			&cli.StringFlag{Name: "config", Usage: "path of the INI configuration `FILE`; required"},
+			&cli.BoolFlag{Name: "check", Usage: "check the configuration and exit"},
 		},
 		Commands: []*cli.Command{{
 			Name:  "platform",
-			Usage: "run on the users' platform, with its settings file ($" + platform.SettingsVariable + ")",
-			Flags: []cli.Flag{&cli.BoolFlag{Name: "check", Usage: "only check the settings"}},
+			Usage: "run on the users' platform; the path of its settings file is in the environment ($" + platform.SettingsVariable + ")",
+			Flags: []cli.Flag{&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"}},
 			Action: func(_ context.Context, c *cli.Command) error {
 				code = node.Main(c.Bool("check"), os.Stderr)
 				return nil
@@ -48,7 +47,7 @@
 			if c.String("config") == "" {
 				return failure.Field(failure.InvalidInput, "config", "--config FILE is required")
 			}
-			code = daemon(ctx, c.String("config"), c.Bool("check"), os.Stderr)
+			code = runDaemon(ctx, c.String("config"), c.Bool("check"), os.Stderr)
 			return nil
 		},
 	}
@@ -59,8 +58,8 @@
 	return code
 }
 
-// daemon runs one instance until a signal.
-func daemon(ctx context.Context, path string, checkOnly bool, out io.Writer) int {
+// runDaemon runs an instance until a signal is received.
+func runDaemon(ctx context.Context, path string, checkOnly bool, out io.Writer) int {
 	cfg, problems := LoadConfig(path)
 	for _, p := range problems {
 		fmt.Fprintln(out, "sedgehatchd:", failure.Text(p))
@@ -69,7 +68,7 @@
 		return ExitConfig
 	}
 	if checkOnly {
-		fmt.Fprintf(out, "sedgehatchd: %s is right\n", path)
+		fmt.Fprintf(out, "sedgehatchd: %s is valid\n", path)
 		return ExitOK
 	}
 	node, err := New(cfg, Hooks{}, NewLogger(cfg, out))
@@ -82,11 +81,12 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
 	node.Run()
-	return node.untilSignal(ctx, signals)
+	return node.runUntilSignal(ctx, signals)
 }
 
-// untilSignal stops as planned on the first signal, and at once on a second.
-func (n *Node) untilSignal(ctx context.Context, signals <-chan os.Signal) int {
+// runUntilSignal waits for a signal and then shuts the instance down gracefully. A second
+// signal ends it at once.
+func (n *Node) runUntilSignal(ctx context.Context, signals <-chan os.Signal) int {
 	<-signals
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -100,10 +100,10 @@
 	return ExitOK
 }
 
-// NewLogger returns the logger that a configuration asks for.
+// NewLogger returns the logger described by a configuration.
 func NewLogger(cfg Config, out io.Writer) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(cfg.LogLevel)) // checked with the configuration
+	_ = level.UnmarshalText([]byte(cfg.LogLevel)) // validated with the configuration
 	options := &slog.HandlerOptions{Level: level}
 	if cfg.LogFormat == "json" {
 		return slog.New(slog.NewJSONHandler(out, options))
--- a/entry/node.go
+++ b/entry/node.go
@@ -1,5 +1,7 @@
-// Package entry puts one entry instance together: callers come in over HTTP,
-// peers over the inner protocol, and the platform is watched.
+// Package entry implements an instance that runs jobs for callers. It serves the HTTP
+// interface of callers and operators, exchanges messages with other instances over the
+// inner protocol, and follows the list of instances and the settings on the platform. The
+// jobs themselves are run by package dispatch.
 package entry
 
 import (
@@ -28,55 +30,55 @@
 	"github.com/samber/do/v2"
 )
 
-// Hooks replace what reaches the outside. Tests cut and delay there; the zero
-// value is plain TCP.
+// Hooks replace parts of an instance that reach other processes, so that tests can cut and
+// delay connections. Nil dialers use plain TCP.
 type Hooks struct {
 	DialInner    inner.Dialer
 	DialUpstream func(address string) (net.Conn, error)
 	DialPlatform func(address string) (net.Conn, error)
-	// Tracer replaces the one that the configuration asks for.
+	// Tracer replaces the tracer described by the configuration.
 	Tracer *tracing.Tracer
 }
 
-// Node is one entry instance.
+// Node is an instance that runs jobs for callers.
 type Node struct {
-	cfg      Config
-	self     fate.Incarnation
-	log      *slog.Logger
-	metrics  *metrics.Set
-	tracer   *tracing.Tracer
-	platform *kv.Client
-	mesh     *inner.Mesh
-	dispatch *dispatch.Dispatcher
-	app      *fiber.App
-	callers  net.Listener
-	conns    connset.Set // of callers
-	inner    net.Listener
+	cfg            Config
+	incarnation    fate.Incarnation
+	log            *slog.Logger
+	metrics        *metrics.Set
+	tracer         *tracing.Tracer
+	platform       *kv.Client
+	mesh           *inner.Mesh
+	dispatch       *dispatch.Dispatcher
+	app            *fiber.App
+	callerListener net.Listener
+	callerConns    connset.Set // open connections of callers
+	innerListener  net.Listener
 
-	mu          sync.Mutex // guards table and listed
-	table       *membership.Table
-	listed      []api.PlatformInstance
-	viewChanged chan struct{}
-	settings    atomic.Pointer[applied]
-	leaving     atomic.Bool
-	learning    atomic.Bool  // settings are being fetched from a peer
-	inFlight    atomic.Int64 // calls of callers that wait for an answer
-	flights     flights
-	stop        context.Context
-	cancel      context.CancelFunc
-	running     sync.WaitGroup
-	closeOnce   sync.Once
+	mu               sync.Mutex // guards table and instances
+	table            *membership.Table
+	instances        []api.PlatformInstance // the last list received, or nil
+	viewChanged      chan struct{}          // signals that the dispatcher needs a new view
+	settings         atomic.Pointer[appliedSettings]
+	leaving          atomic.Bool
+	fetchingSettings atomic.Bool  // from another instance
+	inFlight         atomic.Int64 // calls of callers that are not answered yet
+	jobsInFlight     inFlightCounts
+	ctx              context.Context // cancelled by Kill
+	cancel           context.CancelFunc
+	goroutines       sync.WaitGroup
+	closeOnce        sync.Once
 }
 
-// applied is a revision of the settings that is in force here.
-type applied struct {
-	known    bool // false until the platform or a peer has told any
+// appliedSettings is the revision of the settings that is in force on this instance.
+type appliedSettings struct {
+	received bool // false until settings are received from the platform or another instance
 	revision uint64
-	value    string // as the platform holds it, for peers that are behind
+	value    string // as stored on the platform, for instances with an older revision
 	tree     *settings.Tree
 }
 
-// New makes an entry instance and its listeners. Run starts it.
+// New creates an instance and opens its listeners. Run starts it.
 func New(cfg Config, hooks Hooks, log *slog.Logger) (*Node, error) {
 	injector := do.New()
 	do.ProvideValue(injector, cfg)
@@ -86,11 +88,11 @@
 	return do.Invoke[*Node](injector)
 }
 
-// provide registers how each part of a node is made.
+// provide registers the constructors of the parts of a Node.
 func provide(i do.Injector) {
 	do.ProvideValue(i, metrics.NewSet())
 	do.Provide(i, newTracer)
-	do.Provide(i, newPlatform)
+	do.Provide(i, newPlatformClient)
 	do.Provide(i, newNode)
 }
 
@@ -103,7 +105,7 @@
 	return tracing.New(context.Background(), cfg.Tracing)
 }
 
-func newPlatform(i do.Injector) (*kv.Client, error) {
+func newPlatformClient(i do.Injector) (*kv.Client, error) {
 	counters := do.MustInvoke[*metrics.Set](i)
 	return kv.NewClient(do.MustInvoke[Config](i).PlatformAddress, do.MustInvoke[Hooks](i).DialPlatform, counters.CountSent), nil
 }
@@ -117,19 +119,19 @@
 	}
 	n := &Node{
 		cfg: cfg, log: do.MustInvoke[*slog.Logger](i), metrics: do.MustInvoke[*metrics.Set](i),
-		self:   fate.Incarnation(cfg.Instance + "." + uuid.NewString()[:8]),
-		tracer: tracer, platform: do.MustInvoke[*kv.Client](i),
+		incarnation: fate.Incarnation(cfg.Instance + "." + uuid.NewString()[:8]),
+		tracer:      tracer, platform: do.MustInvoke[*kv.Client](i),
 		table: membership.NewTable(cfg.Membership), viewChanged: make(chan struct{}, 1),
 	}
 	n.log = n.log.With(slog.String("instance", cfg.Instance))
-	n.stop, n.cancel = context.WithCancel(context.Background())
-	n.settings.Store(&applied{tree: settings.Empty()})
+	n.ctx, n.cancel = context.WithCancel(context.Background())
+	n.settings.Store(&appliedSettings{tree: settings.Empty()})
 	if err := n.listen(); err != nil {
 		return nil, err
 	}
 	n.mesh = inner.NewMesh(inner.Config{
-		Fleet: cfg.Fleet, Self: n.self, Region: cfg.Region, Zone: cfg.Zone, Rack: cfg.Rack,
-		Address: n.inner.Addr().String(), Resolver: n, Handler: n, OnHello: n.met,
+		Fleet: cfg.Fleet, Self: n.incarnation, Region: cfg.Region, Zone: cfg.Zone, Rack: cfg.Rack,
+		Address: n.innerListener.Addr().String(), Resolver: n, Handler: n, OnHello: n.handleHello,
 		Dial: hooks.DialInner, CountSent: n.metrics.CountSent,
 	})
 	n.dispatch = dispatch.New(n.dispatchConfig(hooks), n.mesh)
@@ -139,7 +141,7 @@
 
 func (n *Node) dispatchConfig(hooks Hooks) dispatch.Config {
 	c := n.cfg.Dispatch
-	c.Self, c.Region, c.Zone, c.Rack = n.self, n.cfg.Region, n.cfg.Zone, n.cfg.Rack
+	c.Self, c.Region, c.Zone, c.Rack = n.incarnation, n.cfg.Region, n.cfg.Zone, n.cfg.Rack
 	c.Metrics, c.Tracer, c.Log = n.metrics, n.tracer, n.log
 	c.DialUpstream = hooks.DialUpstream
 	return c
@@ -147,69 +149,69 @@
 
 func (n *Node) listen() error {
 	var err error
-	if n.callers, err = net.Listen("tcp", n.cfg.ListenCallers); err != nil {
+	if n.callerListener, err = net.Listen("tcp", n.cfg.ListenCallers); err != nil {
 		return failure.Field(failure.InvalidInput, "listen.callers", "cannot listen: %v", err)
 	}
-	if n.inner, err = net.Listen("tcp", n.cfg.ListenInner); err != nil {
-		_ = n.callers.Close()
+	if n.innerListener, err = net.Listen("tcp", n.cfg.ListenInner); err != nil {
+		_ = n.callerListener.Close()
 		return failure.Field(failure.InvalidInput, "listen.inner", "cannot listen: %v", err)
 	}
 	return nil
 }
 
 // Incarnation returns the incarnation of this instance.
-func (n *Node) Incarnation() fate.Incarnation { return n.self }
+func (n *Node) Incarnation() fate.Incarnation { return n.incarnation }
 
 // Metrics returns the counters of this instance.
 func (n *Node) Metrics() *metrics.Set { return n.metrics }
 
-// CallerAddress returns where callers are taken.
-func (n *Node) CallerAddress() string { return n.callers.Addr().String() }
+// CallerAddress returns the address of the listener for callers.
+func (n *Node) CallerAddress() string { return n.callerListener.Addr().String() }
 
-// Instance returns this instance as the platform lists it.
+// Instance returns the entry of this instance for the platform's list.
 func (n *Node) Instance() api.PlatformInstance {
 	return api.PlatformInstance{
-		ID: n.cfg.Instance, Role: api.RoleEntry, Address: n.inner.Addr().String(),
+		ID: n.cfg.Instance, Role: api.RoleEntry, Address: n.innerListener.Addr().String(),
 		CallerAddress: n.CallerAddress(), Region: n.cfg.Region, Zone: n.cfg.Zone, Rack: n.cfg.Rack,
 	}
 }
 
-// Run starts the instance. It returns at once; Stop or Kill ends it.
+// Run starts the instance and returns at once. Stop or Kill ends it.
 func (n *Node) Run() {
 	n.dispatch.Run()
-	n.running.Go(func() { n.mesh.Serve(n.inner) })
-	n.running.Go(n.pollInstances)
-	n.running.Go(n.heartbeats)
-	n.running.Go(n.keepView)
-	n.running.Go(n.watchSettings)
-	n.running.Go(n.startFromPeers)
-	n.running.Go(func() {
-		if err := n.app.Listener(n.conns.Listener(n.callers)); err != nil && n.stop.Err() == nil {
+	n.goroutines.Go(func() { n.mesh.Serve(n.innerListener) })
+	n.goroutines.Go(n.pollInstances)
+	n.goroutines.Go(n.runHeartbeats)
+	n.goroutines.Go(n.updateViews)
+	n.goroutines.Go(n.watchSettings)
+	n.goroutines.Go(n.bootstrapFromSeeds)
+	n.goroutines.Go(func() {
+		if err := n.app.Listener(n.callerConns.Listener(n.callerListener)); err != nil && n.ctx.Err() == nil {
 			event.ServeFailed.Log(n.log, slog.String("error", err.Error()))
 		}
 	})
-	event.Started.Log(n.log, slog.String("incarnation", string(n.self)), slog.String("callers", n.CallerAddress()), slog.String("zone", n.cfg.Zone))
+	event.Started.Log(n.log, slog.String("incarnation", string(n.incarnation)), slog.String("callers", n.CallerAddress()), slog.String("zone", n.cfg.Zone))
 }
 
-// drainPoll is how often a planned stop looks whether anything is in flight.
-const drainPoll = 10 * time.Millisecond
+// drainPollInterval is how often a planned shutdown checks whether all jobs have ended.
+const drainPollInterval = 10 * time.Millisecond
 
-// Stop is a planned stop: no new sessions and jobs, peers are told, what is in
-// flight ends, then the instance does. It reports false when its grace, or
-// ctx, ended first.
+// Stop performs a planned shutdown. The instance accepts no new sessions and jobs, notifies
+// the other instances, waits for what is in flight, and ends. Stop returns false if ctx was
+// cancelled or the configured DrainTimeout passed before everything had ended.
 func (n *Node) Stop(ctx context.Context) bool {
 	event.Draining.Log(n.log, slog.Int("jobs", n.dispatch.ActiveJobs()))
 	n.leaving.Store(true)
 	n.dispatch.Drain()
-	n.updateView()
-	n.beat()
+	n.requestViewUpdate()
+	n.broadcastHeartbeat()
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.DrainTimeout)
 	defer cancel()
-	n.settle(ctx)
-	ticker := time.NewTicker(drainPoll)
+	n.awaitHeartbeats(ctx)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	drained := true
-	for drained && !n.idle() {
+	for drained && !n.isIdle() {
 		select {
 		case <-ctx.Done():
 			drained = false
@@ -225,33 +227,33 @@
 	return drained
 }
 
-// settle gives peers two heartbeats' time to hear that this instance leaves,
-// before they may find it gone.
-func (n *Node) settle(ctx context.Context) {
+// awaitHeartbeats waits for two heartbeat intervals, so that the other instances learn that
+// this one is leaving before they can find it gone.
+func (n *Node) awaitHeartbeats(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(2 * n.cfg.HeartbeatInterval):
 	}
 }
 
-// idle reports whether nobody needs this instance any more: no caller, no job,
-// and no home that has it as witness.
-func (n *Node) idle() bool {
+// isIdle reports whether the instance can end without harm: it has no calls in flight and
+// no active jobs, neither its own nor those of logs of which it is the witness.
+func (n *Node) isIdle() bool {
 	return n.inFlight.Load() == 0 && n.dispatch.ActiveJobs() == 0 && n.dispatch.WitnessedJobs() == 0
 }
 
-// Kill ends the instance at once, as its death would.
+// Kill ends the instance at once, like a crash.
 func (n *Node) Kill() {
 	n.closeOnce.Do(func() {
-		_ = n.callers.Close()
-		n.conns.Close()
+		_ = n.callerListener.Close()
+		n.callerConns.Close()
 		n.cancel()
 		n.platform.Close()
-		_ = n.inner.Close()
+		_ = n.innerListener.Close()
 		n.dispatch.Close()
 		n.mesh.Close()
 		_ = n.app.ShutdownWithTimeout(shutdownTimeout)
-		n.running.Wait()
+		n.goroutines.Wait()
 		flush, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		_ = n.tracer.Close(flush)
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -16,15 +16,16 @@
 	"github.com/samber/lo"
 )
 
-// Address tells the mesh where an instance listens.
+// Address returns the address on which an instance listens for other instances. It
+// implements inner.AddressResolver.
 func (n *Node) Address(instance string) (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Address(instance)
 }
 
-// met takes what a peer says of itself.
-func (n *Node) met(h *inner.Hello) {
+// handleHello records what another instance says about itself when it connects.
+func (n *Node) handleHello(h *inner.Hello) {
 	who := fate.Incarnation(h.GetIncarnation())
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -33,46 +34,46 @@
 	})
 }
 
-// HandleFrame takes a frame of another instance.
+// HandleFrame handles a frame from another instance.
 func (n *Node) HandleFrame(from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) {
 	if hb := f.GetHeartbeat(); hb != nil {
-		n.heard(from, hb)
+		n.handleHeartbeat(from, hb)
 		return
 	}
 	if f.GetLearn() != nil {
-		reply(n.known())
+		reply(n.knownFrame())
 		return
 	}
 	n.dispatch.HandleFrame(from, f, reply)
 }
 
-func (n *Node) heard(from fate.Incarnation, hb *inner.Heartbeat) {
-	load := membership.Heartbeat{
+func (n *Node) handleHeartbeat(from fate.Incarnation, hb *inner.Heartbeat) {
+	heartbeat := membership.Heartbeat{
 		Leaving: hb.GetLeaving(), ActiveJobs: hb.GetActiveJobs(), Revision: hb.GetSettingsRevision(),
 		FreeSlots: hb.GetFreeSlots(), QueuedTasks: hb.GetQueuedTasks(),
 	}
 	n.mu.Lock()
-	changes := n.table.RecordHeartbeat(from, load, time.Now().UnixMilli())
+	changes := n.table.RecordHeartbeat(from, heartbeat, time.Now().UnixMilli())
 	n.mu.Unlock()
-	n.changed(changes)
-	if load.Revision > n.Revision() || !n.settings.Load().known {
-		go n.learnSettings(from)
+	n.handlePeerChanges(changes)
+	if heartbeat.Revision > n.Revision() || !n.settings.Load().received {
+		go n.fetchSettings(from)
 	}
-	n.dispatch.SetBrokerLoad(from, int(load.FreeSlots), int(load.QueuedTasks))
+	n.dispatch.SetBrokerLoad(from, int(heartbeat.FreeSlots), int(heartbeat.QueuedTasks))
 	for _, id := range hb.GetLeavingUpstreams() {
 		n.dispatch.MarkUpstreamLeaving(id)
 	}
 }
 
-// changed acts on peers whose state changed.
-func (n *Node) changed(changes []membership.Change) {
+// handlePeerChanges logs the changed states of other instances and acts on them.
+func (n *Node) handlePeerChanges(changes []membership.Change) {
 	if len(changes) == 0 {
 		return
 	}
 	for _, c := range changes {
-		n.logChange(c)
+		n.logPeerChange(c)
 	}
-	n.updateView()
+	n.requestViewUpdate()
 	for _, c := range changes {
 		if c.Peer.State == membership.Dead {
 			n.mesh.CloseDialed(c.Peer.Instance)
@@ -81,7 +82,7 @@
 	}
 }
 
-func (n *Node) logChange(c membership.Change) {
+func (n *Node) logPeerChange(c membership.Change) {
 	attrs := []slog.Attr{slog.String("peer", string(c.Peer.Incarnation)), slog.String("before", string(c.Previous))}
 	switch c.Peer.State {
 	case membership.Alive:
@@ -93,19 +94,20 @@
 	}
 }
 
-// updateView makes the dispatcher learn what is known of the fleet now.
-func (n *Node) updateView() {
+// requestViewUpdate makes updateViews give a new view to the dispatcher.
+func (n *Node) requestViewUpdate() {
 	select {
 	case n.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
-// keepView gives the dispatcher each new view, one after another.
-func (n *Node) keepView() {
+// updateViews gives the dispatcher a new view of the fleet each time one is requested.
+// Views are set one at a time, in order.
+func (n *Node) updateViews() {
 	for {
 		select {
-		case <-n.stop.Done():
+		case <-n.ctx.Done():
 			return
 		case <-n.viewChanged:
 			n.dispatch.SetView(n.view())
@@ -113,11 +115,11 @@
 	}
 }
 
-// view returns what is known of the fleet now.
+// view returns the current view of the fleet.
 func (n *Node) view() dispatch.View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	v := dispatch.View{ZonesWithInstances: map[string]bool{n.cfg.Zone: true}, OtherInstances: n.listedOthers()}
+	v := dispatch.View{ZonesWithInstances: map[string]bool{n.cfg.Zone: true}, OtherInstances: n.countOtherInstances()}
 	for _, p := range n.table.Peers() {
 		v.ZonesWithInstances[p.Zone] = true
 		if p.State == membership.Alive {
@@ -127,28 +129,29 @@
 			})
 		}
 	}
-	for _, u := range n.listed {
+	for _, u := range n.instances {
 		if u.Role == api.RoleUpstream {
 			v.Upstreams = append(v.Upstreams, upstreamSpec(u))
 		}
 	}
 	if !n.leaving.Load() || len(v.Members) == 0 {
-		// One that leaves serves its own to the end where nobody else is there.
+		// If no other instance is alive, this one remains a member while it is leaving,
+		// so that its own jobs can still end.
 		v.Members = append(v.Members, dispatch.Member{
 			InstanceLocation: placement.InstanceLocation{Instance: n.cfg.Instance, Region: n.cfg.Region, Zone: n.cfg.Zone, Rack: n.cfg.Rack},
-			Incarnation:      n.self,
+			Incarnation:      n.incarnation,
 		})
 	}
 	return v
 }
 
-// listedOthers returns how many other entries the platform lists, or -1 before
-// it has answered. The lock is held.
-func (n *Node) listedOthers() int {
-	if n.listed == nil {
+// countOtherInstances returns the number of other instances in the platform's list that run
+// jobs for callers, or -1 before a list was received. The lock must be held.
+func (n *Node) countOtherInstances() int {
+	if n.instances == nil {
 		return -1
 	}
-	return lo.CountBy(n.listed, func(i api.PlatformInstance) bool { return i.Role == api.RoleEntry && i.ID != n.cfg.Instance })
+	return lo.CountBy(n.instances, func(i api.PlatformInstance) bool { return i.Role == api.RoleEntry && i.ID != n.cfg.Instance })
 }
 
 func upstreamSpec(u api.PlatformInstance) dispatch.UpstreamSpec {
@@ -161,27 +164,28 @@
 	}
 }
 
-// heartbeats tells the peers that this instance lives, and notices silence.
-func (n *Node) heartbeats() {
+// runHeartbeats sends heartbeats to the other instances at regular intervals and detects
+// those that have stopped sending theirs.
+func (n *Node) runHeartbeats() {
 	ticker := time.NewTicker(n.cfg.HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-n.stop.Done():
+		case <-n.ctx.Done():
 			return
 		case <-ticker.C:
-			n.beat()
+			n.broadcastHeartbeat()
 			n.mu.Lock()
 			changes := n.table.Tick(time.Now().UnixMilli())
 			n.mu.Unlock()
-			n.changed(changes)
+			n.handlePeerChanges(changes)
 		}
 	}
 }
 
-// beat sends one heartbeat to every peer. A peer that cannot be reached holds
-// nobody else up.
-func (n *Node) beat() {
+// broadcastHeartbeat sends one heartbeat to each other instance, in separate goroutines, so
+// that one that cannot be reached does not delay the others.
+func (n *Node) broadcastHeartbeat() {
 	free, queued := n.dispatch.Load()
 	leaving := n.dispatch.LeavingUpstreams()
 	n.mu.Lock()
@@ -195,47 +199,48 @@
 			Leaving: n.leaving.Load(), ActiveJobs: uint64(n.dispatch.ActiveJobs()), SettingsRevision: n.settings.Load().revision,
 			FreeSlots: uint64(free), QueuedTasks: uint64(queued), LeavingUpstreams: leaving,
 		}}}
-		go n.beatTo(p, f)
+		go n.sendHeartbeat(p, f)
 	}
 }
 
-// beatTo sends a heartbeat. A peer whose process is certainly gone is lost at
-// once, without waiting for its silence.
-func (n *Node) beatTo(p membership.Peer, f *inner.Frame) {
+// sendHeartbeat sends a heartbeat to another instance. If the process of that instance has
+// certainly ended, its state changes to Dead at once instead of after the time-out.
+func (n *Node) sendHeartbeat(p membership.Peer, f *inner.Frame) {
 	err := n.mesh.Send(fate.Incarnation(p.Instance), f)
-	if !failure.Is(err, failure.Gone) || p.Incarnation == "" || n.stop.Err() != nil {
+	if !failure.Is(err, failure.Gone) || p.Incarnation == "" || n.ctx.Err() != nil {
 		return
 	}
 	n.mu.Lock()
 	changes := n.table.MarkEnded(p.Incarnation)
 	n.mu.Unlock()
-	n.changed(changes)
+	n.handlePeerChanges(changes)
 }
 
-// pollInstances reads the platform's list, and goes on from the last one when
-// the platform is silent.
+// pollInstances reads the platform's list of instances at regular intervals. While the
+// platform does not answer, the last list remains in use.
 func (n *Node) pollInstances() {
 	down := false
-	for n.stop.Err() == nil {
+	for n.ctx.Err() == nil {
 		list, err := n.platform.Instances()
-		if (err != nil) != down && n.stop.Err() == nil {
+		if (err != nil) != down && n.ctx.Err() == nil {
 			down = err != nil
-			n.logPlatform(err)
+			n.logPlatformChange(err)
 		}
 		if err == nil {
-			n.takeList(list)
+			n.applyInstances(list)
 		}
-		n.pause(n.pollPause())
+		n.sleep(n.pollInterval())
 	}
 }
 
-// pollPause grows with the zone, so that the platform's calls do not.
-func (n *Node) pollPause() time.Duration {
-	share := (len(n.zonePeers()) + 1) / watchersPerZone
+// pollInterval returns the time until the next read of the platform's list. It grows with
+// the number of instances in the zone, so that the load on the platform does not.
+func (n *Node) pollInterval() time.Duration {
+	share := (len(n.aliveZonePeers()) + 1) / watchersPerZone
 	return n.cfg.InstancePollInterval * time.Duration(max(share, 1))
 }
 
-func (n *Node) logPlatform(err error) {
+func (n *Node) logPlatformChange(err error) {
 	if err != nil {
 		event.PlatformLost.Log(n.log, slog.String("error", err.Error()))
 		return
@@ -243,27 +248,28 @@
 	event.PlatformBack.Log(n.log)
 }
 
-func (n *Node) takeList(list []api.PlatformInstance) {
+// applyInstances puts a new list of instances in force.
+func (n *Node) applyInstances(list []api.PlatformInstance) {
 	entries := lo.FilterMap(list, func(i api.PlatformInstance, _ int) (membership.Listing, bool) {
-		mine := i.Role == api.RoleEntry && i.ID != n.cfg.Instance
-		return membership.Listing{Instance: i.ID, Address: i.Address, Region: i.Region, Zone: i.Zone, Rack: i.Rack, Leaving: i.Leaving}, mine
+		isPeer := i.Role == api.RoleEntry && i.ID != n.cfg.Instance
+		return membership.Listing{Instance: i.ID, Address: i.Address, Region: i.Region, Zone: i.Zone, Rack: i.Rack, Leaving: i.Leaving}, isPeer
 	})
 	if list == nil {
-		list = []api.PlatformInstance{} // the platform knows none, which is something
+		list = []api.PlatformInstance{} // an empty list was received, unlike nil
 	}
 	n.mu.Lock()
-	same := n.listed != nil && sameList(n.listed, list)
-	n.listed = list
+	same := n.instances != nil && equalInstances(n.instances, list)
+	n.instances = list
 	n.table.SetListed(entries)
 	n.mu.Unlock()
 	if !same {
-		n.updateView()
-		n.beat()
+		n.requestViewUpdate()
+		n.broadcastHeartbeat()
 	}
 }
 
-// sameList reports whether two lists say the same, in any order.
-func sameList(a, b []api.PlatformInstance) bool {
+// equalInstances reports whether two lists have the same instances, in any order.
+func equalInstances(a, b []api.PlatformInstance) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -271,27 +277,27 @@
 	return lo.EveryBy(b, func(i api.PlatformInstance) bool { return byID[i.ID] == i })
 }
 
-// Peers returns what is known of the other entries.
+// Peers returns the known states of the other instances.
 func (n *Node) Peers() []membership.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Peers()
 }
 
-// FleetSizeAtLeast reports whether this instance hears members entries, itself included,
-// and knows upstreams.
-func (n *Node) FleetSizeAtLeast(members, upstreams int) bool {
+// FleetSizeAtLeast reports whether this instance knows at least the given numbers of
+// upstreams and of instances that are alive, including itself.
+func (n *Node) FleetSizeAtLeast(instances, upstreams int) bool {
 	m, u := n.dispatch.FleetSize()
-	return m >= members && u >= upstreams
+	return m >= instances && u >= upstreams
 }
 
-// UpstreamIsLeaving reports whether this instance knows that an upstream leaves.
+// UpstreamIsLeaving reports whether this instance knows that an upstream is shutting down.
 func (n *Node) UpstreamIsLeaving(upstream string) bool {
 	return lo.Contains(n.dispatch.LeavingUpstreams(), upstream)
 }
 
-// HeldSlots returns how many places at upstreams this instance's jobs hold.
+// HeldSlots returns the number of slots of upstreams that this instance's jobs hold.
 func (n *Node) HeldSlots() int { return n.dispatch.HeldSlots() }
 
-// SentBytes returns the bytes that this instance has sent to others.
+// SentBytes returns the number of bytes that this instance has sent to others.
 func (n *Node) SentBytes() int64 { return n.mesh.SentBytes() }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -19,61 +19,67 @@
 	"github.com/samber/lo"
 )
 
-// How the settings are watched at the platform.
+// Times and numbers for watching the settings on the platform.
 const (
-	watchWait  = 10 * time.Second
-	watchPause = 500 * time.Millisecond // after an error
-	// watchersPerZone is how many entries of a zone watch. The others hear of a
-	// revision from them, so that the platform's calls do not grow with the
-	// fleet; they look themselves only now and then.
-	watchersPerZone = 2
-	restPause       = 30 * time.Second
-	restStep        = 200 * time.Millisecond
+	// maxWatchWait is the longest time for which one watch request waits for a change.
+	maxWatchWait = 10 * time.Second
+	// retryPause is the time between attempts after an error.
+	retryPause = 500 * time.Millisecond
+	// watchersPerZone is the number of instances per zone that watch the settings. The
+	// others learn of a new revision from their heartbeats, so that the load on the
+	// platform does not grow with the fleet, and read the settings themselves only
+	// every restDuration.
+	watchersPerZone   = 2
+	restDuration      = 30 * time.Second
+	restCheckInterval = 200 * time.Millisecond
 )
 
-// watchSettings applies each revision that the platform accepts.
+// watchSettings puts each revision of the settings on the platform in force.
 func (n *Node) watchSettings() {
 	version := uint64(0)
-	for n.stop.Err() == nil {
+	for n.ctx.Err() == nil {
 		entry, err := n.platform.Watch(settings.HeadKey, version, n.watchWait())
 		switch {
 		case err != nil:
-			n.pause(watchPause)
-		case entry.Version != version || !n.settings.Load().known:
+			n.sleep(retryPause)
+		case entry.Version != version || !n.settings.Load().received:
 			n.applySettings(entry.Value)
 			version = entry.Version
 		}
-		n.rest()
+		n.restFromWatching()
 	}
 }
 
-// watchWait is how long the next watch waits: those that rest only look.
+// watchWait returns how long the next watch request waits for a change: 0, which only reads
+// the current value, if this instance is not a watcher or has no settings yet.
 func (n *Node) watchWait() time.Duration {
-	if !n.settings.Load().known || !n.watches() {
+	if !n.settings.Load().received || !n.isWatcher() {
 		return 0
 	}
-	return watchWait
+	return maxWatchWait
 }
 
-// rest lets time pass while enough others of the zone watch.
-func (n *Node) rest() {
-	for until := time.Now().Add(restPause); !n.watches() && n.stop.Err() == nil && time.Now().Before(until); {
-		n.pause(restStep)
+// restFromWatching waits for restDuration, or until this instance has to watch for its
+// zone.
+func (n *Node) restFromWatching() {
+	for until := time.Now().Add(restDuration); !n.isWatcher() && n.ctx.Err() == nil && time.Now().Before(until); {
+		n.sleep(restCheckInterval)
 	}
 }
 
-func (n *Node) pause(d time.Duration) {
+// sleep waits for d, or until the instance is ended.
+func (n *Node) sleep(d time.Duration) {
 	select {
-	case <-n.stop.Done():
+	case <-n.ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// watches reports whether this instance is one of those that watch for its
-// zone: the first by name among those alive.
-func (n *Node) watches() bool {
+// isWatcher reports whether this instance watches the settings for its zone: it is one of
+// the first watchersPerZone by name among those that are alive.
+func (n *Node) isWatcher() bool {
 	before := 0
-	for _, p := range n.zonePeers() {
+	for _, p := range n.aliveZonePeers() {
 		if p.Instance < n.cfg.Instance {
 			before++
 		}
@@ -81,25 +87,27 @@
 	return before < watchersPerZone
 }
 
-// zonePeers returns the peers of this zone that are alive.
-func (n *Node) zonePeers() []membership.Peer {
+// aliveZonePeers returns the other instances of this zone that are alive.
+func (n *Node) aliveZonePeers() []membership.Peer {
 	return lo.Filter(n.Peers(), func(p membership.Peer, _ int) bool { return p.State == membership.Alive && p.Zone == n.cfg.Zone })
 }
 
-// learnSettings fetches the settings of a peer that is ahead, once at a time.
-func (n *Node) learnSettings(from fate.Incarnation) {
-	if !n.learning.CompareAndSwap(false, true) {
+// fetchSettings fetches and applies the settings of another instance that has a newer
+// revision. It does nothing if a fetch is already running.
+func (n *Node) fetchSettings(from fate.Incarnation) {
+	if !n.fetchingSettings.CompareAndSwap(false, true) {
 		return
 	}
-	defer n.learning.Store(false)
-	known, err := n.learn(from)
+	defer n.fetchingSettings.Store(false)
+	known, err := n.fetchKnown(from)
 	if err == nil && known.GetHasSettings() {
 		n.applySettings(known.GetSettings())
 	}
 }
 
-func (n *Node) learn(from fate.Incarnation) (*inner.Known, error) {
-	ctx, cancel := context.WithTimeout(n.stop, learnTimeout)
+// fetchKnown fetches the list of instances and the settings from another instance.
+func (n *Node) fetchKnown(from fate.Incarnation) (*inner.Known, error) {
+	ctx, cancel := context.WithTimeout(n.ctx, fetchTimeout)
 	defer cancel()
 	reply, err := n.mesh.Call(ctx, from, &inner.Frame{Body: &inner.Frame_Learn{Learn: &inner.Learn{}}})
 	if err != nil {
@@ -108,99 +116,102 @@
 	return reply.GetKnown(), nil
 }
 
-// learnTimeout bounds asking one peer for what it knows.
-const learnTimeout = time.Second
+// fetchTimeout is the timeout of fetchKnown.
+const fetchTimeout = time.Second
 
-// known returns what this instance knows of the fleet, for a peer.
-func (n *Node) known() *inner.Frame {
-	now := n.settings.Load()
+// knownFrame returns the frame with the list of instances and the settings of this
+// instance, which answers fetchKnown.
+func (n *Node) knownFrame() *inner.Frame {
+	current := n.settings.Load()
 	n.mu.Lock()
-	listed := n.listed
+	instances := n.instances
 	n.mu.Unlock()
-	list, err := json.Marshal(listed)
+	list, err := json.Marshal(instances)
 	if err != nil {
 		list = nil
 	}
-	return &inner.Frame{Body: &inner.Frame_Known{Known: &inner.Known{HasSettings: now.known, Settings: now.value, Instances: list}}}
+	return &inner.Frame{Body: &inner.Frame_Known{Known: &inner.Known{HasSettings: current.received, Settings: current.value, Instances: list}}}
 }
 
-// startFromPeers learns list and settings from the seeds, for as long as the
-// platform has told neither.
-func (n *Node) startFromPeers() {
-	for n.stop.Err() == nil && !n.started() {
+// bootstrapFromSeeds fetches the list of instances and the settings from the seeds until
+// both have been received, from the seeds or the platform.
+func (n *Node) bootstrapFromSeeds() {
+	for n.ctx.Err() == nil && !n.isBootstrapped() {
 		for _, address := range n.cfg.Seeds {
-			known, err := n.learn(inner.PeerAtAddress(address))
-			if err != nil || n.started() {
+			known, err := n.fetchKnown(inner.PeerAtAddress(address))
+			if err != nil || n.isBootstrapped() {
 				continue
 			}
-			n.takeKnown(known)
+			n.applyKnown(known)
 		}
-		n.pause(watchPause)
+		n.sleep(retryPause)
 	}
 }
 
-func (n *Node) started() bool {
+// isBootstrapped reports whether both a list of instances and settings have been received.
+func (n *Node) isBootstrapped() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.listed != nil && n.settings.Load().known
+	return n.instances != nil && n.settings.Load().received
 }
 
-func (n *Node) takeKnown(known *inner.Known) {
+func (n *Node) applyKnown(known *inner.Known) {
 	var list []api.PlatformInstance
 	if err := json.Unmarshal(known.GetInstances(), &list); err == nil && len(list) > 0 {
-		n.takeList(list)
+		n.applyInstances(list)
 	}
 	if known.GetHasSettings() {
 		n.applySettings(known.GetSettings())
 	}
 }
 
-// applySettings puts a revision in force, unless it is older than the one that
-// is, as it would be from a platform that came back with old data.
+// applySettings puts a revision of the settings in force and reports whether it did. It
+// ignores revisions that are not newer than the current one, such as those of a platform
+// that was restored from old data.
 func (n *Node) applySettings(value string) bool {
 	head, tree, err := settings.DecodeRevision(value)
 	if err != nil {
 		event.SettingsRefused.Log(n.log, slog.Uint64("revision", head.Number), slog.String("error", err.Error()))
 		return false
 	}
-	next := &applied{known: true, revision: head.Number, value: value, tree: tree}
+	next := &appliedSettings{received: true, revision: head.Number, value: value, tree: tree}
 	for {
-		now := n.settings.Load()
-		if now.known && head.Number <= now.revision {
+		current := n.settings.Load()
+		if current.received && head.Number <= current.revision {
 			return false
 		}
-		if n.settings.CompareAndSwap(now, next) {
+		if n.settings.CompareAndSwap(current, next) {
 			n.dispatch.SetTuning(n.tuning(tree))
 			event.SettingsApplied.Log(n.log, slog.Uint64("revision", head.Number))
-			n.beat() // peers that are behind fetch it
+			n.broadcastHeartbeat() // instances with an older revision then fetch it
 			return true
 		}
 	}
 }
 
-// tuning returns what the settings say of this instance; where they say
-// nothing, its own configuration stands.
+// tuning returns the tuning of the dispatcher. Values that are not set in the settings are
+// those of the local configuration.
 func (n *Node) tuning(tree *settings.Tree) dispatch.Tuning {
 	t := n.dispatch.ConfiguredTuning()
 	t.Shares = n.shares(tree)
-	path := n.path("", "")
-	given := func(key string, take func(int64)) {
+	path := n.settingsPath("", "")
+	override := func(key string, take func(int64)) {
 		if tree.Get(path, key).From.Level != settings.LevelDefault {
 			take(tree.Int(path, key))
 		}
 	}
-	given(settings.KeyKeepAnswersSeconds, func(v int64) { t.Retention.MaxAgeMs = v * 1000 })
-	given(settings.KeyKeepAnswersMB, func(v int64) { t.Retention.MaxBytes = v << 20 })
-	given(settings.KeyMaxQueued, func(v int64) { t.MaxQueued = int(v) })
-	given(settings.KeyReleaseDelay, func(v int64) { t.ReleaseDelay = time.Duration(v) * time.Millisecond })
+	override(settings.KeyKeepAnswersSeconds, func(v int64) { t.Retention.MaxAgeMs = v * 1000 })
+	override(settings.KeyKeepAnswersMB, func(v int64) { t.Retention.MaxBytes = v << 20 })
+	override(settings.KeyMaxQueued, func(v int64) { t.MaxQueued = int(v) })
+	override(settings.KeyReleaseDelay, func(v int64) { t.ReleaseDelay = time.Duration(v) * time.Millisecond })
 	return t
 }
 
-// shares returns what each service that the settings name may have of the fleet.
+// shares returns the share of the fleet's slots of each service that the settings name.
 func (n *Node) shares(tree *settings.Tree) map[string]placement.Share {
 	shares := map[string]placement.Share{}
 	for _, service := range tree.NodeNames(settings.LevelService) {
-		path := n.path(service, "")
+		path := n.settingsPath(service, "")
 		shares[service] = placement.Share{
 			Weight: float64(tree.Int(path, settings.KeyWeight)), MaxSlots: int(tree.Int(path, settings.KeyQuotaSlots)),
 		}
@@ -208,18 +219,19 @@
 	return shares
 }
 
-// Revision returns the revision of the settings that is in force here.
+// Revision returns the revision of the settings that is in force on this instance.
 func (n *Node) Revision() uint64 { return n.settings.Load().revision }
 
-// path says where a job of service and caller stands in the tree of settings.
-func (n *Node) path(service, caller string) settings.Path {
+// settingsPath returns the path in the tree of settings for jobs of a service and a caller
+// on this instance.
+func (n *Node) settingsPath(service, caller string) settings.Path {
 	return settings.Path{Region: n.cfg.Region, Zone: n.cfg.Zone, Service: service, Caller: caller}
 }
 
-// needSettings returns a NoSettings error before this instance knows any.
-func (n *Node) needSettings() error {
-	if n.settings.Load().known {
+// requireSettings returns a NoSettings error until this instance has received its settings.
+func (n *Node) requireSettings() error {
+	if n.settings.Load().received {
 		return nil
 	}
-	return failure.NoSettings.New("instance %s has reached neither the platform nor a peer, and knows no settings", n.cfg.Instance)
+	return failure.NoSettings.New("instance %s has not received its settings yet, neither from the platform nor from another instance", n.cfg.Instance)
 }
