--- a/api/caller.go
+++ b/api/caller.go
@@ -1,6 +1,6 @@
-// Package api holds the messages of sedgehatch's HTTP interfaces: that of
-// callers and operators, that of upstreams, and that of the platform.
-// openapi.yaml beside this file describes the first; docs/API.md all three.
+// Package api defines the messages of sedgehatch's HTTP interfaces: the interface for
+// callers and operators, that of the upstreams, and that of the platform. The first is
+// described by openapi.yaml in this directory, all three by docs/API.md.
 package api
 
 import (
@@ -18,36 +18,39 @@
 	PathMetrics   = "/debug/vars"
 )
 
-// HeaderTrace carries a W3C trace context on every hop over HTTP.
+// HeaderTrace is the header with the W3C trace context. It is sent with requests of callers
+// and with starts of tasks on upstreams.
 const HeaderTrace = "Traceparent"
 
-// OpenSession asks for a session.
+// OpenSession is a request for a session.
 type OpenSession struct {
-	// Caller names who submits; quotas and settings go by it.
+	// Caller is the name of the caller, to which quotas and settings apply.
 	Caller string `json:"caller"`
 }
 
 // SessionOpened is the answer to OpenSession.
 type SessionOpened struct {
 	Session fate.Session `json:"session"`
-	// ExpiresInMs is how long the session takes new jobs, in milliseconds.
+	// ExpiresInMs is how long the session accepts new jobs, in milliseconds.
 	ExpiresInMs int64  `json:"expires_in_ms"`
 	Entry       string `json:"entry"`
 }
 
-// Submission is one job under its key.
+// Submission is a request to run a job. The session, sequence and generation are the key of
+// the job.
 type Submission struct {
 	Session    fate.Session `json:"session"`
 	Sequence   uint64       `json:"sequence"`
 	Generation uint32       `json:"generation,omitempty"`
-	// Attempt counts the sends of this key from 1.
+	// Attempt numbers the requests with this key, from 1.
 	Attempt    uint32 `json:"attempt"`
 	Service    string `json:"service"`
 	Repeatable bool   `json:"repeatable,omitempty"`
-	// DeadlineMs bounds the job from its acceptance on; zero is the service's.
+	// DeadlineMs is the time from the job's acceptance until it must be complete; 0
+	// means the default of the service.
 	DeadlineMs uint32 `json:"deadline_ms,omitempty"`
-	// WaitMs is how long this call waits for the answer before it returns
-	// "pending"; absent is until the deadline.
+	// WaitMs is how long this request waits for the job's fate before the answer is
+	// "pending". If absent, it waits until the deadline.
 	WaitMs *uint32 `json:"wait_ms,omitempty"`
 	Tasks  []Task  `json:"tasks"`
 }
@@ -61,17 +64,19 @@
 	Payload      json.RawMessage `json:"payload,omitempty"`
 }
 
-// Answer is what is known of a submission.
+// Answer is what is known of a submission. Its fate is the final outcome, or "pending".
 type Answer struct {
 	Session    fate.Session `json:"session"`
 	Sequence   uint64       `json:"sequence"`
 	Generation uint32       `json:"generation,omitempty"`
 	Fate       fate.Kind    `json:"fate"`
 	Reason     fate.Reason  `json:"reason,omitempty"`
-	// Done and Total count tasks while the fate is pending.
+	// Done and Total are the numbers of completed tasks and of all tasks while the fate
+	// is pending.
 	Done  int `json:"done,omitempty"`
 	Total int `json:"total,omitempty"`
-	// RetryAfterMs says when new work has a chance, after a refusal.
+	// RetryAfterMs is set after a refusal: the estimated time until a new job can be
+	// accepted.
 	RetryAfterMs uint32       `json:"retry_after_ms,omitempty"`
 	Tasks        []TaskAnswer `json:"tasks,omitempty"`
 }
@@ -83,7 +88,7 @@
 	Error  string          `json:"error,omitempty"`
 }
 
-// FromFate returns a as it is told to callers.
+// FromFate converts a to the answer that is sent to the caller.
 func FromFate(a *fate.Answer) Answer {
 	out := Answer{
 		Session: a.Key.Session, Sequence: a.Key.Sequence, Generation: a.Key.Generation,
@@ -98,7 +103,7 @@
 	return out
 }
 
-// InstanceStatus is one entry as another one sees it.
+// InstanceStatus is the state of an instance as seen by another one.
 type InstanceStatus struct {
 	Instance    string `json:"instance"`
 	Incarnation string `json:"incarnation,omitempty"`
@@ -111,7 +116,7 @@
 	QueuedTasks uint64 `json:"queued_tasks"`
 }
 
-// Status is what an entry says of itself.
+// Status is the state of an instance as reported by itself.
 type Status struct {
 	Instance    string           `json:"instance"`
 	Incarnation string           `json:"incarnation"`
--- a/api/decode.go
+++ b/api/decode.go
@@ -11,14 +11,14 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// Decode reads one JSON value of a caller into a message. It takes no unknown
-// or repeated names, no deep nesting and nothing behind the value; the error
-// is InvalidInput, or TooLarge, and names the field.
+// Decode decodes the JSON value in the body of a caller's request into the message that
+// into points to. It rejects unknown and repeated names, nesting deeper than MaxDepth, and
+// data after the value. The error is of type InvalidInput or TooLarge and names the field.
 func Decode(body []byte, into any) error {
 	if len(body) > MaxBody {
 		return failure.Field(failure.TooLarge, "body", "has %d bytes; %d are allowed", len(body), MaxBody)
 	}
-	if err := checkShape(body); err != nil {
+	if err := checkStructure(body); err != nil {
 		return err
 	}
 	d := json.NewDecoder(bytes.NewReader(body))
@@ -29,125 +29,128 @@
 	return nil
 }
 
-// decodeError names the field that err is about.
+// decodeError converts an error of encoding/json to an InvalidInput error that names the
+// field.
 func decodeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return failure.Field(failure.InvalidInput, wrongType.Field, "cannot be a JSON %s", wrongType.Value)
+		return failure.Field(failure.InvalidInput, wrongType.Field, "has the wrong type: JSON %s", wrongType.Value)
 	}
 	if _, name, found := strings.Cut(err.Error(), "unknown field "); found {
 		return failure.Field(failure.InvalidInput, strings.Trim(name, `"`), "is not a field of this request")
 	}
-	return failure.Field(failure.InvalidInput, "body", "is not the JSON that is expected: %v", err)
+	return failure.Field(failure.InvalidInput, "body", "is not valid JSON for this request: %v", err)
 }
 
-// shape walks the tokens of a JSON value.
-type shape struct {
-	d    *json.Decoder
-	path []step
+// structureChecker checks the tokens of a JSON value.
+type structureChecker struct {
+	d      *json.Decoder
+	levels []level
 }
 
-// step is one object or array around the current token.
-type step struct {
-	names map[string]bool // of an object, so far; nil in an array
-	name  string          // the last name, in an object
-	index int             // in an array
-	key   bool            // a name comes next, in an object
+// level is one of the objects and arrays that enclose the current token.
+type level struct {
+	seenNames   map[string]bool // names in an object so far; nil for an array
+	lastName    string          // last name in an object
+	index       int             // current index in an array
+	expectsName bool            // whether the next token of an object is a name
 }
 
-// checkShape returns an error for JSON that is cut off, too deep, that repeats
-// a name, or that has something behind it.
-func checkShape(body []byte) error {
-	s := &shape{d: json.NewDecoder(bytes.NewReader(body))}
-	for first := true; first || len(s.path) > 0; first = false {
+// checkStructure returns an error if the JSON is truncated or invalid, is nested too
+// deeply, repeats a name in an object, or is followed by other data.
+func checkStructure(body []byte) error {
+	s := &structureChecker{d: json.NewDecoder(bytes.NewReader(body))}
+	for first := true; first || len(s.levels) > 0; first = false {
 		token, err := s.d.Token()
 		if err != nil {
-			return failure.Field(failure.InvalidInput, s.where("body"), "the JSON is cut off or wrong at byte %d", s.d.InputOffset())
+			return failure.Field(failure.InvalidInput, s.fieldPath("body"), "the JSON is truncated or invalid at byte %d", s.d.InputOffset())
 		}
-		if err := s.take(token); err != nil {
+		if err := s.checkToken(token); err != nil {
 			return err
 		}
 	}
 	if _, err := s.d.Token(); !errors.Is(err, io.EOF) {
-		return failure.Field(failure.InvalidInput, "body", "something follows the JSON value")
+		return failure.Field(failure.InvalidInput, "body", "there is more data after the JSON value")
 	}
 	return nil
 }
 
-func (s *shape) take(token json.Token) error {
+func (s *structureChecker) checkToken(token json.Token) error {
 	delim, isDelim := token.(json.Delim)
 	if isDelim && (delim == '}' || delim == ']') {
-		s.path = s.path[:len(s.path)-1]
-		s.next()
+		s.levels = s.levels[:len(s.levels)-1]
+		s.endValue()
 		return nil
 	}
-	if top := s.top(); top != nil && top.key {
-		return s.takeName(top, token.(string))
+	if top := s.innermost(); top != nil && top.expectsName {
+		return s.checkName(top, token.(string))
 	}
 	if !isDelim {
-		s.next()
+		s.endValue()
 		return nil
 	}
-	if len(s.path) >= MaxDepth {
-		return failure.Field(failure.InvalidInput, s.where("body"), "is nested deeper than %d", MaxDepth)
+	if len(s.levels) >= MaxDepth {
+		return failure.Field(failure.InvalidInput, s.fieldPath("body"), "is nested more than %d levels deep", MaxDepth)
 	}
 	if delim == '{' {
-		s.path = append(s.path, step{names: map[string]bool{}, key: true})
+		s.levels = append(s.levels, level{seenNames: map[string]bool{}, expectsName: true})
 	} else {
-		s.path = append(s.path, step{})
+		s.levels = append(s.levels, level{})
 	}
 	return nil
 }
 
-func (s *shape) takeName(top *step, name string) error {
-	if top.names[name] {
-		top.name = name
-		return failure.Field(failure.InvalidInput, s.where("body"), "stands there twice")
-	}
-	top.names[name] = true
-	top.name = name
-	top.key = false
+func (s *structureChecker) checkName(top *level, name string) error {
+	if top.seenNames[name] {
+		top.lastName = name
+		return failure.Field(failure.InvalidInput, s.fieldPath("body"), "occurs more than once")
+	}
+	top.seenNames[name] = true
+	top.lastName = name
+	top.expectsName = false
 	return nil
 }
 
-// next moves on behind a value.
-func (s *shape) next() {
-	top := s.top()
+// endValue records that a value has ended in the innermost object or array.
+func (s *structureChecker) endValue() {
+	top := s.innermost()
 	switch {
 	case top == nil:
-	case top.names != nil:
-		top.key = true
+	case top.seenNames != nil:
+		top.expectsName = true
 	default:
 		top.index++
 	}
 }
 
-func (s *shape) top() *step {
-	if len(s.path) == 0 {
+func (s *structureChecker) innermost() *level {
+	if len(s.levels) == 0 {
 		return nil
 	}
-	return &s.path[len(s.path)-1]
+	return &s.levels[len(s.levels)-1]
 }
 
-// namedDepth is how deep errors name a place: payloads are the caller's own.
-const namedDepth = 3
+// maxPathDepth is the maximum number of levels in the paths that errors name. Deeper levels
+// belong to payloads, whose structure is up to the caller.
+const maxPathDepth = 3
 
-// where names the place of the current token, such as "tasks[3].cpu".
-func (s *shape) where(whole string) string {
+// fieldPath returns the path of the current token, such as "tasks[3].cpu", or fallback if
+// the token is not in a named field.
+func (s *structureChecker) fieldPath(fallback string) string {
 	var b strings.Builder
-	for _, at := range s.path[:min(len(s.path), namedDepth)] {
+	for _, l := range s.levels[:min(len(s.levels), maxPathDepth)] {
 		switch {
-		case at.names == nil:
-			b.WriteString("[" + strconv.Itoa(at.index) + "]")
-		case at.name != "":
+		case l.seenNames == nil:
+			b.WriteString("[" + strconv.Itoa(l.index) + "]")
+		case l.lastName != "":
 			if b.Len() > 0 {
 				b.WriteByte('.')
 			}
-			b.WriteString(at.name)
+			b.WriteString(l.lastName)
 		}
 	}
 	if b.Len() == 0 {
-		return whole
+		return fallback
 	}
 	return b.String()
 }
--- a/api/limits_test.go
+++ b/api/limits_test.go
@@ -7,13 +7,13 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-const session = "a.1~b.2~3~desk.4"
+const sessionToken = "a.1~b.2~3~desk.4"
 
-func body(fields string) string {
-	return `{"session":"` + session + `","sequence":1,"attempt":1,"service":"desk",` + fields + `}`
+func requestBody(fields string) string {
+	return `{"session":"` + sessionToken + `","sequence":1,"attempt":1,"service":"desk",` + fields + `}`
 }
 
-// TestBadInput shows that each wrong request is refused by the name of its
+// TestBadInput verifies that each invalid request is rejected with an error that names the
 // field.
 func TestBadInput(t *testing.T) {
 	deep := strings.Repeat("[", 100) + strings.Repeat("]", 100)
@@ -21,23 +21,23 @@
 		"cut off":           {`{"session":"x`, "session"},
 		"empty":             {``, "body"},
 		"not an object":     {`[1]`, ""},
-		"something behind":  {body(`"tasks":[{}]`) + "{}", "body"},
-		"unknown field":     {body(`"tasks":[{}],"colour":1`), "colour"},
-		"repeated name":     {body(`"tasks":[{}],"sequence":2`), "sequence"},
-		"repeated in task":  {body(`"tasks":[{},{"cpu":1,"cpu":2}]`), "tasks[1].cpu"},
-		"wrong type":        {body(`"tasks":[{"cpu":"many"}]`), "tasks.cpu"},
-		"too deep":          {body(`"tasks":[{"payload":` + deep + `}]`), "tasks[0].payload"},
-		"no tasks":          {body(`"tasks":[]`), "tasks"},
-		"too many tasks":    {body(`"tasks":[` + strings.Repeat("{},", MaxTasks) + `{}]`), "tasks"},
-		"large payload":     {body(`"tasks":[{"payload":"` + strings.Repeat("x", MaxPayload) + `"}]`), "tasks[0].payload"},
-		"negative cpu":      {body(`"tasks":[{"cpu":-1}]`), "tasks[0].cpu"},
-		"long run":          {body(`"tasks":[{},{"run_ms":4000000}]`), "tasks[1].run_ms"},
+		"something behind":  {requestBody(`"tasks":[{}]`) + "{}", "body"},
+		"unknown field":     {requestBody(`"tasks":[{}],"colour":1`), "colour"},
+		"repeated name":     {requestBody(`"tasks":[{}],"sequence":2`), "sequence"},
+		"repeated in task":  {requestBody(`"tasks":[{},{"cpu":1,"cpu":2}]`), "tasks[1].cpu"},
+		"wrong type":        {requestBody(`"tasks":[{"cpu":"many"}]`), "tasks.cpu"},
+		"too deep":          {requestBody(`"tasks":[{"payload":` + deep + `}]`), "tasks[0].payload"},
+		"no tasks":          {requestBody(`"tasks":[]`), "tasks"},
+		"too many tasks":    {requestBody(`"tasks":[` + strings.Repeat("{},", MaxTasks) + `{}]`), "tasks"},
+		"large payload":     {requestBody(`"tasks":[{"payload":"` + strings.Repeat("x", MaxPayload) + `"}]`), "tasks[0].payload"},
+		"negative cpu":      {requestBody(`"tasks":[{"cpu":-1}]`), "tasks[0].cpu"},
+		"long run":          {requestBody(`"tasks":[{},{"run_ms":4000000}]`), "tasks[1].run_ms"},
 		"bad session":       {`{"session":"x","sequence":1,"attempt":1,"service":"d","tasks":[{}]}`, "session"},
-		"no sequence":       {`{"session":"` + session + `","attempt":1,"service":"d","tasks":[{}]}`, "sequence"},
-		"no attempt":        {`{"session":"` + session + `","sequence":1,"service":"d","tasks":[{}]}`, "attempt"},
-		"bad service":       {`{"session":"` + session + `","sequence":1,"attempt":1,"service":"a b","tasks":[{}]}`, "service"},
-		"long deadline":     {body(`"deadline_ms":99999999,"tasks":[{}]`), "deadline_ms"},
-		"generation unsafe": {body(`"generation":1,"tasks":[{}]`), "generation"},
+		"no sequence":       {`{"session":"` + sessionToken + `","attempt":1,"service":"d","tasks":[{}]}`, "sequence"},
+		"no attempt":        {`{"session":"` + sessionToken + `","sequence":1,"service":"d","tasks":[{}]}`, "attempt"},
+		"bad service":       {`{"session":"` + sessionToken + `","sequence":1,"attempt":1,"service":"a b","tasks":[{}]}`, "service"},
+		"long deadline":     {requestBody(`"deadline_ms":99999999,"tasks":[{}]`), "deadline_ms"},
+		"generation unsafe": {requestBody(`"generation":1,"tasks":[{}]`), "generation"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var s Submission
@@ -49,7 +49,7 @@
 				t.Fatalf("error %v", err)
 			}
 			if got := failure.FieldOf(err); got != c.field {
-				t.Errorf("names field %q, want %q", got, c.field)
+				t.Errorf("error names field %q, want %q", got, c.field)
 			}
 		})
 	}
@@ -57,7 +57,7 @@
 
 func TestGoodInput(t *testing.T) {
 	var s Submission
-	if err := Decode([]byte(body(`"tasks":[{"cpu":1,"payload":{"a":[1,{"a":2}]}},{"payload":"x"}]`)), &s); err != nil {
+	if err := Decode([]byte(requestBody(`"tasks":[{"cpu":1,"payload":{"a":[1,{"a":2}]}},{"payload":"x"}]`)), &s); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Check(); err != nil {
@@ -68,17 +68,17 @@
 	}
 	again := s
 	if s.Job(0, 1).Digest != again.Job(5, 9).Digest {
-		t.Error("a resubmission looks like other work")
+		t.Error("a resubmission has another digest")
 	}
 	again.Tasks = append([]Task(nil), s.Tasks...)
 	again.Tasks[1].RunMs++
 	if s.Job(0, 1).Digest == again.Job(0, 1).Digest {
-		t.Error("other work looks like a resubmission")
+		t.Error("other work has the same digest")
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(body(`"tasks":[{"cpu":1}]`)))
+	f.Add([]byte(requestBody(`"tasks":[{"cpu":1}]`)))
 	f.Add([]byte(`{"a":[{"a":1}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var s Submission
--- a/api/platform.go
+++ b/api/platform.go
@@ -7,23 +7,23 @@
 	PathPlatformInstance = "/v1/instances" // GET the list of instances
 )
 
-// KVEntry is one value of the key-value service.
+// KVEntry is a key of the key-value store with its value.
 type KVEntry struct {
 	Key     string `json:"key"`
 	Value   string `json:"value"`
-	Version uint64 `json:"version"` // of this key; zero where it is absent
+	Version uint64 `json:"version"` // of this key; 0 if the key does not exist
 }
 
-// KVWrite is a compare-and-swap: it takes effect only while the key's version
-// is Expect; zero expects that the key is absent.
+// KVWrite is a compare-and-swap write. It takes effect only if the version of the key is
+// Expect; 0 means that the key must not exist.
 type KVWrite struct {
 	Key    string `json:"key"`
 	Value  string `json:"value"`
 	Expect uint64 `json:"expect"`
-	Lease  string `json:"lease,omitempty"` // the key goes when this lease ends
+	Lease  string `json:"lease,omitempty"` // the key is deleted when this lease ends
 }
 
-// KVLease is a lease of the key-value service.
+// KVLease is a lease of the key-value store.
 type KVLease struct {
 	ID    string `json:"id"`
 	TTLMs int64  `json:"ttl_ms"`
@@ -31,16 +31,17 @@
 
 // The roles of instances in the platform's list.
 const (
-	RoleEntry    = "entry"
-	RoleUpstream = "upstream"
+	RoleEntry    = "entry"    // runs jobs for callers
+	RoleUpstream = "upstream" // runs tasks
 )
 
 // PlatformInstance is one instance of the platform's list.
 type PlatformInstance struct {
 	ID      string `json:"id"`
 	Role    string `json:"role"`
-	Address string `json:"address"` // of an entry's inner listener, or of an upstream
-	// CallerAddress is where an entry takes callers.
+	Address string `json:"address"` // where it accepts starts (upstream) or messages of other instances (entry)
+	// CallerAddress is the address on which an instance with RoleEntry accepts requests
+	// of callers.
 	CallerAddress string `json:"caller_address,omitempty"`
 	Region        string `json:"region,omitempty"`
 	Zone          string `json:"zone"`
@@ -54,7 +55,7 @@
 	Connections  int     `json:"connections,omitempty"`
 }
 
-// PlatformInstances is the list of live and leaving instances.
+// PlatformInstances is the platform's list of instances, including those that are leaving.
 type PlatformInstances struct {
 	Instances []PlatformInstance `json:"instances"`
 }
--- a/api/problem.go
+++ b/api/problem.go
@@ -10,26 +10,26 @@
 // ContentProblem is the media type of a Problem (RFC 9457).
 const ContentProblem = "application/problem+json"
 
-// problemBase is the prefix of the type URIs of problems.
-const problemBase = "urn:sedgehatch:problem:"
+// problemTypePrefix is the prefix of the type URIs of problems.
+const problemTypePrefix = "urn:sedgehatch:problem:"
 
-// Problem is a typed error as callers get it, after RFC 9457.
+// Problem is the body of an error answer to a caller, a problem document of RFC 9457.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail"`
-	// Code is the short name of the type.
+	// Code is the name of the error type, as returned by failure.Code.
 	Code string `json:"code"`
-	// Field names what is wrong in the request, where something is.
+	// Field is the name of the invalid field of the request, if there is one.
 	Field string `json:"field,omitempty"`
-	// Fate is "not_run" where nothing started, or ever will, under the key.
+	// Fate is "not_run" if no task of the job has started or ever will.
 	Fate         fate.Kind `json:"fate,omitempty"`
 	RetryAfterMs uint32    `json:"retry_after_ms,omitempty"`
 }
 
-// statusOf gives the HTTP status for each error code.
-var statusOf = map[string]int{
+// statusByCode maps error codes to HTTP status codes.
+var statusByCode = map[string]int{
 	failure.Code(failure.InvalidInput.NewWithNoMessage()): http.StatusBadRequest,
 	failure.Code(failure.TooLarge.NewWithNoMessage()):     http.StatusRequestEntityTooLarge,
 	failure.Code(failure.NotFound.NewWithNoMessage()):     http.StatusNotFound,
@@ -43,31 +43,32 @@
 	failure.Code(failure.Timeout.NewWithNoMessage()):      http.StatusGatewayTimeout,
 }
 
-// notRun lists the codes that prove that nothing started, or will, under the
-// key. A wrong request proves nothing: an earlier attempt may have been right.
-var notRun = map[string]bool{
+// notRunCodes are the error codes which prove that no task has started or will start under
+// the key. An invalid request proves nothing, because an earlier attempt under its key may
+// have been valid.
+var notRunCodes = map[string]bool{
 	failure.Code(failure.SessionEnded.NewWithNoMessage()): true,
 	failure.Code(failure.Stopping.NewWithNoMessage()):     true,
 }
 
-// NewProblem returns err as callers get it.
+// NewProblem returns the problem document for err.
 func NewProblem(err error) *Problem {
 	code := failure.Code(err)
-	status, known := statusOf[code]
+	status, known := statusByCode[code]
 	if !known {
 		status = http.StatusInternalServerError
 	}
 	p := &Problem{
-		Type: problemBase + code, Title: http.StatusText(status), Status: status,
+		Type: problemTypePrefix + code, Title: http.StatusText(status), Status: status,
 		Detail: failure.Text(err), Code: code, Field: failure.FieldOf(err),
 	}
-	if notRun[code] {
+	if notRunCodes[code] {
 		p.Fate = fate.NotRun
 	}
 	return p
 }
 
-// Err returns the error that p stands for, with its type.
+// Err returns the error described by p, with its type.
 func (p *Problem) Err() error {
 	t, known := failure.ByCode(p.Code)
 	if !known {
--- a/api/upstream.go
+++ b/api/upstream.go
@@ -5,17 +5,17 @@
 // The paths of the upstreams' interface.
 const (
 	PathTasks      = "/v1/tasks"            // POST: start a task and wait for its end
-	PathLease      = "/v1/lease"            // GET ?id=&wait_ms=: look a lease up
+	PathLease      = "/v1/lease"            // GET ?id=&wait_ms=: look up a lease
 	PathRenew      = "/v1/lease/renew"      // POST ?id=&lease_ms=
-	PathStop       = "/v1/lease/stop"       // POST ?id=&id=: stop, and bar what was never seen
+	PathStop       = "/v1/lease/stop"       // POST ?id=&id=: stop tasks; bar leases that were never seen
 	PathCheckpoint = "/v1/lease/checkpoint" // POST ?id=
 	PathThrottle   = "/v1/lease/throttle"   // POST ?id=&share=
 	PathUsage      = "/v1/usage"            // GET
 	PathInfo       = "/v1/info"             // GET
 )
 
-// The headers of a start and of its answer. The bodies are the task's payload
-// and its result as they are.
+// The headers of a start and of its answer. The body of a start is the payload of the task,
+// and that of the answer is its result, both unchanged.
 const (
 	HeaderLease        = "Sedgehatch-Lease"
 	HeaderLeaseMs      = "Sedgehatch-Lease-Ms"
@@ -28,7 +28,7 @@
 	HeaderRefusal      = "Sedgehatch-Refusal"
 )
 
-// LeaseState is what an upstream knows of a lease.
+// LeaseState is the state of a lease at an upstream.
 type LeaseState string
 
 // The states of a lease at an upstream.
@@ -36,14 +36,14 @@
 	LeaseRunning   LeaseState = "running"
 	LeaseFinished  LeaseState = "finished"
 	LeaseFailed    LeaseState = "failed"
-	LeaseStopped   LeaseState = "stopped"    // it ran and was stopped before its end
-	LeaseNeverSeen LeaseState = "never_seen" // it may still arrive
-	LeaseBarred    LeaseState = "barred"     // it was never seen and will be refused
-	LeaseRefused   LeaseState = "refused"    // the answer to a start that did not start
+	LeaseStopped   LeaseState = "stopped"    // the task was stopped while running
+	LeaseNeverSeen LeaseState = "never_seen" // a start under it may still arrive
+	LeaseBarred    LeaseState = "barred"     // a start under it never arrived and will be refused
+	LeaseRefused   LeaseState = "refused"    // only in the answer to a start: the task was not started
 )
 
-// Refusal is why an upstream did not start a task. All but RefusedDuplicate
-// prove that no start has happened or will happen under the lease.
+// Refusal is the reason why an upstream did not start a task. All except RefusedDuplicate
+// prove that no task has started or will start under the lease.
 type Refusal string
 
 // The refusals of a start.
@@ -53,11 +53,11 @@
 	RefusedLeaving     Refusal = "leaving"
 	RefusedIncarnation Refusal = "wrong_incarnation"
 	RefusedUnfit       Refusal = "unfit"
-	RefusedDuplicate   Refusal = "duplicate" // this lease was seen before: look it up
+	RefusedDuplicate   Refusal = "duplicate" // the lease was seen before; look it up
 	RefusedBadRequest  Refusal = "bad_request"
 )
 
-// LeaseInfo is the answer to a lookup, a stop, a renewal and the like.
+// LeaseInfo is the answer to a lookup, a stop, a renewal, a checkpoint or a throttle.
 type LeaseInfo struct {
 	Lease  string          `json:"lease"`
 	State  LeaseState      `json:"state"`
@@ -65,7 +65,7 @@
 	Error  string          `json:"error,omitempty"`
 }
 
-// UpstreamInfo is what an upstream says of itself.
+// UpstreamInfo is an upstream's description of itself.
 type UpstreamInfo struct {
 	ID           string  `json:"id"`
 	Incarnation  string  `json:"incarnation"`
@@ -79,14 +79,15 @@
 	Leaving      bool    `json:"leaving"`
 }
 
-// Usage is an upstream's report of what its tasks used, some time ago.
+// Usage is an upstream's report of the resources that its tasks have used. The figures may
+// be out of date by AgeMs.
 type Usage struct {
-	AgeMs    int64          `json:"age_ms"` // how old the figures are
+	AgeMs    int64          `json:"age_ms"` // age of the figures in milliseconds
 	Running  int            `json:"running"`
 	Services []ServiceUsage `json:"services"`
 }
 
-// ServiceUsage is what the tasks of one service used, since the start.
+// ServiceUsage is the use by the tasks of one service since the upstream started.
 type ServiceUsage struct {
 	Service  string  `json:"service"`
 	Finished int64   `json:"finished"`
--- a/client/client.go
+++ b/client/client.go
@@ -1,7 +1,7 @@
-// Package client is the callers' library. It opens sessions, submits jobs
-// under keys, resubmits when an answer is lost, and tells the fate of each job
-// as the system proves it: what may have run is never run again behind the
-// caller's back.
+// Package client is the Go client library for callers. It opens sessions, submits each job
+// under a key, resubmits it under the same key if an answer is lost, and returns the job's
+// fate: its final outcome. A job that may have run is never run again without the caller's
+// knowledge.
 package client
 
 import (
@@ -24,17 +24,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Config is what a Client needs to know. Zero values get the defaults.
+// Config configures a Client. Zero values mean the defaults.
 type Config struct {
-	// Entries are hosts and ports of entries, or of the balancer before them.
+	// Entries are the addresses, with ports, of instances or of a load balancer in
+	// front of them.
 	Entries []string
-	// Caller names who submits.
+	// Caller is the name of the caller who submits the jobs.
 	Caller string
-	// CallTimeout bounds one call beyond the deadline of its job.
+	// CallTimeout is the maximum duration of a call, in addition to the deadline of its
+	// job.
 	CallTimeout time.Duration
-	// MaxConns bounds the connections to each entry.
+	// MaxConns is the maximum number of connections to each address.
 	MaxConns int
-	// Dial opens a connection; nil is TCP. Tests cut and delay here.
+	// Dial opens a connection; nil means TCP. Tests replace it to cut and delay
+	// connections.
 	Dial   func(address string) (net.Conn, error)
 	Tracer *tracing.Tracer
 }
@@ -46,28 +49,29 @@
 	defaultDeadline    = 30 * time.Second
 )
 
-// Job is the work of one submission.
+// Job describes the work of a Submission.
 type Job struct {
 	Service    string
 	Repeatable bool
-	// Deadline bounds the job from its acceptance on; zero is the service's.
+	// Deadline is the time from the job's acceptance until it must be complete; 0 means
+	// the default of the service.
 	Deadline time.Duration
 	Tasks    []api.Task
 }
 
 // Client submits jobs for one caller. It is safe for concurrent use.
 type Client struct {
-	cfg     Config
-	http    *fasthttp.Client
-	turn    atomic.Uint64
-	resends atomic.Int64
+	cfg         Config
+	http        *fasthttp.Client
+	rotation    atomic.Uint64
+	resendCount atomic.Int64
 
 	mu      sync.Mutex
 	session *session
 }
 
-// session is an open session and the entry that opened it, which is the home
-// of its jobs.
+// session is an open session. The instance that opened it is the home of its jobs: it
+// accepts them and starts their tasks.
 type session struct {
 	token    fate.Session
 	home     string
@@ -75,10 +79,10 @@
 	sequence atomic.Uint64
 }
 
-// New returns a client. The error is InvalidInput.
+// New returns a client. If the configuration is invalid, the error is of type InvalidInput.
 func New(cfg Config) (*Client, error) {
 	if len(cfg.Entries) == 0 {
-		return nil, failure.Field(failure.InvalidInput, "entries", "names no entry")
+		return nil, failure.Field(failure.InvalidInput, "entries", "must have at least one address")
 	}
 	if err := api.CheckName("caller", cfg.Caller); err != nil {
 		return nil, err
@@ -105,16 +109,17 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Resends returns how many calls were made again.
-func (c *Client) Resends() int64 { return c.resends.Load() }
+// Resends returns the number of calls that resubmitted a job.
+func (c *Client) Resends() int64 { return c.resendCount.Load() }
 
-// entry returns the next entry in turn.
-func (c *Client) entry() string {
-	return c.cfg.Entries[c.turn.Add(1)%uint64(len(c.cfg.Entries))]
+// nextEntry returns the next of the configured addresses, in rotation.
+func (c *Client) nextEntry() string {
+	return c.cfg.Entries[c.rotation.Add(1)%uint64(len(c.cfg.Entries))]
 }
 
-// open returns a session that takes new jobs.
-func (c *Client) open(ctx context.Context) (*session, error) {
+// openSession returns the current session, or opens one if there is none that accepts new
+// jobs.
+func (c *Client) openSession(ctx context.Context) (*session, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s := c.session; s != nil && time.Now().Before(s.expires) {
@@ -122,12 +127,12 @@
 	}
 	var err error
 	for range 2 * len(c.cfg.Entries) {
-		home := c.entry()
+		home := c.nextEntry()
 		var opened api.SessionOpened
 		if err = c.call(ctx, home, http.MethodPost, api.PathSessions, api.OpenSession{Caller: c.cfg.Caller}, "", c.cfg.CallTimeout, &opened); err == nil {
-			const margin = 0.8 // of the session's life
-			life := time.Duration(margin*float64(opened.ExpiresInMs)) * time.Millisecond
-			c.session = &session{token: opened.Session, home: home, expires: time.Now().Add(life)}
+			const margin = 0.8 // share of the session's lifetime during which it is used for new jobs
+			duration := time.Duration(margin*float64(opened.ExpiresInMs)) * time.Millisecond
+			c.session = &session{token: opened.Session, home: home, expires: time.Now().Add(duration)}
 			return c.session, nil
 		}
 		if failure.Is(err, failure.InvalidInput) || ctx.Err() != nil {
@@ -137,11 +142,12 @@
 	return nil, err
 }
 
-// Leave makes the next job open another session than s has.
-func (c *Client) Leave(s *Submission) { c.leave(s.s) }
+// Leave makes the client open a new session for the next job if the current session is that
+// of s.
+func (c *Client) Leave(s *Submission) { c.dropSession(s.session) }
 
-// leave makes the next job open another session.
-func (c *Client) leave(s *session) {
+// dropSession makes the client open a new session for the next job if s is the current one.
+func (c *Client) dropSession(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.session == s {
@@ -149,19 +155,19 @@
 	}
 }
 
-// Submission is a job under its key. Submit may be called again after an
-// error, and then joins what runs or learns what it became.
+// Submission is a job with its key. After an error, Submit can be called again; it then
+// waits for the job if it is still running, or returns its fate.
 type Submission struct {
-	c        *Client
-	s        *session
-	request  api.Submission // but for the attempt
+	client   *Client
+	session  *session
+	request  api.Submission // without the attempt number
 	attempts atomic.Uint32
 	deadline time.Duration
 }
 
-// Prepare gives a job its key.
+// Prepare assigns a key to a job. It opens a session if there is none.
 func (c *Client) Prepare(ctx context.Context, job Job) (*Submission, error) {
-	s, err := c.open(ctx)
+	s, err := c.openSession(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +175,7 @@
 	if deadline == 0 {
 		deadline = defaultDeadline
 	}
-	return &Submission{c: c, s: s, deadline: deadline, request: api.Submission{
+	return &Submission{client: c, session: s, deadline: deadline, request: api.Submission{
 		Session: s.token, Sequence: s.sequence.Add(1), Service: job.Service, Repeatable: job.Repeatable,
 		DeadlineMs: uint32(job.Deadline.Milliseconds()), Tasks: job.Tasks,
 	}}, nil
@@ -178,44 +184,44 @@
 // Key returns the key of the submission.
 func (s *Submission) Key() fate.Key { return s.request.Key() }
 
-// SendTo makes one call to one entry, as the next attempt under the key.
+// SendTo makes one call to one instance, which counts as the next attempt under the key.
 func (s *Submission) SendTo(ctx context.Context, entry string) (api.Answer, error) {
 	request := s.request
 	request.Attempt = s.attempts.Add(1)
 	if request.Attempt > 1 {
-		s.c.resends.Add(1)
+		s.client.resendCount.Add(1)
 	}
-	span := s.c.cfg.Tracer.Start("", "caller")
+	span := s.client.cfg.Tracer.Start("", "caller")
 	defer span.End()
 	var answer api.Answer
-	err := s.c.call(ctx, entry, http.MethodPost, api.PathJobs, &request, span.Traceparent(), s.deadline+s.c.cfg.CallTimeout, &answer)
+	err := s.client.call(ctx, entry, http.MethodPost, api.PathJobs, &request, span.Traceparent(), s.deadline+s.client.cfg.CallTimeout, &answer)
 	return answer, err
 }
 
-// Submit sends the job to its home, and to other entries when that does not
-// answer, until its fate is known. The error is typed, and means that the fate
-// was not learned; Submit may be called again.
+// Submit sends the job to its home, and to other instances if the home does not answer,
+// until the fate of the job is known. An error means that the fate is still unknown; Submit
+// can be called again.
 func (s *Submission) Submit(ctx context.Context) (api.Answer, error) {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = 20 * time.Millisecond
 	pause.MaxInterval = 500 * time.Millisecond
-	began := time.Now()
-	entry := s.s.home
+	start := time.Now()
+	entry := s.session.home
 	for {
 		answer, err := s.SendTo(ctx, entry)
 		if err == nil && answer.Fate.Final() {
 			return answer, nil
 		}
-		if err != nil && !again(err) {
+		if err != nil && !mayRetry(err) {
 			return answer, err
 		}
 		if err != nil {
-			s.c.leave(s.s) // its home may be lost: new jobs go elsewhere
+			s.client.dropSession(s.session) // its home may be lost; new jobs need another one
 		}
-		if time.Since(began) > s.deadline+s.c.cfg.CallTimeout {
-			return answer, failure.Timeout.New("the fate of %s was not learned in time", s.Key())
+		if time.Since(start) > s.deadline+s.client.cfg.CallTimeout {
+			return answer, failure.Timeout.New("the outcome of job %s was not received in time", s.Key())
 		}
-		entry = s.c.entry()
+		entry = s.client.nextEntry()
 		select {
 		case <-ctx.Done():
 			return answer, failure.Timeout.New("the caller stopped waiting")
@@ -224,21 +230,21 @@
 	}
 }
 
-// again reports whether a call that ended with err may be made again under the
-// same key: only where no answer came.
-func again(err error) bool {
+// mayRetry reports whether a call that returned err may be repeated under the same key.
+// That is so only if no answer was received.
+func mayRetry(err error) bool {
 	return failure.Is(err, failure.Lost) || failure.Is(err, failure.Unreachable) || failure.Is(err, failure.Timeout)
 }
 
-// maxRekeys bounds how often one job is given a new key.
-const maxRekeys = 8
+// maxKeysPerJob is the maximum number of keys under which Do submits a job.
+const maxKeysPerJob = 8
 
-// Do runs a job and returns its fate. A job that provably did not run because
-// its home or session ended is given a new key and sent again; one that may
-// have run is not.
+// Do submits a job and returns its fate. If the job certainly did not run, because its home
+// or its session ended, Do submits it again under a new key. A job that may have run is not
+// submitted again.
 func (c *Client) Do(ctx context.Context, job Job) (api.Answer, error) {
 	var answer api.Answer
-	for range maxRekeys {
+	for range maxKeysPerJob {
 		s, err := c.Prepare(ctx, job)
 		if err != nil {
 			return answer, err
@@ -252,13 +258,14 @@
 		default:
 			return answer, nil
 		}
-		c.leave(s.s)
+		c.dropSession(s.session)
 	}
 	return answer, nil
 }
 
-// HomeEnded reports whether a job was not run only for where it was sent: it
-// may be sent again under a new key, also where it is not repeatable.
+// HomeEnded reports whether a job was not run only because of the loss or the shutdown of
+// the instances that were responsible for it. It can be submitted again under a new key,
+// even if it is not repeatable.
 func HomeEnded(a *api.Answer) bool {
 	switch a.Reason {
 	case fate.ReasonNeverReachedWitness, fate.ReasonWitnessLost, fate.ReasonStopping, fate.ReasonHomeLost:
@@ -268,19 +275,20 @@
 	}
 }
 
-// State asks any entry what is known of a job.
+// State returns what is known of a job. It asks any instance, which waits up to wait for
+// the job's fate.
 func (c *Client) State(ctx context.Context, key fate.Key, wait time.Duration) (api.Answer, error) {
 	var answer api.Answer
 	query := keyQuery(key)
 	query.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
-	err := c.call(ctx, c.entry(), http.MethodGet, api.PathJobs+"?"+query.Encode(), nil, "", wait+c.cfg.CallTimeout, &answer)
+	err := c.call(ctx, c.nextEntry(), http.MethodGet, api.PathJobs+"?"+query.Encode(), nil, "", wait+c.cfg.CallTimeout, &answer)
 	return answer, err
 }
 
-// Cancel ends a job early and returns what is then known of it.
+// Cancel ends a job early and returns what is known of it then.
 func (c *Client) Cancel(ctx context.Context, key fate.Key) (api.Answer, error) {
 	var answer api.Answer
-	err := c.call(ctx, c.entry(), http.MethodDelete, api.PathJobs+"?"+keyQuery(key).Encode(), nil, "", 2*c.cfg.CallTimeout, &answer)
+	err := c.call(ctx, c.nextEntry(), http.MethodDelete, api.PathJobs+"?"+keyQuery(key).Encode(), nil, "", 2*c.cfg.CallTimeout, &answer)
 	return answer, err
 }
 
@@ -292,15 +300,15 @@
 	}
 }
 
-// Instances returns the entries as one of them sees them.
+// Instances returns the instances and their states, as seen by one of them.
 func (c *Client) Instances(ctx context.Context) ([]api.InstanceStatus, error) {
 	var list []api.InstanceStatus
-	err := c.call(ctx, c.entry(), http.MethodGet, api.PathInstances, nil, "", c.cfg.CallTimeout, &list)
+	err := c.call(ctx, c.nextEntry(), http.MethodGet, api.PathInstances, nil, "", c.cfg.CallTimeout, &list)
 	return list, err
 }
 
-// call makes one call, and never twice. The error is Lost where no whole
-// answer came, and else the type of the problem that the entry answered.
+// call makes one request, which is never sent twice. The error is of type Lost if no
+// complete answer was received. Otherwise it has the type of the problem in the answer.
 func (c *Client) call(ctx context.Context, entry, method, path string, body any, trace string, timeout time.Duration, into any) error {
 	if ctx.Err() != nil {
 		return failure.Timeout.New("the caller stopped waiting")
@@ -318,29 +326,29 @@
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
-			return failure.Field(failure.InvalidInput, "body", "does not encode: %v", err)
+			return failure.Field(failure.InvalidInput, "body", "cannot be encoded as JSON: %v", err)
 		}
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(raw)
 	}
 	if err := c.http.Do(req, res); err != nil {
-		c.http.CloseIdleConnections() // others to a lost entry are dead as well
-		return failure.Lost.Wrap(err, "entry %s gave no answer", entry)
+		c.http.CloseIdleConnections() // if the instance is lost, they are broken too
+		return failure.Lost.Wrap(err, "no answer from instance %s", entry)
 	}
-	return read(entry, res, into)
+	return readAnswer(entry, res, into)
 }
 
-func read(entry string, res *fasthttp.Response, into any) error {
+func readAnswer(entry string, res *fasthttp.Response, into any) error {
 	switch res.StatusCode() {
 	case http.StatusOK, http.StatusAccepted:
 		if err := json.Unmarshal(res.Body(), into); err != nil {
-			return failure.Lost.Wrap(err, "the answer of entry %s is cut off", entry)
+			return failure.Lost.Wrap(err, "the answer of instance %s is incomplete", entry)
 		}
 		return nil
 	}
 	var p api.Problem
 	if err := json.Unmarshal(res.Body(), &p); err != nil || p.Code == "" {
-		return failure.Lost.New("entry %s answered status %d", entry, res.StatusCode())
+		return failure.Lost.New("instance %s answered with status %d", entry, res.StatusCode())
 	}
 	return p.Err()
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -1,8 +1,9 @@
-// Package upstream speaks to upstreams: it starts tasks under leases, and asks
-// after leases whose answer was lost.
+// Package upstream is the client of the upstreams' HTTP interface. It starts tasks under
+// leases, and looks up, renews and stops those leases.
 //
-// No request is ever sent twice here. An error of type Unreachable proves that
-// no byte of a start left this process; Lost says that it may have arrived.
+// The client sends every request at most once. An error of type Unreachable means that no
+// byte of the request was sent. An error of type Lost means that the upstream may have
+// received it.
 package upstream
 
 import (
@@ -21,95 +22,96 @@
 	"github.com/valyala/fasthttp"
 )
 
-// StartRequest is the message that starts a task.
+// StartRequest is a request to start a task.
 type StartRequest struct {
 	Lease       string
 	LeaseMs     int64
-	Incarnation string // of the upstream, where it is known
+	Incarnation string // of the upstream; "" if unknown
 	Service     string
 	Task        *fate.Task
 	Trace       string
-	Timeout     time.Duration // how long to wait for the end on this connection
+	Timeout     time.Duration // how long to wait for the reply, which is sent when the task ends
 }
 
-// StartReply is an upstream's answer to a start.
+// StartReply is the answer of an upstream to a StartRequest.
 type StartReply struct {
 	State   api.LeaseState // finished, failed, stopped or refused
 	Refusal api.Refusal
-	Body    []byte // the result, or the text of the failure
+	Body    []byte // result of the task, or the text of its error
 }
 
-// Client speaks to one upstream.
+// Client is a client of one upstream.
 type Client struct {
-	ID      string
-	Address string
-	tasks   *fasthttp.HostClient
-	control *fasthttp.HostClient
+	ID            string
+	Address       string
+	taskClient    *fasthttp.HostClient
+	controlClient *fasthttp.HostClient
 }
 
 const (
-	dialTimeout    = 500 * time.Millisecond
-	controlTimeout = time.Second
-	connWait       = 50 * time.Millisecond // for a connection to be free
-	controlConns   = 16
-	// idleConn is shorter than what servers keep idle connections for, so that
-	// a start is rarely written to one that is being closed.
-	idleConn  = 4 * time.Second
-	ioBuffer  = 8 << 10
-	maxResult = 16 << 20
+	dialTimeout     = 500 * time.Millisecond
+	controlTimeout  = time.Second
+	freeConnTimeout = 50 * time.Millisecond // how long to wait if all connections are in use
+	maxControlConns = 16
+	// maxIdleConnTime is shorter than the time for which servers keep idle connections,
+	// so that a request is rarely sent on a connection that is being closed.
+	maxIdleConnTime = 4 * time.Second
+	bufferBytes     = 8 << 10
+	maxResultBytes  = 16 << 20
 )
 
-// notSent marks an error from before the first byte was written.
-type notSent struct{ cause error }
+// notSentError is an error that occurred before the first byte of a request was sent.
+type notSentError struct{ cause error }
 
-func (e *notSent) Error() string { return e.cause.Error() }
-func (e *notSent) Unwrap() error { return e.cause }
+func (e *notSentError) Error() string { return e.cause.Error() }
+func (e *notSentError) Unwrap() error { return e.cause }
 
-// DialFunc opens a connection to an upstream. Tests cut and delay here.
+// DialFunc opens a connection to an upstream. Tests replace it to cut and delay
+// connections.
 type DialFunc func(address string) (net.Conn, error)
 
-// NewClient returns a client of the upstream id at address that opens at most
-// connections for tasks. A nil dial is TCP.
+// NewClient returns a client of the upstream id at address. It opens at most the given
+// number of connections for starting tasks. If dial is nil, it uses TCP.
 func NewClient(id, address string, connections int, dial DialFunc) *Client {
 	if dial == nil {
 		dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, dialTimeout) }
 	}
-	provable := func(address string) (net.Conn, error) {
+	dialMarkingErrors := func(address string) (net.Conn, error) {
 		conn, err := dial(address)
 		if err != nil {
-			return nil, &notSent{err}
+			return nil, &notSentError{err}
 		}
 		return conn, nil
 	}
 	return &Client{
 		ID: id, Address: address,
-		tasks:   hostClient(address, connections, provable),
-		control: hostClient(address, controlConns, provable),
+		taskClient:    newHostClient(address, connections, dialMarkingErrors),
+		controlClient: newHostClient(address, maxControlConns, dialMarkingErrors),
 	}
 }
 
-func hostClient(address string, connections int, dial fasthttp.DialFunc) *fasthttp.HostClient {
+func newHostClient(address string, connections int, dial fasthttp.DialFunc) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                          address,
 		Dial:                          dial,
 		MaxConns:                      connections,
-		MaxConnWaitTimeout:            connWait,
-		MaxIdleConnDuration:           idleConn,
+		MaxConnWaitTimeout:            freeConnTimeout,
+		MaxIdleConnDuration:           maxIdleConnTime,
 		MaxIdemponentCallAttempts:     1,
 		RetryIfErr:                    func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		NoDefaultUserAgentHeader:      true,
 		DisableHeaderNamesNormalizing: true,
 		DisablePathNormalizing:        true,
-		ReadBufferSize:                ioBuffer,
-		WriteBufferSize:               ioBuffer,
-		MaxResponseBodySize:           maxResult,
+		ReadBufferSize:                bufferBytes,
+		WriteBufferSize:               bufferBytes,
+		MaxResponseBodySize:           maxResultBytes,
 	}
 }
 
 // CloseIdleConnections closes the idle connections.
 func (c *Client) CloseIdleConnections() {
-	c.tasks.CloseIdleConnections()
-	c.control.CloseIdleConnections()
+	c.taskClient.CloseIdleConnections()
+	c.controlClient.CloseIdleConnections()
 }
 
 // Start starts a task and waits for its end.
@@ -118,15 +120,15 @@
 	res := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	s.write(req, c.Address)
-	if err := c.tasks.Do(req, res); err != nil {
-		c.tasks.CloseIdleConnections() // others to a lost upstream are dead as well
+	s.encode(req, c.Address)
+	if err := c.taskClient.Do(req, res); err != nil {
+		c.taskClient.CloseIdleConnections() // if the upstream is lost, they are broken too
 		return StartReply{}, classify(c.ID, err)
 	}
 	return readReply(c.ID, res)
 }
 
-func (s *StartRequest) write(req *fasthttp.Request, address string) {
+func (s *StartRequest) encode(req *fasthttp.Request, address string) {
 	req.Header.DisableNormalizing()
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI("http://" + address + api.PathTasks)
@@ -154,22 +156,25 @@
 	req.SetBodyRaw(s.Task.Payload)
 }
 
-// classify tells what a failed exchange proves.
+// classify returns the typed error for a failed request: Unreachable if no byte of it was
+// sent, or Lost.
 func classify(id string, err error) error {
-	var early *notSent
+	var notSent *notSentError
 	switch {
-	case asNotSent(err, &early):
-		return failure.Unreachable.Wrap(err, "upstream %s cannot be reached", id)
+	case findNotSent(err, &notSent):
+		return failure.Unreachable.Wrap(err, "cannot connect to upstream %s", id)
 	case err == fasthttp.ErrNoFreeConns:
-		return failure.Unreachable.Wrap(err, "every connection to upstream %s is in use", id)
+		return failure.Unreachable.Wrap(err, "all connections to upstream %s are in use", id)
 	default:
-		return failure.Lost.Wrap(err, "the answer of upstream %s was lost", id)
+		return failure.Lost.Wrap(err, "no valid answer from upstream %s", id)
 	}
 }
 
-func asNotSent(err error, target **notSent) bool {
+// findNotSent reports whether err or an error that it wraps is a notSentError, and stores
+// that in target.
+func findNotSent(err error, target **notSentError) bool {
 	for err != nil {
-		if e, ok := err.(*notSent); ok {
+		if e, ok := err.(*notSentError); ok {
 			*target = e
 			return true
 		}
@@ -182,8 +187,8 @@
 	return false
 }
 
-// readReply takes only what the protocol knows: any other answer says nothing
-// of whether the task started.
+// readReply returns the reply in res, or a Lost error if res has no valid lease state. Such
+// a response does not tell whether the task has started.
 func readReply(id string, res *fasthttp.Response) (StartReply, error) {
 	r := StartReply{State: api.LeaseState(res.Header.Peek(api.HeaderState)), Refusal: api.Refusal(res.Header.Peek(api.HeaderRefusal))}
 	switch r.State {
@@ -193,66 +198,69 @@
 	case api.LeaseRefused:
 		return r, nil
 	default:
-		return StartReply{}, failure.Lost.New("upstream %s answered status %d without a state", id, res.StatusCode())
+		return StartReply{}, failure.Lost.New("upstream %s answered with status %d and no valid lease state", id, res.StatusCode())
 	}
 }
 
-// Lookup asks after a lease, and waits up to wait for its end.
+// Lookup returns the state of a lease. If the task is still running, Lookup waits up to
+// wait for its end.
 func (c *Client) Lookup(lease string, wait time.Duration) (api.LeaseInfo, error) {
 	query := url.Values{"id": {lease}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	var info api.LeaseInfo
-	err := c.exchange(fasthttp.MethodGet, api.PathLease, query, wait+controlTimeout, &info)
+	err := c.callControl(fasthttp.MethodGet, api.PathLease, query, wait+controlTimeout, &info)
 	return info, err
 }
 
-// Stop stops the tasks of leases, in one message. One that was never seen is
-// barred: a start of it that is still on its way will be refused.
+// Stop stops the tasks of several leases in one request. A lease that the upstream has
+// never seen becomes barred: if its start arrives later, it is refused.
 func (c *Client) Stop(leases ...string) ([]api.LeaseInfo, error) {
 	var infos []api.LeaseInfo
-	err := c.exchange(fasthttp.MethodPost, api.PathStop, url.Values{"id": leases}, controlTimeout, &infos)
+	err := c.callControl(fasthttp.MethodPost, api.PathStop, url.Values{"id": leases}, controlTimeout, &infos)
 	if err == nil && len(infos) != len(leases) {
-		err = failure.Protocol.New("upstream %s answered %d of %d leases", c.ID, len(infos), len(leases))
+		err = failure.Protocol.New("upstream %s answered for %d of %d leases", c.ID, len(infos), len(leases))
 	}
 	return infos, err
 }
 
 // Renew extends a lease.
 func (c *Client) Renew(lease string, leaseMs int64) (api.LeaseInfo, error) {
-	return c.change(api.PathRenew, url.Values{"id": {lease}, "lease_ms": {strconv.FormatInt(leaseMs, 10)}})
+	return c.changeLease(api.PathRenew, url.Values{"id": {lease}, "lease_ms": {strconv.FormatInt(leaseMs, 10)}})
 }
 
-// Checkpoint makes the upstream save a task's progress.
+// Checkpoint makes the upstream save the progress of a task.
 func (c *Client) Checkpoint(lease string) (api.LeaseInfo, error) {
-	return c.change(api.PathCheckpoint, url.Values{"id": {lease}})
+	return c.changeLease(api.PathCheckpoint, url.Values{"id": {lease}})
 }
 
-// Throttle limits a task to a share of its cores, within 0 and 1.
+// Throttle limits a task to a share of its cores, from 0 to 1.
 func (c *Client) Throttle(lease string, share float64) (api.LeaseInfo, error) {
-	return c.change(api.PathThrottle, url.Values{"id": {lease}, "share": {strconv.FormatFloat(share, 'g', -1, 64)}})
+	return c.changeLease(api.PathThrottle, url.Values{"id": {lease}, "share": {strconv.FormatFloat(share, 'g', -1, 64)}})
 }
 
-// Usage returns the upstream's report of what its tasks used.
+// Usage returns the upstream's report of the resources that its tasks have used.
 func (c *Client) Usage() (api.Usage, error) {
 	var usage api.Usage
-	err := c.exchange(fasthttp.MethodGet, api.PathUsage, nil, controlTimeout, &usage)
+	err := c.callControl(fasthttp.MethodGet, api.PathUsage, nil, controlTimeout, &usage)
 	return usage, err
 }
 
-// Info returns what the upstream says of itself.
+// Info returns the upstream's description of itself.
 func (c *Client) Info() (api.UpstreamInfo, error) {
 	var info api.UpstreamInfo
-	err := c.exchange(fasthttp.MethodGet, api.PathInfo, nil, controlTimeout, &info)
+	err := c.callControl(fasthttp.MethodGet, api.PathInfo, nil, controlTimeout, &info)
 	return info, err
 }
 
-// change makes a call that changes one lease.
-func (c *Client) change(path string, query url.Values) (api.LeaseInfo, error) {
+// changeLease makes a request that changes one lease.
+func (c *Client) changeLease(path string, query url.Values) (api.LeaseInfo, error) {
 	var info api.LeaseInfo
-	err := c.exchange(fasthttp.MethodPost, path, query, controlTimeout, &info)
+	err := c.callControl(fasthttp.MethodPost, path, query, controlTimeout, &info)
 	return info, err
 }
 
-func (c *Client) exchange(method, path string, query url.Values, timeout time.Duration, into any) error {
+// callControl makes a request other than a start and decodes the answer into the value that
+// into points to.
+func (c *Client) callControl(method, path string, query url.Values, timeout time.Duration, into any) error {
 	req := fasthttp.AcquireRequest()
 	res := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -260,14 +268,14 @@
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://" + c.Address + path + "?" + query.Encode())
 	req.SetTimeout(timeout)
-	if err := c.control.Do(req, res); err != nil {
+	if err := c.controlClient.Do(req, res); err != nil {
 		return classify(c.ID, err)
 	}
 	if res.StatusCode() != http.StatusOK {
-		return failure.Refused.New("upstream %s answered status %d", c.ID, res.StatusCode())
+		return failure.Refused.New("upstream %s answered with status %d", c.ID, res.StatusCode())
 	}
 	if err := json.Unmarshal(res.Body(), into); err != nil {
-		return failure.Protocol.Wrap(err, "upstream %s sent no JSON", c.ID)
+		return failure.Protocol.Wrap(err, "the answer of upstream %s is not the expected JSON", c.ID)
 	}
 	return nil
 }
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -16,23 +16,23 @@
 	"github.com/valyala/fasthttp"
 )
 
-// cutter is a server that ends each connection at a chosen byte.
-type cutter struct {
-	listener net.Listener
-	starts   atomic.Int64
-	read     bool // the whole start is read before the cut
-	answer   string
+// cuttingServer is a server that closes each connection after a given part of its answer.
+type cuttingServer struct {
+	listener  net.Listener
+	starts    atomic.Int64
+	readStart bool // whether the start is read before the connection is closed
+	answer    string
 }
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\n" + api.HeaderState + ": finished\r\nContent-Length: 4\r\n\r\ntrue"
+const completeAnswer = "HTTP/1.1 200 OK\r\n" + api.HeaderState + ": finished\r\nContent-Length: 4\r\n\r\ntrue"
 
-func startCutter(t *testing.T, read bool, answer string) *cutter {
+func startCuttingServer(t *testing.T, readStart bool, answer string) *cuttingServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cutter{listener: l, read: read, answer: answer}
+	c := &cuttingServer{listener: l, readStart: readStart, answer: answer}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -46,9 +46,9 @@
 	return c
 }
 
-func (c *cutter) serve(conn net.Conn) {
+func (c *cuttingServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	if !c.read {
+	if !c.readStart {
 		c.starts.Add(1)
 		return
 	}
@@ -63,15 +63,16 @@
 	return c.Start(&StartRequest{Lease: "k/0/1", LeaseMs: 1000, Service: "desk", Task: &fate.Task{Payload: []byte("{}")}, Timeout: 5 * time.Second})
 }
 
-// TestStartIsNeverSentTwice ends the connection before the start is read,
-// after, and at every byte of the answer: one start leaves, and the error
-// never claims that none arrived.
+// TestStartIsNeverSentTwice guards against a second send of a start by the HTTP library
+// when a connection breaks. The server closes the connection before it reads the start,
+// after it, or after any byte of the answer. In each case exactly one start must arrive,
+// and the error must be Lost, not Unreachable.
 func TestStartIsNeverSentTwice(t *testing.T) {
-	check := func(t *testing.T, c *cutter) {
+	check := func(t *testing.T, c *cuttingServer) {
 		t.Helper()
-		cl := NewClient("u", c.listener.Addr().String(), 4, nil)
-		defer cl.CloseIdleConnections()
-		_, err := start(cl)
+		client := NewClient("u", c.listener.Addr().String(), 4, nil)
+		defer client.CloseIdleConnections()
+		_, err := start(client)
 		if !failure.Is(err, failure.Lost) {
 			t.Errorf("error %v", err)
 		}
@@ -79,29 +80,29 @@
 			t.Errorf("%d starts arrived", n)
 		}
 	}
-	t.Run("before it is read", func(t *testing.T) { check(t, startCutter(t, false, "")) })
-	for n := range len(wholeAnswer) {
+	t.Run("before it is read", func(t *testing.T) { check(t, startCuttingServer(t, false, "")) })
+	for n := range len(completeAnswer) {
 		t.Run(fmt.Sprintf("after %d bytes of the answer", n), func(t *testing.T) {
-			check(t, startCutter(t, true, wholeAnswer[:n]))
+			check(t, startCuttingServer(t, true, completeAnswer[:n]))
 		})
 	}
 }
 
-// TestMutationBuiltInRetry shows that the cutter notices a client that sends
-// again by itself, as the library does when it is left to.
+// TestMutationBuiltInRetry verifies that TestStartIsNeverSentTwice can fail: with the
+// retries of the HTTP library enabled, the server receives a start more than once.
 func TestMutationBuiltInRetry(t *testing.T) {
-	c := startCutter(t, true, "")
-	cl := NewClient("u", c.listener.Addr().String(), 4, nil)
-	cl.tasks.MaxIdemponentCallAttempts = 5
-	cl.tasks.RetryIfErr = func(*fasthttp.Request, int, error) (bool, bool) { return false, true }
-	_, _ = start(cl)
+	c := startCuttingServer(t, true, "")
+	client := NewClient("u", c.listener.Addr().String(), 4, nil)
+	client.taskClient.MaxIdemponentCallAttempts = 5
+	client.taskClient.RetryIfErr = func(*fasthttp.Request, int, error) (bool, bool) { return false, true }
+	_, _ = start(client)
 	if n := c.starts.Load(); n < 2 {
-		t.Fatalf("%d starts arrived: the check could not fail", n)
+		t.Fatalf("%d starts arrived, want at least 2", n)
 	}
 }
 
 func TestWholeAnswer(t *testing.T) {
-	c := startCutter(t, true, wholeAnswer)
+	c := startCuttingServer(t, true, completeAnswer)
 	r, err := start(NewClient("u", c.listener.Addr().String(), 4, nil))
 	if err != nil || r.State != api.LeaseFinished || string(r.Body) != "true" {
 		t.Errorf("reply %+v, %v", r, err)
