--- a/entry/node.go
+++ b/entry/node.go
@@ -33,7 +33,7 @@
 // Hooks replace parts of an instance that reach other processes, so that tests can cut and
 // delay connections. Nil dialers use plain TCP.
 type Hooks struct {
-	DialInner    inner.Dialer
+	DialInner    inner.DialFunc
 	DialUpstream func(address string) (net.Conn, error)
 	DialPlatform func(address string) (net.Conn, error)
 	// Tracer replaces the tracer described by the configuration.
