--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -231,7 +231,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.clients {
-		c.CloseIdleConnections()
+		c.Close()
 	}
 }
 
--- a/experiment/throughput_test.go
+++ b/experiment/throughput_test.go
@@ -69,7 +69,7 @@
 func BenchmarkDirect(b *testing.B) {
 	c := idle(b, 1)
 	cl := upstream.NewClient("u", c.Upstreams[0].Address(), 64, nil)
-	defer cl.CloseIdleConnections()
+	defer cl.Close()
 	task := &fate.Task{}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
@@ -89,7 +89,7 @@
 		b.Run(name, func(b *testing.B) {
 			c := idle(b, entries)
 			direct := upstream.NewClient("u", c.Upstreams[0].Address(), 4, nil)
-			defer direct.CloseIdleConnections()
+			defer direct.Close()
 			cl, err := c.Client("desk")
 			if err != nil {
 				b.Fatal(err)
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// CloseIdleConnections closes the idle connections.
-func (c *Client) CloseIdleConnections() {
+// Close closes the idle connections.
+func (c *Client) Close() {
 	c.taskClient.CloseIdleConnections()
 	c.controlClient.CloseIdleConnections()
 }
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -71,7 +71,7 @@
 	check := func(t *testing.T, c *cuttingServer) {
 		t.Helper()
 		client := NewClient("u", c.listener.Addr().String(), 4, nil)
-		defer client.CloseIdleConnections()
+		defer client.Close()
 		_, err := start(client)
 		if !failure.Is(err, failure.Lost) {
 			t.Errorf("error %v", err)
