--- a/api/problem.go
+++ b/api/problem.go
@@ -23,7 +23,8 @@
 	Code string `json:"code"`
 	// Field is the name of the invalid field of the request, if there is one.
 	Field string `json:"field,omitempty"`
-	// Fate is "not_run" if no task of the job has started or ever will.
+	// Fate is "not_run" if it is certain that no task of the job has started or ever
+	// will, and empty otherwise.
 	Fate         fate.Kind `json:"fate,omitempty"`
 	RetryAfterMs uint32    `json:"retry_after_ms,omitempty"`
 }
--- a/api/upstream.go
+++ b/api/upstream.go
@@ -46,14 +46,14 @@
 // prove that no task has started or will start under the lease.
 type Refusal string
 
-// The refusals of a start.
+// Reasons not to start a task.
 const (
 	RefusedNoSlot      Refusal = "no_slot"
 	RefusedBarred      Refusal = "barred"
 	RefusedLeaving     Refusal = "leaving"
 	RefusedIncarnation Refusal = "wrong_incarnation"
 	RefusedUnfit       Refusal = "unfit"
-	RefusedDuplicate   Refusal = "duplicate" // the lease was seen before; look it up
+	RefusedDuplicate   Refusal = "duplicate" // a start under this lease has arrived before; look up the lease
 	RefusedBadRequest  Refusal = "bad_request"
 )
 
--- a/entry/node.go
+++ b/entry/node.go
@@ -1,7 +1,7 @@
 // Package entry implements an instance that runs jobs for callers. It serves the HTTP
 // interface of callers and operators, exchanges messages with other instances over the
-// inner protocol, and follows the list of instances and the settings on the platform. The
-// jobs themselves are run by package dispatch.
+// protocol of package inner, and follows the list of instances and the settings on the
+// platform. The jobs themselves are run by package dispatch.
 package entry
 
 import (
@@ -228,7 +228,7 @@
 }
 
 // awaitHeartbeats waits for two heartbeat intervals, so that the other instances learn that
-// this one is leaving before they can find it gone.
+// this one is leaving before it ends.
 func (n *Node) awaitHeartbeats(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -146,7 +146,7 @@
 }
 
 // countOtherInstances returns the number of other instances in the platform's list that run
-// jobs for callers, or -1 before a list was received. The lock must be held.
+// jobs for callers, or -1 before a list was received. The caller must hold n.mu.
 func (n *Node) countOtherInstances() int {
 	if n.instances == nil {
 		return -1
@@ -255,7 +255,7 @@
 		return membership.Listing{Instance: i.ID, Address: i.Address, Region: i.Region, Zone: i.Zone, Rack: i.Rack, Leaving: i.Leaving}, isPeer
 	})
 	if list == nil {
-		list = []api.PlatformInstance{} // an empty list was received, unlike nil
+		list = []api.PlatformInstance{} // nil would mean that no list has been received
 	}
 	n.mu.Lock()
 	same := n.instances != nil && equalInstances(n.instances, list)
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -29,7 +29,10 @@
 	// others learn of a new revision from their heartbeats, so that the load on the
 	// platform does not grow with the fleet, and read the settings themselves only
 	// every restDuration.
-	watchersPerZone   = 2
+	watchersPerZone = 2
+	// restDuration is how long an instance that is not a watcher waits between two
+	// reads of the settings, and restCheckInterval how often it checks in the meantime
+	// whether it has become one.
 	restDuration      = 30 * time.Second
 	restCheckInterval = 200 * time.Millisecond
 )
--- a/placement/broker.go
+++ b/placement/broker.go
@@ -81,8 +81,8 @@
 	Count    int     // slots, one for each task
 	RunMs    float64 // sum of the run times of the tasks that ran; 0 if none did
 	Failed   int     // number of tasks that failed, or whose start did not reach the upstream
-	// HoldMs is set if the tasks did not run, or nobody knows whether they did: the
-	// slots are not granted again for so many milliseconds.
+	// HoldMs is set if the tasks did not run, or if it is unknown whether they did.
+	// The slots are not granted again for this time, in milliseconds.
 	HoldMs  int64
 	Leaving bool // the upstream has answered that it is shutting down
 }
@@ -99,7 +99,7 @@
 	usedSlots     int
 	usedResources Resources
 	health        health
-	listed        bool // whether the current list of upstreams has it
+	listed        bool // whether it is in the current list of upstreams
 	// reservedFor is the only request that may be granted slots of this upstream, or
 	// nil if all may.
 	reservedFor *queuedRequest
--- a/placement/fit.go
+++ b/placement/fit.go
@@ -3,9 +3,12 @@
 // Upstreams are grouped into pools, and one instance is the broker of each pool. The
 // instance that accepted a job, its home, requests slots from a broker for the tasks of the
 // job; a ticket identifies the request. The broker decides which upstream runs each task,
-// which requests go first, which are refused because they would be late, and which upstreams
-// are ejected because their tasks fail. The package also chooses the brokers, and the
-// witnesses that replicate the permit logs of homes.
+// which requests go first, which are refused because they would be late, and which
+// upstreams are ejected because their tasks fail.
+//
+// The package also chooses the brokers, and the witnesses of homes. A home records the
+// starts of tasks in permit logs; the witness of a log is another instance that keeps a
+// copy of it.
 //
 // The package does no I/O and reads no clock: inputs and the time are passed in, and the
 // resulting grants are returned.
--- a/placement/pool.go
+++ b/placement/pool.go
@@ -112,7 +112,7 @@
 // WitnessScope is where the witness of a home may be.
 type WitnessScope string
 
-// The scopes of witnesses. With a witness, a permit log survives the loss of any single
+// The scopes of witnesses. A permit log with a witness survives the loss of any one
 // instance, and what is noted here.
 const (
 	WitnessScopeNone   WitnessScope = "none"   // no witness
