--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -232,7 +232,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.clients {
-		c.CloseIdleConnections()
+		c.Close()
 	}
 }
 
