--- a/experiment/failure_test.go
+++ b/experiment/failure_test.go
@@ -318,7 +318,7 @@
 		job.Tasks[i].RunMs = 1
 	}
 	for _, u := range c.Upstreams {
-		u.Faults.DropLeaseCalls.Store(true) // renewals die too
+		u.Faults.DropNonStarts.Store(true) // renewals die too
 	}
 	answer, err := callers(t, c).Do(context.Background(), job)
 	wantComplete(t, answer, err, 4)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -15,16 +15,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// PlatformFaults are the faults of the platform; all may change at any time.
+// PlatformFaults are the faults that a Platform injects. They may be changed at
+// any time.
 type PlatformFaults struct {
-	Down        atomic.Bool  // calls die unanswered and have no effect
-	SlowMs      atomic.Int64 // every call takes this much longer
-	DropAnswers atomic.Bool  // writes take effect, and their answer is lost
-	ListLagMs   atomic.Int64 // how old the list of instances is
+	Down        atomic.Bool  // connections are closed without an answer, and calls have no effect
+	SlowMs      atomic.Int64 // delay added to every call
+	DropAnswers atomic.Bool  // writes take effect, but their connections are closed without an answer
+	ListLagMs   atomic.Int64 // age of the list of instances that is served
 }
 
-// Platform is a stand-in for the platform's key-value service and its list of
-// instances.
+// Platform emulates the platform's key-value service and its list of instances.
 type Platform struct {
 	Faults   PlatformFaults
 	listener net.Listener
@@ -33,33 +33,34 @@
 	reads    atomic.Int64
 	writes   atomic.Int64
 
-	mu        sync.Mutex
-	values    map[string]api.KVEntry
-	leaseOf   map[string]string // key to lease
-	leases    map[string]time.Time
-	changed   chan struct{} // closed and replaced at each write
-	instances map[string]api.PlatformInstance
-	history   []listing // the lists of the past, for the lag
+	mu          sync.Mutex
+	values      map[string]api.KVEntry
+	leaseOf     map[string]string               // lease ID by key; empty for a key without a lease
+	leaseExpiry map[string]time.Time            // by lease ID
+	changed     chan struct{}                   // closed and replaced at each write
+	instances   map[string]api.PlatformInstance // by ID
+	snapshots   []instanceSnapshot              // of instances after each change, for ListLagMs
 }
 
-type listing struct {
+// instanceSnapshot is the list of instances as it was from a time on.
+type instanceSnapshot struct {
 	at        time.Time
 	instances []api.PlatformInstance
 }
 
-// StartPlatform makes a platform and serves it on listen; empty is any port of
-// the loopback.
+// StartPlatform starts a platform that listens on the given host and port. An
+// empty string means a free port of the loopback interface.
 func StartPlatform(listen string) (*Platform, error) {
 	if listen == "" {
 		listen = "127.0.0.1:0"
 	}
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		return nil, failure.Unreachable.Wrap(err, "the platform cannot listen")
+		return nil, failure.Unreachable.Wrap(err, "the platform stand-in cannot listen")
 	}
 	p := &Platform{
 		listener: listener, done: make(chan struct{}), changed: make(chan struct{}),
-		values: map[string]api.KVEntry{}, leaseOf: map[string]string{}, leases: map[string]time.Time{},
+		values: map[string]api.KVEntry{}, leaseOf: map[string]string{}, leaseExpiry: map[string]time.Time{},
 		instances: map[string]api.PlatformInstance{},
 	}
 	p.server = &fasthttp.Server{Handler: p.serve, NoDefaultServerHeader: true, CloseOnShutdown: true}
@@ -70,7 +71,7 @@
 // Address returns the host and port that the platform listens on.
 func (p *Platform) Address() string { return p.listener.Addr().String() }
 
-// Close ends the platform.
+// Close stops the platform.
 func (p *Platform) Close() {
 	select {
 	case <-p.done:
@@ -82,31 +83,33 @@
 	_ = p.server.Shutdown()
 }
 
-// Calls returns the number of reads, watches among them, and of writes so far.
+// Calls returns the numbers of reads, which include watches, and of writes so
+// far.
 func (p *Platform) Calls() (reads, writes int64) { return p.reads.Load(), p.writes.Load() }
 
-// PutInstance puts an instance on the list, or changes it.
+// PutInstance adds an instance to the list, or replaces the one with the same ID.
 func (p *Platform) PutInstance(i api.PlatformInstance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.instances[i.ID] = i
-	p.remember()
+	p.takeSnapshot()
 }
 
-// RemoveInstance takes an instance off the list.
+// RemoveInstance removes an instance from the list.
 func (p *Platform) RemoveInstance(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.instances, id)
-	p.remember()
+	p.takeSnapshot()
 }
 
-func (p *Platform) remember() {
-	now := listing{at: time.Now()}
+// takeSnapshot stores the current list of instances. The caller holds p.mu.
+func (p *Platform) takeSnapshot() {
+	snapshot := instanceSnapshot{at: time.Now()}
 	for _, i := range p.instances {
-		now.instances = append(now.instances, i)
+		snapshot.instances = append(snapshot.instances, i)
 	}
-	p.history = append(p.history, now)
+	p.snapshots = append(p.snapshots, snapshot)
 }
 
 func (p *Platform) serve(ctx *fasthttp.RequestCtx) {
@@ -120,12 +123,12 @@
 		time.Sleep(time.Duration(ms) * time.Millisecond)
 	}
 	if p.Faults.Down.Load() {
-		drop(ctx)
+		dropConnection(ctx)
 		return
 	}
 	p.route(ctx)
 	if !read && p.Faults.DropAnswers.Load() {
-		drop(ctx)
+		dropConnection(ctx)
 	}
 }
 
@@ -136,20 +139,20 @@
 	case api.PathPlatformLeases:
 		p.serveLeases(ctx)
 	case api.PathPlatformInstance:
-		writeJSON(ctx, api.PlatformInstances{Instances: p.listed()})
+		writeJSON(ctx, api.PlatformInstances{Instances: p.laggedInstances()})
 	default:
 		ctx.SetStatusCode(http.StatusNotFound)
 	}
 }
 
-// listed returns the list as it was ListLagMs ago.
-func (p *Platform) listed() []api.PlatformInstance {
+// laggedInstances returns the list of instances as it was ListLagMs ago.
+func (p *Platform) laggedInstances() []api.PlatformInstance {
 	asOf := time.Now().Add(-time.Duration(p.Faults.ListLagMs.Load()) * time.Millisecond)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i := len(p.history) - 1; i >= 0; i-- {
-		if !p.history[i].at.After(asOf) {
-			return p.history[i].instances
+	for i := len(p.snapshots) - 1; i >= 0; i-- {
+		if !p.snapshots[i].at.After(asOf) {
+			return p.snapshots[i].instances
 		}
 	}
 	return nil
@@ -167,21 +170,22 @@
 		ctx.SetStatusCode(http.StatusBadRequest)
 		return
 	}
-	entry, swapped := p.swap(w)
+	entry, swapped := p.compareAndSwap(w)
 	if !swapped {
 		ctx.SetStatusCode(http.StatusConflict)
 	}
 	writeJSON(ctx, entry)
 }
 
-// watch returns the entry of key once its version is above after, or as it is
-// when wait is over.
+// watch returns the entry of key as soon as its version is above after. It
+// returns the current entry at the latest when wait has passed or the platform
+// closes.
 func (p *Platform) watch(key string, after uint64, wait time.Duration) api.KVEntry {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
-		p.expire()
+		p.removeExpired()
 		entry := p.values[key]
 		changed := p.changed
 		p.mu.Unlock()
@@ -199,10 +203,12 @@
 	}
 }
 
-func (p *Platform) swap(w api.KVWrite) (api.KVEntry, bool) {
+// compareAndSwap writes w and returns the new entry if the key has the version
+// that w expects. Otherwise it returns the current entry and false.
+func (p *Platform) compareAndSwap(w api.KVWrite) (api.KVEntry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expire()
+	p.removeExpired()
 	entry := p.values[w.Key]
 	if entry.Version != w.Expect {
 		entry.Key = w.Key
@@ -216,11 +222,12 @@
 	return entry, true
 }
 
-// expire removes the keys of leases that ended.
-func (p *Platform) expire() {
+// removeExpired removes the keys whose leases have expired or were deleted. The
+// caller holds p.mu.
+func (p *Platform) removeExpired() {
 	now := time.Now()
 	for key, id := range p.leaseOf {
-		if id != "" && p.leases[id].Before(now) {
+		if id != "" && p.leaseExpiry[id].Before(now) {
 			delete(p.values, key)
 			delete(p.leaseOf, key)
 		}
@@ -236,16 +243,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if ctx.IsDelete() {
-		delete(p.leases, l.ID)
+		delete(p.leaseExpiry, l.ID)
 		writeJSON(ctx, l)
 		return
 	}
 	if ctx.IsPost() {
 		l.ID = uuid.NewString()
-	} else if p.leases[l.ID].Before(time.Now()) {
+	} else if p.leaseExpiry[l.ID].Before(time.Now()) {
 		ctx.SetStatusCode(http.StatusNotFound)
 		return
 	}
-	p.leases[l.ID] = time.Now().Add(time.Duration(l.TTLMs) * time.Millisecond)
+	p.leaseExpiry[l.ID] = time.Now().Add(time.Duration(l.TTLMs) * time.Millisecond)
 	writeJSON(ctx, l)
 }
--- a/standin/recorder.go
+++ b/standin/recorder.go
@@ -9,21 +9,22 @@
 
 const recorderShards = 32
 
-// StartRecorder holds every start that upstreams saw, for the invariant checks.
+// StartRecorder records every start of a task at the upstreams, for checking
+// invariants.
 type StartRecorder struct {
 	shards [recorderShards]recorderShard
 }
 
 type recorderShard struct {
 	mu     sync.Mutex
-	starts map[string][]StartRecord // by task, without the attempt
+	starts map[string][]StartRecord // by task, as taskOfLease returns it
 }
 
 // StartRecord is one start of a task.
 type StartRecord struct {
-	Lease    string
-	Upstream string
-	Trace    string
+	Lease    string // lease ID
+	Upstream string // upstream ID
+	Trace    string // traceparent header of the start request
 }
 
 // NewStartRecorder returns an empty recorder.
@@ -35,40 +36,42 @@
 	return r
 }
 
-func (r *StartRecorder) started(lease, upstream, trace string) {
-	task := taskOf(lease)
+func (r *StartRecorder) record(lease, upstream, trace string) {
+	task := taskOfLease(lease)
 	s := &r.shards[xxhash.Sum64String(task)%recorderShards]
 	s.mu.Lock()
 	s.starts[task] = append(s.starts[task], StartRecord{lease, upstream, trace})
 	s.mu.Unlock()
 }
 
-// taskOf cuts the attempt off a lease id: "session/sequence/generation/task".
-func taskOf(lease string) string {
+// taskOfLease returns the lease ID without the attempt at its end, which leaves
+// "session/sequence/generation/task".
+func taskOfLease(lease string) string {
 	if i := strings.LastIndexByte(lease, '/'); i >= 0 {
 		return lease[:i]
 	}
 	return lease
 }
 
-// Starts returns the number of starts, and the tasks that started twice.
-func (r *StartRecorder) Starts() (total int, twice []string) {
+// Starts returns the number of starts, and the tasks that were started more than
+// once.
+func (r *StartRecorder) Starts() (total int, duplicates []string) {
 	for i := range r.shards {
 		s := &r.shards[i]
 		s.mu.Lock()
 		for task, starts := range s.starts {
 			total += len(starts)
 			if len(starts) > 1 {
-				twice = append(twice, task)
+				duplicates = append(duplicates, task)
 			}
 		}
 		s.mu.Unlock()
 	}
-	return total, twice
+	return total, duplicates
 }
 
-// StartsByPrefix returns the starts of the tasks whose name begins with prefix, such as a
-// key and a slash.
+// StartsByPrefix returns the starts of the tasks whose name begins with prefix,
+// for example a submission key and a slash.
 func (r *StartRecorder) StartsByPrefix(prefix string) []StartRecord {
 	var found []StartRecord
 	for i := range r.shards {
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -1,6 +1,6 @@
-// Package standin holds small fakes of what sedgehatch meets: upstreams and
-// the platform. They speak the real protocols over TCP, with faults to switch
-// on, and the upstreams record every start.
+// Package standin emulates the systems that sedgehatch works with: upstreams and
+// the platform. Both speak the real protocols over TCP and can inject faults. The
+// upstreams record every start of a task.
 package standin
 
 import (
@@ -19,32 +19,33 @@
 	"github.com/valyala/fasthttp"
 )
 
-// TaskPayload is the payload that a stand-in upstream understands.
+// TaskPayload is the task payload that an emulated upstream understands.
 type TaskPayload struct {
-	SleepUs int64           `json:"sleep_us,omitempty"` // the true run time, microseconds
-	Fail    bool            `json:"fail,omitempty"`
-	Echo    json.RawMessage `json:"echo,omitempty"` // comes back as the result
+	SleepUs int64           `json:"sleep_us,omitempty"` // actual run time in microseconds
+	Fail    bool            `json:"fail,omitempty"`     // the task fails at once
+	Echo    json.RawMessage `json:"echo,omitempty"`     // returned as the result
 }
 
-// UpstreamFaults are the faults of one upstream; all may change at any time.
+// UpstreamFaults are the faults that one upstream injects. They may be changed at
+// any time.
 type UpstreamFaults struct {
 	FailAll        atomic.Bool  // every task fails at once
-	DropStarts     atomic.Bool  // connections die before the start takes effect
-	DropAnswers    atomic.Bool  // connections die after it took effect
-	SlowdownFactor atomic.Int64 // run times are multiplied by this, when above 1
+	DropStarts     atomic.Bool  // connections of starts are closed before the start takes effect
+	DropAnswers    atomic.Bool  // connections of starts are closed after the start has taken effect
+	SlowdownFactor atomic.Int64 // factor of all run times, if above 1
 	Leaving        atomic.Bool  // new starts are refused
-	DropLeaseCalls atomic.Bool  // lookups and stops die unanswered
+	DropNonStarts  atomic.Bool  // all calls except starts are closed without an answer
 }
 
-// UpstreamConfig describes an upstream.
+// UpstreamConfig configures an upstream.
 type UpstreamConfig struct {
 	Info     api.UpstreamInfo
 	Recorder *StartRecorder
-	Listen   string        // host and port; empty is any port of the loopback
-	UsageLag time.Duration // how old usage reports are
+	Listen   string        // host and port; empty means a free port of the loopback interface
+	UsageLag time.Duration // maximum age of usage reports
 }
 
-// Upstream is a stand-in for a worker.
+// Upstream emulates an upstream that runs tasks.
 type Upstream struct {
 	Faults   UpstreamFaults
 	cfg      UpstreamConfig
@@ -52,23 +53,23 @@
 	server   *fasthttp.Server
 	done     chan struct{}
 
-	mu      sync.Mutex
-	leases  map[string]*lease
-	running int
-	usage   map[string]*api.ServiceUsage
-	lagged  api.Usage
-	lagAt   time.Time
+	mu          sync.Mutex
+	leases      map[string]*lease
+	running     int
+	usage       map[string]*api.ServiceUsage // by service
+	lastUsage   api.Usage                    // last report, served until it is UsageLag old
+	lastUsageAt time.Time
 }
 
 type lease struct {
-	info    api.LeaseInfo
-	over    chan struct{} // closed at the end
-	stop    chan struct{}
-	until   time.Time // what was promised; a task that outlives it runs on
-	stopped bool
+	info          api.LeaseInfo
+	taskEnded     chan struct{} // closed when the task has ended
+	stopRequested chan struct{} // closed when the task has to stop
+	expiresAt     time.Time     // not enforced: a task keeps running after it
+	stopped       bool          // stopRequested is closed
 }
 
-// StartUpstream makes an upstream and serves it.
+// StartUpstream starts an upstream.
 func StartUpstream(cfg UpstreamConfig) (*Upstream, error) {
 	if cfg.Listen == "" {
 		cfg.Listen = "127.0.0.1:0"
@@ -98,7 +99,7 @@
 // Address returns the host and port that the upstream listens on.
 func (u *Upstream) Address() string { return u.listener.Addr().String() }
 
-// Instance returns the upstream as it stands in the platform's list.
+// Instance returns the upstream's entry for the platform's list of instances.
 func (u *Upstream) Instance() api.PlatformInstance {
 	i := u.cfg.Info
 	return api.PlatformInstance{
@@ -107,14 +108,14 @@
 	}
 }
 
-// Running returns how many tasks run now.
+// Running returns the number of tasks that are running.
 func (u *Upstream) Running() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.running
 }
 
-// Close ends the upstream abruptly: running tasks die with it.
+// Close ends the upstream abruptly, along with its running tasks.
 func (u *Upstream) Close() {
 	u.mu.Lock()
 	select {
@@ -131,25 +132,25 @@
 
 func (u *Upstream) serve(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
-	if u.ended() {
-		drop(ctx)
+	if u.isClosed() {
+		dropConnection(ctx)
 		return
 	}
-	if path != api.PathTasks && u.Faults.DropLeaseCalls.Load() {
-		drop(ctx)
+	if path != api.PathTasks && u.Faults.DropNonStarts.Load() {
+		dropConnection(ctx)
 		return
 	}
 	switch path {
 	case api.PathTasks:
-		u.start(ctx)
+		u.serveStart(ctx)
 	case api.PathLease:
-		u.lookup(ctx)
+		u.serveLookup(ctx)
 	case api.PathStop:
-		u.stopLeases(ctx)
+		u.serveStop(ctx)
 	case api.PathRenew:
-		u.renew(ctx)
+		u.serveRenew(ctx)
 	case api.PathCheckpoint, api.PathThrottle:
-		u.touch(ctx)
+		u.serveNoOp(ctx)
 	case api.PathUsage:
 		writeJSON(ctx, u.usageReport())
 	case api.PathInfo:
@@ -161,8 +162,8 @@
 	}
 }
 
-// drop closes the connection without an answer.
-func drop(ctx *fasthttp.RequestCtx) {
+// dropConnection closes the connection without sending an answer.
+func dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
 }
@@ -177,38 +178,38 @@
 	ctx.SetBody(body)
 }
 
-func refuse(ctx *fasthttp.RequestCtx, status int, why api.Refusal) {
+func refuse(ctx *fasthttp.RequestCtx, status int, refusal api.Refusal) {
 	ctx.SetStatusCode(status)
 	ctx.Response.Header.Set(api.HeaderState, string(api.LeaseRefused))
-	ctx.Response.Header.Set(api.HeaderRefusal, string(why))
+	ctx.Response.Header.Set(api.HeaderRefusal, string(refusal))
 }
 
-func (u *Upstream) start(ctx *fasthttp.RequestCtx) {
+func (u *Upstream) serveStart(ctx *fasthttp.RequestCtx) {
 	if u.Faults.DropStarts.Load() {
-		drop(ctx)
+		dropConnection(ctx)
 		return
 	}
-	var work TaskPayload
-	if body := ctx.PostBody(); len(body) > 0 && json.Unmarshal(body, &work) != nil {
+	var payload TaskPayload
+	if body := ctx.PostBody(); len(body) > 0 && json.Unmarshal(body, &payload) != nil {
 		refuse(ctx, http.StatusBadRequest, api.RefusedBadRequest)
 		return
 	}
 	id := string(ctx.Request.Header.Peek(api.HeaderLease))
 	service := string(ctx.Request.Header.Peek(api.HeaderService))
-	l, why := u.admit(id, string(ctx.Request.Header.Peek(api.HeaderIncarnation)), leaseTime(ctx.Request.Header.Peek(api.HeaderLeaseMs)))
+	l, refusal := u.createLease(id, string(ctx.Request.Header.Peek(api.HeaderIncarnation)), parseLeaseDuration(ctx.Request.Header.Peek(api.HeaderLeaseMs)))
 	if l == nil {
-		refuse(ctx, http.StatusConflict, why)
+		refuse(ctx, http.StatusConflict, refusal)
 		return
 	}
-	u.cfg.Recorder.started(id, u.cfg.Info.ID, string(ctx.Request.Header.Peek(api.HeaderTrace)))
+	u.cfg.Recorder.record(id, u.cfg.Info.ID, string(ctx.Request.Header.Peek(api.HeaderTrace)))
 	if u.Faults.DropAnswers.Load() {
-		go u.run(l, service, work)
-		drop(ctx)
+		go u.runTask(l, service, payload)
+		dropConnection(ctx)
 		return
 	}
-	u.run(l, service, work)
-	if u.ended() {
-		drop(ctx)
+	u.runTask(l, service, payload)
+	if u.isClosed() {
+		dropConnection(ctx)
 		return
 	}
 	ctx.Response.Header.Set(api.HeaderState, string(l.info.State))
@@ -220,8 +221,8 @@
 	}
 }
 
-// ended reports whether the upstream has vanished.
-func (u *Upstream) ended() bool {
+// isClosed reports whether Close has been called.
+func (u *Upstream) isClosed() bool {
 	select {
 	case <-u.done:
 		return true
@@ -230,7 +231,9 @@
 	}
 }
 
-func leaseTime(text []byte) time.Duration {
+// parseLeaseDuration parses a positive number of milliseconds. Anything else
+// yields 10 s.
+func parseLeaseDuration(text []byte) time.Duration {
 	ms, err := strconv.ParseInt(string(text), 10, 64)
 	if err != nil || ms <= 0 {
 		ms = 10000
@@ -238,12 +241,12 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// admit makes the lease of a start, or says why there is none.
-func (u *Upstream) admit(id, incarnation string, length time.Duration) (*lease, api.Refusal) {
+// createLease creates the lease of a start, or returns the reason to refuse it.
+func (u *Upstream) createLease(id, incarnation string, duration time.Duration) (*lease, api.Refusal) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if known := u.leases[id]; known != nil {
-		if known.info.State == api.LeaseBarred {
+	if existing := u.leases[id]; existing != nil {
+		if existing.info.State == api.LeaseBarred {
 			return nil, api.RefusedBarred
 		}
 		return nil, api.RefusedDuplicate
@@ -259,48 +262,49 @@
 		return nil, api.RefusedNoSlot
 	}
 	l := &lease{
-		info: api.LeaseInfo{Lease: id, State: api.LeaseRunning},
-		over: make(chan struct{}), stop: make(chan struct{}), until: time.Now().Add(length),
+		info:      api.LeaseInfo{Lease: id, State: api.LeaseRunning},
+		taskEnded: make(chan struct{}), stopRequested: make(chan struct{}), expiresAt: time.Now().Add(duration),
 	}
 	u.leases[id] = l
 	u.running++
 	return l, ""
 }
 
-// run runs a task to its end.
-func (u *Upstream) run(l *lease, service string, work TaskPayload) {
-	began := time.Now()
-	length := time.Duration(work.SleepUs) * time.Microsecond
+// runTask emulates a task until it finishes, fails or is stopped.
+func (u *Upstream) runTask(l *lease, service string, payload TaskPayload) {
+	startTime := time.Now()
+	duration := time.Duration(payload.SleepUs) * time.Microsecond
 	if factor := u.Faults.SlowdownFactor.Load(); factor > 1 {
-		length *= time.Duration(factor)
+		duration *= time.Duration(factor)
 	}
 	state, text := api.LeaseFinished, ""
 	switch {
 	case u.Faults.FailAll.Load():
 		state, text = api.LeaseFailed, "this upstream fails every task"
-	case work.Fail:
-		state, text = api.LeaseFailed, "the task was told to fail"
-	case length > 0 && !u.sleep(l, length):
+	case payload.Fail:
+		state, text = api.LeaseFailed, "the task's payload requests a failure"
+	case duration > 0 && !u.sleepUnlessStopped(l, duration):
 		state, text = api.LeaseStopped, "stopped"
 	}
-	u.end(l, service, state, text, work.Echo, time.Since(began))
+	u.endLease(l, service, state, text, payload.Echo, time.Since(startTime))
 }
 
-// sleep waits for length, or reports false when the task was stopped.
-func (u *Upstream) sleep(l *lease, length time.Duration) bool {
-	timer := time.NewTimer(length)
+// sleepUnlessStopped waits for duration. It returns false early if the task is
+// stopped or the upstream closes.
+func (u *Upstream) sleepUnlessStopped(l *lease, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-l.stop:
+	case <-l.stopRequested:
 		return false
 	case <-u.done:
 		return false
 	}
 }
 
-func (u *Upstream) end(l *lease, service string, state api.LeaseState, text string, result json.RawMessage, ran time.Duration) {
+func (u *Upstream) endLease(l *lease, service string, state api.LeaseState, text string, result json.RawMessage, ran time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.running--
@@ -312,11 +316,13 @@
 			l.info.Result = json.RawMessage("null")
 		}
 	}
-	close(l.over)
-	u.account(service, state, ran)
+	close(l.taskEnded)
+	u.recordUsage(service, state, ran)
 }
 
-func (u *Upstream) account(service string, state api.LeaseState, ran time.Duration) {
+// recordUsage adds a task that has ended to the usage of its service. The caller
+// holds u.mu.
+func (u *Upstream) recordUsage(service string, state api.LeaseState, ran time.Duration) {
 	s := u.usage[service]
 	if s == nil {
 		s = &api.ServiceUsage{Service: service, CPU: 1, MemoryMB: 128}
@@ -333,36 +339,36 @@
 func (u *Upstream) usageReport() api.Usage {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if age := time.Since(u.lagAt); age < u.cfg.UsageLag {
-		report := u.lagged
+	if age := time.Since(u.lastUsageAt); age < u.cfg.UsageLag {
+		report := u.lastUsage
 		report.AgeMs = age.Milliseconds()
 		return report
 	}
-	now := api.Usage{Running: u.running}
+	usage := api.Usage{Running: u.running}
 	for _, s := range u.usage {
-		now.Services = append(now.Services, *s)
+		usage.Services = append(usage.Services, *s)
 	}
-	u.lagged, u.lagAt = now, time.Now()
-	return now
+	u.lastUsage, u.lastUsageAt = usage, time.Now()
+	return usage
 }
 
-func (u *Upstream) find(ctx *fasthttp.RequestCtx) (string, *lease) {
+func (u *Upstream) findLease(ctx *fasthttp.RequestCtx) (string, *lease) {
 	id := string(ctx.QueryArgs().Peek("id"))
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return id, u.leases[id]
 }
 
-// answer tells of a lease as it is now.
-func (u *Upstream) answer(ctx *fasthttp.RequestCtx, l *lease) {
+// writeLease sends the current state of a lease as the answer.
+func (u *Upstream) writeLease(ctx *fasthttp.RequestCtx, l *lease) {
 	u.mu.Lock()
 	info := l.info
 	u.mu.Unlock()
 	writeJSON(ctx, info)
 }
 
-func (u *Upstream) lookup(ctx *fasthttp.RequestCtx) {
-	id, l := u.find(ctx)
+func (u *Upstream) serveLookup(ctx *fasthttp.RequestCtx) {
+	id, l := u.findLease(ctx)
 	if l == nil {
 		writeJSON(ctx, api.LeaseInfo{Lease: id, State: api.LeaseNeverSeen})
 		return
@@ -371,26 +377,27 @@
 		timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 		defer timer.Stop()
 		select {
-		case <-l.over:
+		case <-l.taskEnded:
 		case <-timer.C:
 		case <-u.done:
 		}
 	}
-	u.answer(ctx, l)
+	u.writeLease(ctx, l)
 }
 
-// stopLeases stops every lease that is named, and answers for each in turn.
-func (u *Upstream) stopLeases(ctx *fasthttp.RequestCtx) {
+// serveStop stops all leases in the request, waits until their tasks have ended,
+// and sends their states in the order of the request.
+func (u *Upstream) serveStop(ctx *fasthttp.RequestCtx) {
 	var leases []*lease
 	for _, id := range ctx.QueryArgs().PeekMulti("id") {
-		leases = append(leases, u.stopOne(string(id)))
+		leases = append(leases, u.stopLease(string(id)))
 	}
 	infos := make([]api.LeaseInfo, 0, len(leases))
 	for _, l := range leases {
 		select {
-		case <-l.over:
+		case <-l.taskEnded:
 		case <-u.done:
-			drop(ctx)
+			dropConnection(ctx)
 			return
 		}
 		u.mu.Lock()
@@ -400,34 +407,36 @@
 	writeJSON(ctx, infos)
 }
 
-// stopOne stops a running lease, and bars one that was never seen.
-func (u *Upstream) stopOne(id string) *lease {
+// stopLease stops the task of a running lease. It bars a lease that was never
+// seen: a later start under it is refused.
+func (u *Upstream) stopLease(id string) *lease {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	l := u.leases[id]
 	if l == nil {
-		l = &lease{info: api.LeaseInfo{Lease: id, State: api.LeaseBarred}, over: make(chan struct{})}
-		close(l.over)
+		l = &lease{info: api.LeaseInfo{Lease: id, State: api.LeaseBarred}, taskEnded: make(chan struct{})}
+		close(l.taskEnded)
 		u.leases[id] = l
 	}
 	if l.info.State == api.LeaseRunning && !l.stopped {
 		l.stopped = true
-		close(l.stop)
+		close(l.stopRequested)
 	}
 	return l
 }
 
-func (u *Upstream) renew(ctx *fasthttp.RequestCtx) {
-	_, l := u.find(ctx)
+func (u *Upstream) serveRenew(ctx *fasthttp.RequestCtx) {
+	_, l := u.findLease(ctx)
 	if l == nil {
-		u.lookup(ctx)
+		u.serveLookup(ctx)
 		return
 	}
 	u.mu.Lock()
-	l.until = time.Now().Add(leaseTime(ctx.QueryArgs().Peek("lease_ms")))
+	l.expiresAt = time.Now().Add(parseLeaseDuration(ctx.QueryArgs().Peek("lease_ms")))
 	u.mu.Unlock()
-	u.answer(ctx, l)
+	u.writeLease(ctx, l)
 }
 
-// touch answers a checkpoint or a throttle, which change nothing here.
-func (u *Upstream) touch(ctx *fasthttp.RequestCtx) { u.lookup(ctx) }
+// serveNoOp answers a checkpoint or a throttle request, neither of which has an
+// effect on emulated tasks, with the state of the lease.
+func (u *Upstream) serveNoOp(ctx *fasthttp.RequestCtx) { u.serveLookup(ctx) }
