--- a/experiment/cluster.go
+++ b/experiment/cluster.go
@@ -1,6 +1,12 @@
-// Package experiment runs entries, stand-in upstreams and a stand-in platform
-// over TCP on the loopback in one process, loads them, and checks what must
-// always hold from the upstreams' own records.
+// Package experiment runs a fleet in one process: entry instances, emulated
+// upstreams and an emulated platform, connected over TCP on the loopback
+// interface. It submits load, injects faults, and checks the invariants against
+// the task starts that the upstreams recorded.
+//
+// The home of a job is the entry instance that accepted it. The witness of the
+// job is the entry instance that replicates its home's log and takes over when
+// the home is lost. A broker is the entry instance that allocates the slots of one
+// pool of upstreams. The fate of a job is its final outcome for the caller.
 package experiment
 
 import (
@@ -23,37 +29,40 @@
 	"github.com/sedgehatch/sedgehatch/tracing"
 )
 
-// ZoneSpec is one availability zone of a cluster.
+// ZoneSpec is an availability zone of a cluster, with its numbers of entry
+// instances and upstreams.
 type ZoneSpec struct {
 	Name      string
 	Entries   int
 	Upstreams int
 }
 
-// ClusterSpec describes a cluster.
+// ClusterSpec describes a cluster. Most zero fields are replaced by defaults.
 type ClusterSpec struct {
 	Zones                []ZoneSpec
-	Slots                int // of each upstream
-	CPU                  float64
-	MemoryMB             uint64
-	PerRack              int // upstreams in one rack
+	Slots                int     // slots of each upstream
+	CPU                  float64 // cores of each upstream
+	MemoryMB             uint64  // memory of each upstream
+	PerRack              int     // upstreams in one rack
 	HeartbeatInterval    time.Duration
 	Membership           membership.Config
-	InstancePollInterval time.Duration
+	InstancePollInterval time.Duration // between reads of the platform's list of instances
 	Dispatch             dispatch.Config
-	Logger               *slog.Logger
+	Logger               *slog.Logger // nil discards all log entries
 	Tracer               *tracing.Tracer
-	UsageLag             time.Duration
-	// Network delays and cuts what entries open; nil is the plain loopback.
+	UsageLag             time.Duration // maximum age of the upstreams' usage reports
+	// Network delays and partitions the connections that entry instances open;
+	// nil uses the loopback interface as it is.
 	Network *Network
-	// Settings is the tree, in INI, that is in force from the start.
+	// Settings is the settings tree, as INI text, that is in force from the start.
 	Settings string
 }
 
-// platformZone is where the platform is, for cuts.
+// platformZone is the zone of the platform in a Network, so that zones can be
+// partitioned from it.
 const platformZone = "platform"
 
-func (s *ClusterSpec) fill() {
+func (s *ClusterSpec) applyDefaults() {
 	if s.Slots == 0 {
 		s.Slots = 8
 	}
@@ -72,41 +81,43 @@
 	if s.InstancePollInterval == 0 {
 		s.InstancePollInterval = 500 * time.Millisecond
 	}
-	s.Logger = s.quietLog()
+	s.Logger = s.loggerOrDiscard()
 }
 
-// quietLog returns the spec's logger, or one that drops all.
-func (s *ClusterSpec) quietLog() *slog.Logger {
+// loggerOrDiscard returns the spec's logger, or one that discards all entries if
+// there is none.
+func (s *ClusterSpec) loggerOrDiscard() *slog.Logger {
 	if s.Logger == nil {
 		return slog.New(slog.DiscardHandler)
 	}
 	return s.Logger
 }
 
-// Cluster is a running fleet in one process.
+// Cluster is a fleet that runs in this process.
 type Cluster struct {
 	Spec      ClusterSpec
 	Platform  *standin.Platform
 	Recorder  *standin.StartRecorder
 	Upstreams []*standin.Upstream
 
-	mu     sync.Mutex
-	nodes  map[string]*entry.Node
-	past   []*entry.Node // killed or stopped; their counters still count
-	losses []Loss
-	zones  map[string]string
-	ports  map[string]entry.Config // where each entry listened first
-	order  []string
+	mu           sync.Mutex
+	nodes        map[string]*entry.Node
+	stoppedNodes []*entry.Node // killed or shut down; Messages still counts their messages
+	losses       []Loss
+	zoneOf       map[string]string       // zone of each entry instance, by name
+	configs      map[string]entry.Config // configuration of each entry instance, by name; restarts reuse its addresses
+	entryNames   []string
 }
 
-// StartCluster starts a cluster and waits until its entries know each other.
+// StartCluster starts a cluster and waits until its entry instances have
+// discovered each other and the upstreams.
 func StartCluster(spec ClusterSpec) (*Cluster, error) {
-	spec.fill()
+	spec.applyDefaults()
 	p, err := standin.StartPlatform("")
 	if err != nil {
 		return nil, err
 	}
-	c := &Cluster{Spec: spec, Platform: p, Recorder: standin.NewStartRecorder(), nodes: map[string]*entry.Node{}, zones: map[string]string{}, ports: map[string]entry.Config{}}
+	c := &Cluster{Spec: spec, Platform: p, Recorder: standin.NewStartRecorder(), nodes: map[string]*entry.Node{}, zoneOf: map[string]string{}, configs: map[string]entry.Config{}}
 	if err := c.start(); err != nil {
 		c.Close()
 		return nil, err
@@ -115,8 +126,8 @@
 }
 
 func (c *Cluster) start() error {
-	c.locate(c.Platform.Address(), platformZone)
-	if err := c.putSettings(); err != nil {
+	c.setZone(c.Platform.Address(), platformZone)
+	if err := c.writeInitialSettings(); err != nil {
 		return err
 	}
 	for _, z := range c.Spec.Zones {
@@ -127,14 +138,14 @@
 		}
 		for i := range z.Entries {
 			name := fmt.Sprintf("%s-e%d", z.Name, i)
-			c.zones[name] = z.Name
-			c.order = append(c.order, name)
+			c.zoneOf[name] = z.Name
+			c.entryNames = append(c.entryNames, name)
 			if _, err := c.StartEntry(name); err != nil {
 				return err
 			}
 		}
 	}
-	return c.AwaitMembers(len(c.order), 10*time.Second)
+	return c.AwaitMembers(len(c.entryNames), 10*time.Second)
 }
 
 func (c *Cluster) addUpstream(zone string, i int) error {
@@ -149,25 +160,25 @@
 		return err
 	}
 	c.Upstreams = append(c.Upstreams, u)
-	c.locate(u.Address(), zone)
+	c.setZone(u.Address(), zone)
 	c.Platform.PutInstance(u.Instance())
 	return nil
 }
 
-// StartEntry starts an entry, or starts it again as a new incarnation.
+// StartEntry starts an entry instance, or restarts it as a new incarnation.
 func (c *Cluster) StartEntry(name string) (*entry.Node, error) {
 	cfg := entry.Config{
-		Fleet: "experiment", Instance: name, Zone: c.zones[name], Rack: name + "-rack",
+		Fleet: "experiment", Instance: name, Zone: c.zoneOf[name], Rack: name + "-rack",
 		ListenCallers: "127.0.0.1:0", ListenInner: "127.0.0.1:0", PlatformAddress: c.Platform.Address(),
 		DrainTimeout: 30 * time.Second, HeartbeatInterval: c.Spec.HeartbeatInterval, InstancePollInterval: c.Spec.InstancePollInterval,
 		Membership: c.Spec.Membership, Dispatch: c.Spec.Dispatch,
 	}
-	if before, again := c.ports[name]; again {
-		cfg.ListenCallers, cfg.ListenInner = before.ListenCallers, before.ListenInner
+	if previous, restarted := c.configs[name]; restarted {
+		cfg.ListenCallers, cfg.ListenInner = previous.ListenCallers, previous.ListenInner
 	}
-	for other, listens := range c.ports {
+	for other, otherConfig := range c.configs {
 		if other != name {
-			cfg.Seeds = append(cfg.Seeds, listens.ListenInner)
+			cfg.Seeds = append(cfg.Seeds, otherConfig.ListenInner)
 		}
 	}
 	n, err := entry.New(cfg, c.hooks(name), c.Spec.Logger)
@@ -175,9 +186,9 @@
 		return nil, err
 	}
 	cfg.ListenCallers, cfg.ListenInner = n.CallerAddress(), n.Instance().Address
-	c.ports[name] = cfg
-	c.locate(n.Instance().Address, c.zones[name])
-	c.locate(n.CallerAddress(), c.zones[name])
+	c.configs[name] = cfg
+	c.setZone(n.Instance().Address, c.zoneOf[name])
+	c.setZone(n.CallerAddress(), c.zoneOf[name])
 	c.Platform.PutInstance(n.Instance())
 	n.Run()
 	c.mu.Lock()
@@ -186,13 +197,14 @@
 	return n, nil
 }
 
-// hooks sends what an entry opens through the network.
+// hooks returns hooks that open the connections of an entry instance through the
+// spec's Network, if there is one.
 func (c *Cluster) hooks(name string) entry.Hooks {
 	h := entry.Hooks{Tracer: c.Spec.Tracer}
 	if c.Spec.Network == nil {
 		return h
 	}
-	zone := c.zones[name]
+	zone := c.zoneOf[name]
 	dial := func(address string) (net.Conn, error) { return c.Spec.Network.Dial(zone, address) }
 	h.DialInner = func(_ context.Context, address string) (net.Conn, error) { return dial(address) }
 	h.DialUpstream = dial
@@ -200,52 +212,53 @@
 	return h
 }
 
-// locate tells the network where an address is.
-func (c *Cluster) locate(address, zone string) {
+// setZone records the zone of an address in the spec's Network, if there is one.
+func (c *Cluster) setZone(address, zone string) {
 	if c.Spec.Network != nil {
 		c.Spec.Network.SetZone(address, zone)
 	}
 }
 
-// store returns the settings at the platform.
-func (c *Cluster) store() *settings.Store {
+// settingsStore returns a client of the settings that the platform stores.
+func (c *Cluster) settingsStore() *settings.Store {
 	return settings.NewStore(kv.NewClient(c.Platform.Address(), nil, nil), func() int64 { return time.Now().UnixMilli() })
 }
 
-// putSettings makes the spec's settings the first revision.
-func (c *Cluster) putSettings() error {
+// writeInitialSettings stores the spec's settings as the first revision.
+func (c *Cluster) writeInitialSettings() error {
 	if c.Spec.Settings == "" {
 		return nil
 	}
-	_, _, err := c.store().Update(0, "experiment", func(*settings.Tree) (*settings.Tree, []error) { return settings.Parse(c.Spec.Settings) })
+	_, _, err := c.settingsStore().Update(0, "experiment", func(*settings.Tree) (*settings.Tree, []error) { return settings.Parse(c.Spec.Settings) })
 	return err
 }
 
-// AwaitMembers waits until every entry hears want entries, itself included,
-// and knows the upstreams.
-func (c *Cluster) AwaitMembers(want int, within time.Duration) error {
-	deadline := time.Now().Add(within)
+// AwaitMembers waits until every running entry instance has count members in its
+// membership table, itself included, has discovered all upstreams, and applies
+// the settings if the spec has any.
+func (c *Cluster) AwaitMembers(count int, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for {
 		ready := true
 		for _, n := range c.Nodes() {
-			ready = ready && n.FleetSizeAtLeast(want, len(c.Upstreams)) && (c.Spec.Settings == "" || n.Revision() > 0)
+			ready = ready && n.FleetSizeAtLeast(count, len(c.Upstreams)) && (c.Spec.Settings == "" || n.Revision() > 0)
 		}
 		if ready {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return failure.Timeout.New("the entries did not find each other within %v", within)
+			return failure.Timeout.New("entry instances did not discover each other within %v", timeout)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// Nodes returns the entries that run.
+// Nodes returns the running entry instances.
 func (c *Cluster) Nodes() []*entry.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []*entry.Node
-	for _, name := range c.order {
+	for _, name := range c.entryNames {
 		if n := c.nodes[name]; n != nil {
 			list = append(list, n)
 		}
@@ -253,45 +266,46 @@
 	return list
 }
 
-// Node returns a running entry by name, or nil.
+// Node returns the running entry instance with the given name, or nil.
 func (c *Cluster) Node(name string) *entry.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes[name]
 }
 
-// Names returns the names of all entries, running or not.
-func (c *Cluster) Names() []string { return c.order }
+// Names returns the names of all entry instances, running or not.
+func (c *Cluster) Names() []string { return c.entryNames }
 
-// take removes an entry from those that run.
-func (c *Cluster) take(name string) *entry.Node {
+// removeNode removes an entry instance from the running ones and returns it, or
+// nil if it was not running.
+func (c *Cluster) removeNode(name string) *entry.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.nodes[name]
 	delete(c.nodes, name)
 	if n != nil {
-		c.past = append(c.past, n)
+		c.stoppedNodes = append(c.stoppedNodes, n)
 	}
 	return n
 }
 
-// Loss is an entry that was killed, and when.
+// Loss records that an entry instance was killed, and when.
 type Loss struct {
 	Name string
 	At   time.Time
 }
 
-// Losses returns the entries that were killed so far.
+// Losses returns the entry instances that were killed so far, with the times.
 func (c *Cluster) Losses() []Loss {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Loss(nil), c.losses...)
 }
 
-// KillEntry ends an entry abruptly. The platform's list keeps it for a while,
-// as it would.
+// KillEntry ends an entry instance abruptly. It stays in the platform's list of
+// instances, as a crashed instance does for a while.
 func (c *Cluster) KillEntry(name string) {
-	if n := c.take(name); n != nil {
+	if n := c.removeNode(name); n != nil {
 		c.mu.Lock()
 		c.losses = append(c.losses, Loss{name, time.Now()})
 		c.mu.Unlock()
@@ -299,13 +313,15 @@
 	}
 }
 
-// StopEntry stops an entry as planned, and reports whether it drained.
+// StopEntry shuts an entry instance down gracefully. It reports whether all work
+// of the instance ended before the shutdown did, or the instance was not running.
 func (c *Cluster) StopEntry(ctx context.Context, name string) bool {
-	n := c.take(name)
+	n := c.removeNode(name)
 	return n == nil || n.Stop(ctx)
 }
 
-// CallerAddresses returns where the running entries take callers.
+// CallerAddresses returns the addresses at which the running entry instances
+// accept callers.
 func (c *Cluster) CallerAddresses() []string {
 	var list []string
 	for _, n := range c.Nodes() {
@@ -314,16 +330,17 @@
 	return list
 }
 
-// Client returns a client of the running entries.
+// Client returns a client that calls the running entry instances as caller.
 func (c *Cluster) Client(caller string) (*client.Client, error) {
 	return client.New(client.Config{Entries: c.CallerAddresses(), Caller: caller, Tracer: c.Spec.Tracer})
 }
 
-// Messages returns what all entries sent so far, and what of it was wasted, by
-// kind.
+// Messages returns the number of messages that all entry instances have sent so
+// far, and how many of these were wasted, by kind. It includes instances that
+// have ended.
 func (c *Cluster) Messages() (sent, wasted map[string]int64) {
 	c.mu.Lock()
-	nodes := append([]*entry.Node(nil), c.past...)
+	nodes := append([]*entry.Node(nil), c.stoppedNodes...)
 	for _, n := range c.nodes {
 		nodes = append(nodes, n)
 	}
@@ -335,9 +352,9 @@
 	return sent, wasted
 }
 
-// Close ends everything.
+// Close ends the entry instances, the upstreams and the platform.
 func (c *Cluster) Close() {
-	for _, name := range c.order {
+	for _, name := range c.entryNames {
 		c.KillEntry(name)
 	}
 	for _, u := range c.Upstreams {
@@ -346,14 +363,14 @@
 	c.Platform.Close()
 }
 
-// idleWait is how long places may stay held after the last job's fate: tasks
-// of failed jobs run on for a while.
-const idleWait = 10 * time.Second
+// slotReleaseTimeout is how long slots may stay held after the last job has its
+// fate. Tasks of failed jobs keep running for a while.
+const slotReleaseTimeout = 10 * time.Second
 
-// LeakedSlots waits until nothing is held any more, and returns how many places are
-// held all the same.
+// LeakedSlots waits until no slots are held any more, for slotReleaseTimeout at
+// most, and returns how many still are.
 func (c *Cluster) LeakedSlots() int {
-	deadline := time.Now().Add(idleWait)
+	deadline := time.Now().Add(slotReleaseTimeout)
 	for {
 		held := 0
 		for _, n := range c.Nodes() {
@@ -366,7 +383,7 @@
 	}
 }
 
-// RunningTasks returns how many tasks run at the upstreams now.
+// RunningTasks returns how many tasks are running on the upstreams.
 func (c *Cluster) RunningTasks() int {
 	running := 0
 	for _, u := range c.Upstreams {
@@ -375,12 +392,13 @@
 	return running
 }
 
-// quietMembership fits many entries on one machine, where silence may mean that
-// the machine is busy.
-var quietMembership = membership.Config{SuspectMs: 5000, DeadMs: 10000}
+// tolerantMembership has long timeouts, for many entry instances on one machine:
+// missing heartbeats may only mean that the machine is busy.
+var tolerantMembership = membership.Config{SuspectMs: 5000, DeadMs: 10000}
 
-// listIdle lists upstreams that do not run, to see what knowing them costs.
-func (c *Cluster) listIdle(count int) {
+// addUnreachableUpstreams adds count upstreams that do not run to the platform's
+// list, to measure what tracking them costs the entry instances.
+func (c *Cluster) addUnreachableUpstreams(count int) {
 	for i := range count {
 		zone := c.Spec.Zones[i%len(c.Spec.Zones)].Name
 		c.Platform.PutInstance(api.PlatformInstance{
--- a/experiment/cluster_test.go
+++ b/experiment/cluster_test.go
@@ -13,7 +13,9 @@
 	"github.com/sedgehatch/sedgehatch/standin"
 )
 
-func small(t *testing.T, edit func(*ClusterSpec)) *Cluster {
+// newTestCluster starts a cluster of two zones, with two entry instances and
+// three upstreams in each. edit, if not nil, changes its spec before.
+func newTestCluster(t *testing.T, edit func(*ClusterSpec)) *Cluster {
 	t.Helper()
 	spec := ClusterSpec{
 		Zones:             []ZoneSpec{{"a", 2, 3}, {"b", 2, 3}},
@@ -30,13 +32,14 @@
 	return c
 }
 
-func work(sleep time.Duration, echo string) api.Task {
+// sleepTask returns a task that sleeps and then returns echo as its result.
+func sleepTask(sleep time.Duration, echo string) api.Task {
 	payload, _ := json.Marshal(standin.TaskPayload{SleepUs: sleep.Microseconds(), Echo: json.RawMessage(echo)})
 	return api.Task{RunMs: uint32(sleep.Milliseconds()), Payload: payload}
 }
 
 func TestWholeAnswer(t *testing.T) {
-	c := small(t, nil)
+	c := newTestCluster(t, nil)
 	cl, err := c.Client("desk")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +47,7 @@
 	defer cl.Close()
 	job := client.Job{Service: "wardrobe-desk"}
 	for i := range 50 {
-		job.Tasks = append(job.Tasks, work(10*time.Millisecond, fmt.Sprint(i)))
+		job.Tasks = append(job.Tasks, sleepTask(10*time.Millisecond, fmt.Sprint(i)))
 	}
 	answer, err := cl.Do(context.Background(), job)
 	if err != nil {
@@ -58,7 +61,7 @@
 			t.Errorf("task %d has result %s", i, task.Result)
 		}
 	}
-	if starts, twice := c.Recorder.Starts(); starts != 50 || len(twice) > 0 {
-		t.Errorf("%d starts, twice: %v", starts, twice)
+	if starts, duplicates := c.Recorder.Starts(); starts != 50 || len(duplicates) > 0 {
+		t.Errorf("%d starts, started more than once: %v", starts, duplicates)
 	}
 }
--- a/experiment/failure_test.go
+++ b/experiment/failure_test.go
@@ -24,8 +24,9 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// quick makes failures be noticed soon.
-func quick(s *ClusterSpec) {
+// detectFailuresFast shortens the timeouts after which failures are detected. If
+// SEDGE_DEBUG is set, it also sends the cluster's log to standard error.
+func detectFailuresFast(s *ClusterSpec) {
 	if os.Getenv("SEDGE_DEBUG") != "" {
 		s.Logger = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
@@ -33,15 +34,16 @@
 	s.Dispatch = dispatch.Config{WitnessTimeout: 300 * time.Millisecond, UpstreamLostAfter: time.Second}
 }
 
-func tasks(n int, sleep time.Duration) client.Job {
+// sleepJob returns a job of n tasks. Each sleeps and then returns its index.
+func sleepJob(n int, sleep time.Duration) client.Job {
 	job := client.Job{Service: "desk", Deadline: 20 * time.Second}
 	for i := range n {
-		job.Tasks = append(job.Tasks, work(sleep, fmt.Sprint(i)))
+		job.Tasks = append(job.Tasks, sleepTask(sleep, fmt.Sprint(i)))
 	}
 	return job
 }
 
-func callers(t *testing.T, c *Cluster) *client.Client {
+func newClient(t *testing.T, c *Cluster) *client.Client {
 	t.Helper()
 	cl, err := c.Client("desk")
 	if err != nil {
@@ -60,8 +62,9 @@
 	return s
 }
 
-// homeOf returns the names of the home and the witness of a submission.
-func homeOf(t *testing.T, s *client.Submission) (home, witness string) {
+// homeAndWitness returns the names of the entry instances that are the home and
+// the witness of a submission.
+func homeAndWitness(t *testing.T, s *client.Submission) (home, witness string) {
 	t.Helper()
 	log, err := s.Key().Session.Log()
 	if err != nil {
@@ -70,8 +73,8 @@
 	return log.Home.Instance(), log.Witness.Instance()
 }
 
-// await polls for a condition of the test's own making.
-func await(t *testing.T, what string, ok func() bool) {
+// waitFor polls until ok returns true, and fails the test after 10 s.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -80,18 +83,19 @@
 	}
 }
 
-func (c *Cluster) startsOf(key fate.Key) int {
+// startCount returns how many task starts the upstreams recorded for a job.
+func (c *Cluster) startCount(key fate.Key) int {
 	return len(c.Recorder.StartsByPrefix(key.String() + "/"))
 }
 
-func checkStarts(t *testing.T, c *Cluster) {
+func checkNoDuplicateStarts(t *testing.T, c *Cluster) {
 	t.Helper()
-	if _, twice := c.Recorder.Starts(); len(twice) > 0 {
-		t.Errorf("started twice: %v", twice)
+	if _, duplicates := c.Recorder.Starts(); len(duplicates) > 0 {
+		t.Errorf("started more than once: %v", duplicates)
 	}
 }
 
-func wantComplete(t *testing.T, answer api.Answer, err error, n int) {
+func requireComplete(t *testing.T, answer api.Answer, err error, n int) {
 	t.Helper()
 	if err != nil || answer.Fate != fate.Complete || len(answer.Tasks) != n {
 		t.Fatalf("answer %s %s with %d tasks, %v", answer.Fate, answer.Reason, len(answer.Tasks), err)
@@ -103,146 +107,149 @@
 	}
 }
 
-// told is what came of a call.
-type told struct {
+// callResult is the result of a submission to an entry instance.
+type callResult struct {
 	answer api.Answer
 	err    error
 }
 
-// background submits to one entry, and returns where its answer will come.
-func background(s *client.Submission, entry string) chan told {
-	done := make(chan told, 1)
+// submitInBackground submits to the entry instance at the address entry, and
+// returns a channel that will receive the result.
+func submitInBackground(s *client.Submission, entry string) chan callResult {
+	done := make(chan callResult, 1)
 	go func() {
 		answer, err := s.SendTo(context.Background(), entry)
-		done <- told{answer, err}
+		done <- callResult{answer, err}
 	}()
 	return done
 }
 
 func TestHomeLostWhileTasksRun(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(20, 300*time.Millisecond))
-	home, witness := homeOf(t, s)
-	lost := background(s, c.Node(home).CallerAddress())
-	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 20 })
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(20, 300*time.Millisecond))
+	home, witness := homeAndWitness(t, s)
+	result := submitInBackground(s, c.Node(home).CallerAddress())
+	waitFor(t, "every task to start", func() bool { return c.startCount(s.Key()) == 20 })
 	c.KillEntry(home)
-	if got := <-lost; got.err == nil {
-		t.Error("the lost home answered")
+	if got := <-result; got.err == nil {
+		t.Error("the killed home answered")
 	}
 	answer, err := s.SendTo(context.Background(), c.Node(witness).CallerAddress())
-	wantComplete(t, answer, err, 20)
-	checkStarts(t, c)
+	requireComplete(t, answer, err, 20)
+	checkNoDuplicateStarts(t, c)
 }
 
-// More tasks than slots: the witness starts those that its home had not.
+// The job has more tasks than there are slots when its home is killed. The witness
+// starts the tasks that the home had not started.
 func TestHomeLostWhileTasksWait(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(120, 200*time.Millisecond))
-	home, witness := homeOf(t, s)
-	background(s, c.Node(home).CallerAddress())
-	await(t, "some tasks to start", func() bool { return c.startsOf(s.Key()) >= 48 })
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(120, 200*time.Millisecond))
+	home, witness := homeAndWitness(t, s)
+	submitInBackground(s, c.Node(home).CallerAddress())
+	waitFor(t, "some tasks to start", func() bool { return c.startCount(s.Key()) >= 48 })
 	c.KillEntry(home)
 	answer, err := s.SendTo(context.Background(), c.Node(witness).CallerAddress())
-	wantComplete(t, answer, err, 120)
-	checkStarts(t, c)
+	requireComplete(t, answer, err, 120)
+	checkNoDuplicateStarts(t, c)
 }
 
-// A resubmission may reach any entry, at any moment; each gets the same answer.
+// A job may be resubmitted to any entry instance, at any time. All of them give
+// the same answer.
 func TestResubmissionAnywhere(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(10, 100*time.Millisecond))
-	home, _ := homeOf(t, s)
-	first := background(s, c.Node(home).CallerAddress())
-	await(t, "a start", func() bool { return c.startsOf(s.Key()) > 0 })
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(10, 100*time.Millisecond))
+	home, _ := homeAndWitness(t, s)
+	first := submitInBackground(s, c.Node(home).CallerAddress())
+	waitFor(t, "a start", func() bool { return c.startCount(s.Key()) > 0 })
 	for _, address := range c.CallerAddresses() {
 		answer, err := s.SendTo(context.Background(), address)
-		wantComplete(t, answer, err, 10)
+		requireComplete(t, answer, err, 10)
 	}
 	if got := <-first; got.err != nil {
 		t.Error(got.err)
 	}
-	if n := c.startsOf(s.Key()); n != 10 {
+	if n := c.startCount(s.Key()); n != 10 {
 		t.Errorf("%d starts", n)
 	}
 }
 
 func TestWitnessLost(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(10, 300*time.Millisecond))
-	home, witness := homeOf(t, s)
-	first := background(s, c.Node(home).CallerAddress())
-	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 10 })
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(10, 300*time.Millisecond))
+	home, witness := homeAndWitness(t, s)
+	first := submitInBackground(s, c.Node(home).CallerAddress())
+	waitFor(t, "every task to start", func() bool { return c.startCount(s.Key()) == 10 })
 	c.KillEntry(witness)
 	got := <-first
-	wantComplete(t, got.answer, got.err, 10)
-	answer, err := cl.Do(context.Background(), tasks(5, time.Millisecond))
-	wantComplete(t, answer, err, 5)
-	checkStarts(t, c)
+	requireComplete(t, got.answer, got.err, 10)
+	answer, err := cl.Do(context.Background(), sleepJob(5, time.Millisecond))
+	requireComplete(t, answer, err, 5)
+	checkNoDuplicateStarts(t, c)
 }
 
 func TestHomeAndWitnessLost(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(10, 200*time.Millisecond))
-	home, witness := homeOf(t, s)
-	background(s, c.Node(home).CallerAddress())
-	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 10 })
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(10, 200*time.Millisecond))
+	home, witness := homeAndWitness(t, s)
+	submitInBackground(s, c.Node(home).CallerAddress())
+	waitFor(t, "every task to start", func() bool { return c.startCount(s.Key()) == 10 })
 	c.KillEntry(home)
 	c.KillEntry(witness)
 	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	if err != nil || answer.Fate != fate.Unknown {
 		t.Errorf("answer %s, %v", answer.Fate, err)
 	}
-	checkStarts(t, c)
+	checkNoDuplicateStarts(t, c)
 }
 
-// A job that never reached the witness is proved not run.
+// A job that never reached its witness provably did not run, and is reported so.
 func TestNotRunIsProved(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(3, time.Millisecond))
-	home, _ := homeOf(t, s)
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(3, time.Millisecond))
+	home, _ := homeAndWitness(t, s)
 	c.KillEntry(home)
 	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	if err != nil || answer.Fate != fate.NotRun {
 		t.Fatalf("answer %s, %v", answer.Fate, err)
 	}
-	if n := c.startsOf(s.Key()); n != 0 {
-		t.Errorf("%d starts of a job that was told not run", n)
+	if n := c.startCount(s.Key()); n != 0 {
+		t.Errorf("%d starts of a job that was reported as not run", n)
 	}
-	whole, err := cl.Do(context.Background(), tasks(3, time.Millisecond))
-	wantComplete(t, whole, err, 3)
+	resubmitted, err := cl.Do(context.Background(), sleepJob(3, time.Millisecond))
+	requireComplete(t, resubmitted, err, 3)
 }
 
 func TestCancel(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(200, 300*time.Millisecond))
-	home, _ := homeOf(t, s)
-	done := background(s, c.Node(home).CallerAddress())
-	await(t, "a start", func() bool { return c.startsOf(s.Key()) > 0 })
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(200, 300*time.Millisecond))
+	home, _ := homeAndWitness(t, s)
+	done := submitInBackground(s, c.Node(home).CallerAddress())
+	waitFor(t, "a start", func() bool { return c.startCount(s.Key()) > 0 })
 	answer, err := cl.Cancel(context.Background(), s.Key())
 	if err != nil || answer.Fate != fate.Failed || answer.Reason != fate.ReasonCancelled {
 		t.Fatalf("answer %s %s, %v", answer.Fate, answer.Reason, err)
 	}
 	if got := <-done; got.answer.Fate != fate.Failed {
-		t.Errorf("the caller was told %s", got.answer.Fate)
+		t.Errorf("the caller got the fate %s", got.answer.Fate)
 	}
-	whole, err := cl.Do(context.Background(), tasks(48, time.Millisecond))
-	wantComplete(t, whole, err, 48)
-	if n := c.startsOf(s.Key()); n > 60 {
+	next, err := cl.Do(context.Background(), sleepJob(48, time.Millisecond))
+	requireComplete(t, next, err, 48)
+	if n := c.startCount(s.Key()); n > 60 {
 		t.Errorf("%d tasks of a cancelled job started", n)
 	}
 }
 
 func TestNeverFits(t *testing.T) {
-	c := small(t, nil)
-	cl := callers(t, c)
-	job := tasks(2, time.Millisecond)
+	c := newTestCluster(t, nil)
+	cl := newClient(t, c)
+	job := sleepJob(2, time.Millisecond)
 	job.Tasks[1].CPU = 1000
 	answer, err := cl.Do(context.Background(), job)
 	if err != nil || answer.Fate != fate.NotRun || answer.Reason != fate.ReasonNeverFits {
@@ -254,11 +261,11 @@
 }
 
 func TestLargestJob(t *testing.T) {
-	c := small(t, nil)
-	cl := callers(t, c)
-	answer, err := cl.Do(context.Background(), tasks(api.MaxTasks, time.Millisecond))
-	wantComplete(t, answer, err, api.MaxTasks)
-	_, err = cl.Do(context.Background(), tasks(api.MaxTasks+1, 0))
+	c := newTestCluster(t, nil)
+	cl := newClient(t, c)
+	answer, err := cl.Do(context.Background(), sleepJob(api.MaxTasks, time.Millisecond))
+	requireComplete(t, answer, err, api.MaxTasks)
+	_, err = cl.Do(context.Background(), sleepJob(api.MaxTasks+1, 0))
 	if !failure.Is(err, failure.TooLarge) || failure.FieldOf(err) != "tasks" {
 		t.Errorf("error %v", err)
 	}
@@ -272,16 +279,16 @@
 }
 
 func TestDeadline(t *testing.T) {
-	c := small(t, nil)
-	cl := callers(t, c)
+	c := newTestCluster(t, nil)
+	cl := newClient(t, c)
 	var answer api.Answer
-	// Where the machine is busy a short deadline passes before anything has started.
-	// Then "not run" has to be true, and a longer one is tried.
+	// On a busy machine, a short deadline may pass before any task has started.
+	// Then the answer "not run" must be true, and a longer deadline is tried.
 	for deadline := 200 * time.Millisecond; deadline < longTask; deadline *= 2 {
-		job := tasks(4, longTask)
+		job := sleepJob(4, longTask)
 		job.Deadline = deadline
 		for i := range job.Tasks {
-			job.Tasks[i].RunMs = 10 // declared far off
+			job.Tasks[i].RunMs = 10 // far below the actual run time
 		}
 		before, _ := c.Recorder.Starts()
 		var err error
@@ -303,57 +310,59 @@
 	}
 }
 
-// longTask is how long the tasks of TestDeadline work: beyond any deadline in it.
+// longTask is how long the tasks of TestDeadline run: longer than any deadline in
+// it.
 const longTask = 5 * time.Second
 
-// An upstream may answer after its lease has ended: the task ran once, and its
-// result is as good.
+// An upstream may answer after the lease of a task has expired. The task still
+// ran only once, and its result is valid.
 func TestAnswerAfterTheLease(t *testing.T) {
-	c := small(t, func(s *ClusterSpec) {
-		quick(s)
+	c := newTestCluster(t, func(s *ClusterSpec) {
+		detectFailuresFast(s)
 		s.Dispatch.LeaseDuration = 20 * time.Millisecond
 	})
-	job := tasks(4, 200*time.Millisecond)
+	job := sleepJob(4, 200*time.Millisecond)
 	for i := range job.Tasks {
 		job.Tasks[i].RunMs = 1
 	}
 	for _, u := range c.Upstreams {
-		u.Faults.DropNonStarts.Store(true) // renewals die too
+		u.Faults.DropNonStarts.Store(true) // renewals fail as well
 	}
-	answer, err := callers(t, c).Do(context.Background(), job)
-	wantComplete(t, answer, err, 4)
-	checkStarts(t, c)
+	answer, err := newClient(t, c).Do(context.Background(), job)
+	requireComplete(t, answer, err, 4)
+	checkNoDuplicateStarts(t, c)
 }
 
-// A caller that hangs up takes nothing with it: the job ends, and a
-// resubmission gets its answer.
+// A caller that closes its connection does not end its job: the job completes,
+// and a resubmission gets its answer.
 func TestCallerHangsUp(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(4, 100*time.Millisecond))
-	home, _ := homeOf(t, s)
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(4, 100*time.Millisecond))
+	home, _ := homeAndWitness(t, s)
 	conn, err := net.Dial("tcp", c.Node(home).CallerAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, err := json.Marshal(api.Submission{Session: s.Key().Session, Sequence: 1, Attempt: 1, Service: "desk", DeadlineMs: 20000, Tasks: tasks(4, 100*time.Millisecond).Tasks})
+	body, err := json.Marshal(api.Submission{Session: s.Key().Session, Sequence: 1, Attempt: 1, Service: "desk", DeadlineMs: 20000, Tasks: sleepJob(4, 100*time.Millisecond).Tasks})
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: e\r\nContent-Length: %d\r\n\r\n%s", api.PathJobs, len(body), body)
-	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 4 })
+	waitFor(t, "every task to start", func() bool { return c.startCount(s.Key()) == 4 })
 	_ = conn.Close()
 	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
-	wantComplete(t, answer, err, 4)
-	if n := c.startsOf(s.Key()); n != 4 {
+	requireComplete(t, answer, err, 4)
+	if n := c.startCount(s.Key()); n != 4 {
 		t.Errorf("%d starts", n)
 	}
 }
 
-// A request that is cut off, or too large, is refused with a problem that
-// names its field, and starts nothing.
+// A request that is truncated or too large is refused with a problem document
+// that names the field at fault, and starts no task. A valid request under an
+// unknown session starts none either.
 func TestBadRequests(t *testing.T) {
-	c := small(t, nil)
+	c := newTestCluster(t, nil)
 	address := c.CallerAddresses()[0]
 	for name, r := range map[string]struct {
 		body          string
@@ -387,21 +396,21 @@
 	}
 }
 
-// One trace spans the caller, the entry that was called, the home and each
-// upstream, across processes.
+// One trace covers all hops: the caller, the entry instance that was called, the
+// home and each upstream.
 func TestOneTraceAcrossHops(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	tracer := tracing.FromExporter(spans, tracing.Config{Ratio: 1, Service: "test"})
-	c := small(t, func(s *ClusterSpec) { s.Tracer = tracer })
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(3, time.Millisecond))
-	home, _ := homeOf(t, s)
+	c := newTestCluster(t, func(s *ClusterSpec) { s.Tracer = tracer })
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(3, time.Millisecond))
+	home, _ := homeAndWitness(t, s)
 	other := c.Names()[0]
 	if other == home {
 		other = c.Names()[1]
 	}
 	answer, err := s.SendTo(context.Background(), c.Node(other).CallerAddress())
-	wantComplete(t, answer, err, 3)
+	requireComplete(t, answer, err, 3)
 	if err := tracer.Flush(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -416,7 +425,7 @@
 	}
 	for _, start := range c.Recorder.StartsByPrefix(s.Key().String() + "/") {
 		if len(start.Trace) < 36 || !traces[start.Trace[3:35]] {
-			t.Errorf("the upstream got trace %q", start.Trace)
+			t.Errorf("the upstream received the trace %q", start.Trace)
 		}
 	}
 }
--- a/experiment/faults.go
+++ b/experiment/faults.go
@@ -10,107 +10,114 @@
 	"github.com/sedgehatch/sedgehatch/standin"
 )
 
-// faultKinds does what each kind of fault does, on its targets, and returns
-// what ends it, or nil.
+// faultKinds holds the functions that inject faults, by kind. Each returns a
+// function that ends the fault, or nil if there is nothing to end.
 var faultKinds = map[string]func(c *Cluster, n *Network, f *FaultSection) func(){
-	"kill_entry":   killEntries,
-	"stop_entry":   stopEntries,
-	"rolling":      rollingRestart,
-	"losses":       losses,
-	"fail_all":     onUpstreams(func(u *standin.Upstream, on bool, _ int64) { u.Faults.FailAll.Store(on) }),
-	"straggle":     onUpstreams(func(u *standin.Upstream, on bool, factor int64) { u.Faults.SlowdownFactor.Store(times(on, factor)) }),
-	"drop_answers": onUpstreams(func(u *standin.Upstream, on bool, _ int64) { u.Faults.DropAnswers.Store(on) }),
-	"drop_starts":  onUpstreams(func(u *standin.Upstream, on bool, _ int64) { u.Faults.DropStarts.Store(on) }),
-	"leave":        onUpstreams(func(u *standin.Upstream, on bool, _ int64) { u.Faults.Leaving.Store(on) }),
-	"vanish":       vanish,
-	"platform":     platformDown,
-	"cut":          cutZones,
+	"kill_entry": killEntries,
+	"stop_entry": stopEntries,
+	"rolling":    rollingRestart,
+	"losses":     killInTurn,
+	"fail_all":   upstreamFault(func(u *standin.Upstream, on bool, _ int64) { u.Faults.FailAll.Store(on) }),
+	"straggle": upstreamFault(func(u *standin.Upstream, on bool, factor int64) {
+		u.Faults.SlowdownFactor.Store(factorIfOn(on, factor))
+	}),
+	"drop_answers": upstreamFault(func(u *standin.Upstream, on bool, _ int64) { u.Faults.DropAnswers.Store(on) }),
+	"drop_starts":  upstreamFault(func(u *standin.Upstream, on bool, _ int64) { u.Faults.DropStarts.Store(on) }),
+	"leave":        upstreamFault(func(u *standin.Upstream, on bool, _ int64) { u.Faults.Leaving.Store(on) }),
+	"vanish":       closeUpstreams,
+	"platform":     startPlatformOutage,
+	"cut":          isolateZone,
 }
 
-func times(on bool, factor int64) int64 {
+// factorIfOn returns factor while a fault is on, and otherwise 1, which leaves run
+// times as they are.
+func factorIfOn(on bool, factor int64) int64 {
 	if on {
 		return factor
 	}
 	return 1
 }
 
-// faults makes the scenario's faults happen at their times, until stop.
-func (s *Scenario) faults(c *Cluster, n *Network, stop chan struct{}) {
-	type moment struct {
+// injectFaults injects and ends the scenario's faults at their times. When stop is
+// closed, it heals the network and returns early.
+func (s *Scenario) injectFaults(c *Cluster, n *Network, stop chan struct{}) {
+	type scheduledAction struct {
 		at  time.Duration
-		act func()
+		run func()
 	}
-	var plan []moment
+	var schedule []scheduledAction
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		var undo func()
-		plan = append(plan, moment{seconds(f.At), func() { undo = faultKinds[f.Kind](c, n, f) }})
+		schedule = append(schedule, scheduledAction{seconds(f.At), func() { undo = faultKinds[f.Kind](c, n, f) }})
 		if f.For > 0 {
-			plan = append(plan, moment{seconds(f.At + f.For), func() {
+			schedule = append(schedule, scheduledAction{seconds(f.At + f.For), func() {
 				if undo != nil {
 					undo()
 				}
 			}})
 		}
 	}
-	slices.SortStableFunc(plan, func(a, b moment) int { return cmp.Compare(a.at, b.at) })
-	began := time.Now()
-	for _, m := range plan {
+	slices.SortStableFunc(schedule, func(a, b scheduledAction) int { return cmp.Compare(a.at, b.at) })
+	start := time.Now()
+	for _, action := range schedule {
 		select {
 		case <-stop:
 			n.Heal()
 			return
-		case <-time.After(m.at - time.Since(began)):
-			m.act()
+		case <-time.After(action.at - time.Since(start)):
+			action.run()
 		}
 	}
 }
 
-// killEntries ends entries abruptly; ending the fault starts them again.
+// killEntries ends entry instances abruptly; ending the fault restarts them.
 func killEntries(c *Cluster, _ *Network, f *FaultSection) func() {
-	for _, name := range fields(f.Target) {
+	for _, name := range splitList(f.Target) {
 		c.KillEntry(name)
 	}
 	return func() {
-		for _, name := range fields(f.Target) {
+		for _, name := range splitList(f.Target) {
 			_, _ = c.StartEntry(name)
 		}
 	}
 }
 
-// losses kills one entry after another, Factor times, each for a while, and
-// waits in between until the fleet has found itself again.
-func losses(c *Cluster, _ *Network, f *FaultSection) func() {
+// killInTurn kills f.Factor entry instances, one after another. It restarts each
+// after downtime, and waits until all members have discovered each other again
+// before it kills the next one.
+func killInTurn(c *Cluster, _ *Network, f *FaultSection) func() {
 	const (
-		down   = 250 * time.Millisecond
-		apart  = 1250 * time.Millisecond
-		stride = 4 // to another zone
+		downtime = 250 * time.Millisecond
+		interval = 1250 * time.Millisecond
+		stride   = 4 // step between the indices of consecutive instances, which makes their zones differ
 	)
 	for i := range f.Factor {
 		name := c.Names()[int(i)*stride%len(c.Names())]
 		c.KillEntry(name)
-		time.Sleep(down)
+		time.Sleep(downtime)
 		if _, err := c.StartEntry(name); err != nil {
 			return nil
 		}
 		_ = c.AwaitMembers(len(c.Names()), 10*time.Second)
-		time.Sleep(apart - down)
+		time.Sleep(interval - downtime)
 	}
 	return nil
 }
 
 func stopEntries(c *Cluster, _ *Network, f *FaultSection) func() {
-	for _, name := range fields(f.Target) {
+	for _, name := range splitList(f.Target) {
 		c.StopEntry(context.Background(), name)
 	}
 	return func() {
-		for _, name := range fields(f.Target) {
+		for _, name := range splitList(f.Target) {
 			_, _ = c.StartEntry(name)
 		}
 	}
 }
 
-// rollingRestart stops and starts every entry, one after another.
+// rollingRestart shuts every entry instance down gracefully and restarts it, one
+// after another.
 func rollingRestart(c *Cluster, _ *Network, _ *FaultSection) func() {
 	for _, name := range c.Names() {
 		c.StopEntry(context.Background(), name)
@@ -122,48 +129,52 @@
 	return nil
 }
 
-// onUpstreams makes a fault of a switch at upstreams. A target is the name of
-// an upstream, or the beginning of several.
-func onUpstreams(set func(u *standin.Upstream, on bool, factor int64)) func(*Cluster, *Network, *FaultSection) func() {
+// upstreamFault returns a function for faultKinds. It injects and ends a fault by
+// calling set for each target upstream.
+func upstreamFault(set func(u *standin.Upstream, on bool, factor int64)) func(*Cluster, *Network, *FaultSection) func() {
 	return func(c *Cluster, _ *Network, f *FaultSection) func() {
-		hit := c.upstreamsNamed(f.Target)
-		for _, u := range hit {
+		targets := c.matchUpstreams(f.Target)
+		for _, u := range targets {
 			set(u, true, f.Factor)
 		}
 		return func() {
-			for _, u := range hit {
+			for _, u := range targets {
 				set(u, false, f.Factor)
 			}
 		}
 	}
 }
 
-func (c *Cluster) upstreamsNamed(targets string) []*standin.Upstream {
+// matchUpstreams returns the upstreams that match one of the comma-separated
+// targets. A target matches an ID that is equal to it, or that begins with it and
+// a hyphen.
+func (c *Cluster) matchUpstreams(targets string) []*standin.Upstream {
 	var list []*standin.Upstream
 	for _, u := range c.Upstreams {
 		id := u.Instance().ID
-		if slices.ContainsFunc(fields(targets), func(t string) bool { return id == t || strings.HasPrefix(id, t+"-") }) {
+		if slices.ContainsFunc(splitList(targets), func(t string) bool { return id == t || strings.HasPrefix(id, t+"-") }) {
 			list = append(list, u)
 		}
 	}
 	return list
 }
 
-func vanish(c *Cluster, _ *Network, f *FaultSection) func() {
-	for _, u := range c.upstreamsNamed(f.Target) {
+func closeUpstreams(c *Cluster, _ *Network, f *FaultSection) func() {
+	for _, u := range c.matchUpstreams(f.Target) {
 		u.Close()
 	}
 	return nil
 }
 
-func platformDown(c *Cluster, _ *Network, _ *FaultSection) func() {
+func startPlatformOutage(c *Cluster, _ *Network, _ *FaultSection) func() {
 	c.Platform.Faults.Down.Store(true)
 	return func() { c.Platform.Faults.Down.Store(false) }
 }
 
-// cutZones parts the first zone from the others, and from the platform.
-func cutZones(c *Cluster, n *Network, f *FaultSection) func() {
-	zones := fields(f.Target)
+// isolateZone partitions the first target zone from the other zones and from the
+// platform.
+func isolateZone(c *Cluster, n *Network, f *FaultSection) func() {
+	zones := splitList(f.Target)
 	for _, z := range c.Spec.Zones {
 		if z.Name != zones[0] {
 			n.Partition(zones[0], z.Name)
--- a/experiment/fleet_test.go
+++ b/experiment/fleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/sedgehatch/sedgehatch/settings"
 )
 
-// cpuTime returns the processor time of this process so far.
+// cpuTime returns the CPU time that this process has used so far.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
@@ -22,14 +22,17 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap() float64 {
+// heapInUse returns the bytes of live objects and stacks, after a garbage
+// collection.
+func heapInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-func innerBytes(nodes []*entry.Node) int64 {
+// sentBytes returns the bytes that entry instances have sent to each other.
+func sentBytes(nodes []*entry.Node) int64 {
 	sum := int64(0)
 	for _, n := range nodes {
 		sum += n.SentBytes()
@@ -37,14 +40,15 @@
 	return sum
 }
 
-// BenchmarkFleet measures what control costs an entry while no job runs:
-// processor time, bytes and memory, and the platform's calls, against the
-// number of entries and of upstreams. Each round is a second.
+// BenchmarkFleet measures what a fleet without jobs costs per entry instance, for
+// several numbers of entry instances and upstreams: CPU time, bytes sent and
+// memory. It also measures the calls to the platform. An iteration takes one
+// second.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ entries, upstreams int }{{9, 48}, {30, 48}, {60, 48}, {9, 400}, {9, 1600}} {
 		b.Run(fmt.Sprintf("entries=%d/upstreams=%d", size.entries, size.upstreams), func(b *testing.B) {
-			before := heap()
-			spec := ClusterSpec{Membership: quietMembership, HeartbeatInterval: 500 * time.Millisecond, InstancePollInterval: time.Second}
+			before := heapInUse()
+			spec := ClusterSpec{Membership: tolerantMembership, HeartbeatInterval: 500 * time.Millisecond, InstancePollInterval: time.Second}
 			for z := range 3 {
 				spec.Zones = append(spec.Zones, ZoneSpec{Name: fmt.Sprintf("z%d", z), Entries: size.entries / 3})
 			}
@@ -53,18 +57,18 @@
 				b.Fatal(err)
 			}
 			defer c.Close()
-			c.listIdle(size.upstreams)
-			time.Sleep(3 * time.Second) // until every entry has the list
+			c.addUnreachableUpstreams(size.upstreams)
+			time.Sleep(3 * time.Second) // until every entry instance has read the list of instances
 			nodes := float64(size.entries)
-			memory := (heap() - before) / nodes
-			bytes, cpu, began := innerBytes(c.Nodes()), cpuTime(b), time.Now()
+			memory := (heapInUse() - before) / nodes
+			bytes, cpu, start := sentBytes(c.Nodes()), cpuTime(b), time.Now()
 			reads, writes := c.Platform.Calls()
 			for b.Loop() {
 				time.Sleep(time.Second)
 			}
-			took := time.Since(began).Seconds()
+			took := time.Since(start).Seconds()
 			nowReads, nowWrites := c.Platform.Calls()
-			b.ReportMetric(float64(innerBytes(c.Nodes())-bytes)/nodes/took, "B/s/entry")
+			b.ReportMetric(float64(sentBytes(c.Nodes())-bytes)/nodes/took, "B/s/entry")
 			b.ReportMetric(100*(cpuTime(b)-cpu).Seconds()/nodes/took, "%core/entry")
 			b.ReportMetric(memory/(1<<20), "MB/entry")
 			b.ReportMetric(float64(nowReads+nowWrites-reads-writes)/took, "platform-calls/s")
@@ -72,12 +76,12 @@
 	}
 }
 
-// BenchmarkSpread measures the time from the acceptance of a change of settings
-// to its being in force on every entry.
+// BenchmarkSpread measures the time from the acceptance of a settings change until
+// the change is in force on every entry instance.
 func BenchmarkSpread(b *testing.B) {
 	for _, entries := range []int{9, 30, 60} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			spec := ClusterSpec{Membership: quietMembership, HeartbeatInterval: 500 * time.Millisecond, InstancePollInterval: time.Second}
+			spec := ClusterSpec{Membership: tolerantMembership, HeartbeatInterval: 500 * time.Millisecond, InstancePollInterval: time.Second}
 			for z := range 3 {
 				spec.Zones = append(spec.Zones, ZoneSpec{Name: fmt.Sprintf("z%d", z), Entries: entries / 3, Upstreams: 1})
 			}
@@ -86,7 +90,7 @@
 				b.Fatal(err)
 			}
 			defer c.Close()
-			store := c.store()
+			store := c.settingsStore()
 			worst := time.Duration(0)
 			for n := 0; b.Loop(); n++ {
 				head, _, err := store.Update(0, "bench", func(t *settings.Tree) (*settings.Tree, []error) {
@@ -96,22 +100,22 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				began := time.Now()
+				start := time.Now()
 				for _, node := range c.Nodes() {
 					for node.Revision() < head.Number {
 						time.Sleep(200 * time.Microsecond)
 					}
 				}
-				worst = max(worst, time.Since(began))
+				worst = max(worst, time.Since(start))
 			}
 			b.ReportMetric(float64(worst.Microseconds())/1000, "worst-ms")
 		})
 	}
 }
 
-// BenchmarkWork measures what jobs cost the entries, callers and upstreams in
-// the same process left out as far as BenchmarkDirect tells, and the bytes
-// between entries for a task.
+// BenchmarkWork measures the CPU time and the memory that a task costs, and the
+// bytes that entry instances exchange for it. Callers and upstreams run in the
+// same process; subtract the figures of BenchmarkDirect to leave out their share.
 func BenchmarkWork(b *testing.B) {
 	c, err := StartCluster(ClusterSpec{Zones: []ZoneSpec{{"a", 3, 8}}, Slots: 64})
 	if err != nil {
@@ -124,11 +128,11 @@
 	}
 	defer cl.Close()
 	const perJob = 50
-	job := tasks(perJob, 0)
+	job := sleepJob(perJob, 0)
 	if _, err := cl.Do(context.Background(), job); err != nil {
 		b.Fatal(err)
 	}
-	before, bytes, cpu := heap(), innerBytes(c.Nodes()), cpuTime(b)
+	before, bytes, cpu := heapInUse(), sentBytes(c.Nodes()), cpuTime(b)
 	n := 0
 	for b.Loop() {
 		if _, err := cl.Do(context.Background(), job); err != nil {
@@ -136,7 +140,7 @@
 		}
 		n += perJob
 	}
-	b.ReportMetric(float64(innerBytes(c.Nodes())-bytes)/float64(n), "inner-B/task")
+	b.ReportMetric(float64(sentBytes(c.Nodes())-bytes)/float64(n), "inner-B/task")
 	b.ReportMetric(float64((cpuTime(b)-cpu).Microseconds())/float64(n), "cpu-us/task")
-	b.ReportMetric((heap()-before)/float64(n), "kept-B/task")
+	b.ReportMetric((heapInUse()-before)/float64(n), "kept-B/task")
 }
--- a/experiment/history_test.go
+++ b/experiment/history_test.go
@@ -14,20 +14,20 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// fateRegister is the sequential model of one key: it has no fate until some
-// call learns one, and that one from then on. Unknown and no answer say
-// nothing, and may come at any time.
+// fateRegister is the sequential model of one key: it has no fate until a call
+// returns one, and keeps that fate from then on. Calls without an answer, or with
+// the fate unknown or pending, carry no information and are valid at any time.
 var fateRegister = porcupine.Model{
 	Init: func() any { return fate.Kind("") },
 	Step: func(state, _, output any) (bool, any) {
-		now, told := state.(fate.Kind), output.(fate.Kind)
+		current, observed := state.(fate.Kind), output.(fate.Kind)
 		switch {
-		case told == "" || told == fate.Unknown || told == fate.Pending:
-			return true, now
-		case now == "":
-			return true, told
+		case observed == "" || observed == fate.Unknown || observed == fate.Pending:
+			return true, current
+		case current == "":
+			return true, observed
 		default:
-			return now == told, now
+			return current == observed, current
 		}
 	},
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
@@ -45,76 +45,76 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%v: %v", input, output) },
 }
 
-// historian records what callers were told.
-type historian struct {
+// callRecorder records the calls of callers and the fates that these returned.
+type callRecorder struct {
 	mu      sync.Mutex
-	began   time.Time
+	start   time.Time
 	history []porcupine.Operation
 }
 
-func (h *historian) call(caller int, key fate.Key, ask func() (fate.Kind, error)) fate.Kind {
-	called := time.Since(h.began)
-	told, err := ask()
+func (h *callRecorder) record(caller int, key fate.Key, call func() (fate.Kind, error)) fate.Kind {
+	called := time.Since(h.start)
+	observed, err := call()
 	if err != nil {
-		told = ""
+		observed = ""
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.history = append(h.history, porcupine.Operation{
-		ClientId: caller, Input: key, Output: told, Call: called.Nanoseconds(), Return: time.Since(h.began).Nanoseconds(),
+		ClientId: caller, Input: key, Output: observed, Call: called.Nanoseconds(), Return: time.Since(h.start).Nanoseconds(),
 	})
-	return told
+	return observed
 }
 
-// TestHistory submits, resubmits and cancels from many callers at all entries
-// while entries are killed and started again, and holds every answer against a
-// register per key, and the answers against the upstreams' own records.
+// TestHistory submits, resubmits and cancels jobs from many callers at all entry
+// instances, while these are killed and restarted. It checks the answers for each
+// key against fateRegister, and against the starts that the upstreams recorded.
 func TestHistory(t *testing.T) {
-	c := small(t, func(s *ClusterSpec) {
-		quick(s)
+	c := newTestCluster(t, func(s *ClusterSpec) {
+		detectFailuresFast(s)
 		s.Zones = []ZoneSpec{{"a", 3, 3}, {"b", 3, 3}}
 	})
-	h := &historian{began: time.Now()}
+	h := &callRecorder{start: time.Now()}
 	stop := make(chan struct{})
-	var killer, work sync.WaitGroup
-	killer.Go(func() { killAndStart(c, stop) })
+	var killers, submitters sync.WaitGroup
+	killers.Go(func() { killAndRestart(c, stop) })
 	for caller := range 8 {
-		work.Go(func() { submitSome(c, h, caller) })
+		submitters.Go(func() { submitJobs(c, h, caller) })
 	}
-	work.Wait()
+	submitters.Wait()
 	close(stop)
-	killer.Wait()
+	killers.Wait()
 	if !porcupine.CheckOperations(fateRegister, h.history) {
-		t.Error("one key was told two fates")
+		t.Error("callers got different fates for one key")
 	}
-	checkStarts(t, c)
+	checkNoDuplicateStarts(t, c)
 	if leaked := c.LeakedSlots(); leaked > 0 {
-		t.Errorf("%d places are held though no job runs", leaked)
+		t.Errorf("%d slots are held though no job runs", leaked)
 	}
-	told := map[fate.Kind]int{}
+	observed := map[fate.Kind]int{}
 	for _, op := range h.history {
 		kind := op.Output.(fate.Kind)
-		told[kind]++
+		observed[kind]++
 		key := op.Input.(fate.Key)
-		if n := c.startsOf(key); kind == fate.NotRun && n > 0 {
-			t.Errorf("%v was told not run, and started %d tasks", key, n)
-		} else if kind == fate.Complete && n != jobTasks {
-			t.Errorf("%v was told complete, and started %d tasks", key, n)
+		if n := c.startCount(key); kind == fate.NotRun && n > 0 {
+			t.Errorf("%v was reported as not run, but started %d tasks", key, n)
+		} else if kind == fate.Complete && n != tasksPerJob {
+			t.Errorf("%v was reported as complete, but started %d tasks", key, n)
 		}
 	}
-	t.Logf("%d calls, told %v, %d losses", len(h.history), told, len(c.Losses()))
-	if told[fate.Complete] == 0 || len(c.Losses()) == 0 {
-		t.Error("nothing was tried")
+	t.Logf("%d calls, fates %v, %d kills of entry instances", len(h.history), observed, len(c.Losses()))
+	if observed[fate.Complete] == 0 || len(c.Losses()) == 0 {
+		t.Error("no job completed or no entry instance was killed")
 	}
 }
 
 const (
-	jobTasks  = 6
-	jobsEach  = 12
-	killPause = 300 * time.Millisecond
+	tasksPerJob   = 6
+	jobsPerCaller = 12
+	killInterval  = 300 * time.Millisecond
 )
 
-func killAndStart(c *Cluster, stop chan struct{}) {
+func killAndRestart(c *Cluster, stop chan struct{}) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for {
 		name := c.Names()[rng.IntN(len(c.Names()))]
@@ -122,7 +122,7 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(killPause):
+		case <-time.After(killInterval):
 		}
 		if _, err := c.StartEntry(name); err != nil {
 			return
@@ -130,25 +130,25 @@
 	}
 }
 
-func submitSome(c *Cluster, h *historian, caller int) {
+func submitJobs(c *Cluster, h *callRecorder, caller int) {
 	rng := rand.New(rand.NewPCG(3, uint64(caller)))
-	for range jobsEach {
+	for range jobsPerCaller {
 		cl, err := client.New(client.Config{Entries: c.CallerAddresses(), Caller: "desk", CallTimeout: 500 * time.Millisecond})
 		if err != nil {
 			continue
 		}
-		job := tasks(jobTasks, 60*time.Millisecond)
+		job := sleepJob(tasksPerJob, 60*time.Millisecond)
 		job.Deadline = 3 * time.Second
 		if s, err := cl.Prepare(context.Background(), job); err == nil {
-			tryKey(c, h, caller, rng, cl, s)
+			callConcurrently(c, h, caller, rng, cl, s)
 		}
 		cl.Close()
 	}
 }
 
-// tryKey calls with one key at several entries at once, and cancels it now and
-// then.
-func tryKey(c *Cluster, h *historian, caller int, rng *rand.Rand, cl *client.Client, s *client.Submission) {
+// callConcurrently submits one key to several entry instances at about the same
+// time, and sometimes cancels it.
+func callConcurrently(c *Cluster, h *callRecorder, caller int, rng *rand.Rand, cl *client.Client, s *client.Submission) {
 	var calls sync.WaitGroup
 	for n := range 3 {
 		addresses := c.CallerAddresses()
@@ -156,7 +156,7 @@
 		pause := time.Duration(rng.IntN(80)) * time.Millisecond * time.Duration(n)
 		calls.Go(func() {
 			time.Sleep(pause)
-			h.call(caller*10+n, s.Key(), func() (fate.Kind, error) {
+			h.record(caller*10+n, s.Key(), func() (fate.Kind, error) {
 				a, err := s.SendTo(context.Background(), address)
 				return a.Fate, err
 			})
@@ -164,7 +164,7 @@
 	}
 	if rng.IntN(4) == 0 {
 		calls.Go(func() {
-			h.call(caller*10+9, s.Key(), func() (fate.Kind, error) {
+			h.record(caller*10+9, s.Key(), func() (fate.Kind, error) {
 				a, err := cl.Cancel(context.Background(), s.Key())
 				return a.Fate, err
 			})
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -17,126 +17,133 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ServiceLoad is the jobs of one service.
+// ServiceLoad describes the jobs that are submitted to one service.
 type ServiceLoad struct {
-	Name     string
-	Callers  int     // clients, each with a session of its own
-	Rate     float64 // jobs a second
-	MinTasks int
-	MaxTasks int
-	RunMs    Dist    // true run times
-	Declared float64 // what jobs declare, as a multiple of the true run time; zero is 1
-	CPU      float64
-	MemoryMB uint64
-	Deadline time.Duration
-	// Resubmit is the share of jobs that are sent to another entry too while
-	// they run, as a caller does that believes them lost.
+	Name           string
+	Callers        int     // number of clients, each with its own session
+	Rate           float64 // jobs per second
+	MinTasks       int
+	MaxTasks       int
+	RunMs          Dist    // actual run times of tasks
+	DeclaredFactor float64 // declared run time, as a multiple of the actual one; zero means 1
+	CPU            float64
+	MemoryMB       uint64
+	Deadline       time.Duration
+	// Resubmit is the share of jobs that are sent once more, to some entry
+	// instance, while they run, as by a caller that assumes they are lost.
 	Resubmit float64
-	// CancelAt cancels every job in flight at these moments from the start.
+	// CancelAt holds the times since the start at which all jobs in flight are
+	// cancelled, in ascending order.
 	CancelAt []time.Duration
-	// Burst multiplies the rate between two moments from the start.
+	// Burst multiplies the rate between BurstAt and BurstTo, which count from the
+	// start. Zero means no burst.
 	Burst            float64
 	BurstAt, BurstTo time.Duration
 }
 
-// Dist is a distribution of run times: lognormal about Median, cut off at Min
-// and Max, with a share of long ones between Max and Long. All in milliseconds.
+// Dist is a distribution of run times, in milliseconds. It is lognormal with the
+// median Median, clamped to Min and Max. A share of LongShare is instead
+// distributed uniformly between Max and LongMax.
 type Dist struct {
-	Median, Sigma, Min, Max, Long float64
-	LongShare                     float64
+	Median, Sigma, Min, Max, LongMax float64
+	LongShare                        float64
 }
 
-func (d Dist) draw(r *rand.Rand) float64 {
+func (d Dist) sample(r *rand.Rand) float64 {
 	if d.LongShare > 0 && r.Float64() < d.LongShare {
-		return d.Max + r.Float64()*(d.Long-d.Max)
+		return d.Max + r.Float64()*(d.LongMax-d.Max)
 	}
 	v := d.Median * math.Exp(d.Sigma*r.NormFloat64())
 	return min(max(v, d.Min), d.Max)
 }
 
-// Mean returns the mean run time, from many draws with a fixed seed.
+// Mean returns the mean run time, estimated from many samples with a fixed seed.
 func (d Dist) Mean() float64 {
-	const draws = 20000
+	const samples = 20000
 	r := rand.New(rand.NewPCG(1, 1))
 	sum := 0.0
-	for range draws {
-		sum += d.draw(r)
+	for range samples {
+		sum += d.sample(r)
 	}
-	return sum / draws
+	return sum / samples
 }
 
-// Load is what RunLoad puts on a cluster.
+// Load describes the jobs that RunLoad submits to a cluster.
 type Load struct {
 	Services []ServiceLoad
 	Duration time.Duration
 	Seed     uint64
-	// Dial opens callers' connections; nil is TCP.
-	Dial func(caller int) client.Config
+	// ClientConfig returns the client configuration of each caller, for example
+	// with another Dial function; nil uses the defaults and plain TCP.
+	ClientConfig func(caller int) client.Config
 }
 
-// The histograms' bounds: ratios in thousandths, times in microseconds.
+// Units and limits of the histograms: ratios are in thousandths, times in
+// microseconds.
 const (
-	ratioScale   = 1000
-	maxRatio     = 10000 * ratioScale
-	maxMicros    = 600 * 1000 * 1000
-	significance = 3
+	ratioScale         = 1000
+	maxRatio           = 10000 * ratioScale
+	maxMicros          = 600 * 1000 * 1000
+	significantFigures = 3
 )
 
-// run is one run of a load.
-type run struct {
-	c         *Cluster
-	load      Load
-	began     time.Time
-	wg        sync.WaitGroup
-	mu        sync.Mutex
-	report    Report
-	ratios    *hdrhistogram.Histogram
-	refusals  *hdrhistogram.Histogram
-	services  []*serviceRun
-	goodMs    float64
-	resubmits atomic.Int64
-	jobs      []jobRecord
+// loadRun is the state of one call of RunLoad.
+type loadRun struct {
+	c              *Cluster
+	load           Load
+	startTime      time.Time
+	wg             sync.WaitGroup
+	mu             sync.Mutex // guards jobs and all results
+	report         Report
+	responseRatios *hdrhistogram.Histogram
+	refusalMicros  *hdrhistogram.Histogram
+	services       []*serviceRun
+	goodputMs      float64 // run time that counts as goodput
+	resubmissions  atomic.Int64
+	jobs           []jobRecord
 }
 
-// jobRecord is a job as its caller saw it.
+// jobRecord is the course of one job as its caller saw it.
 type jobRecord struct {
-	home         string
-	began, ended time.Time
-	first, final api.Answer
+	home           string // name of the entry instance
+	started, ended time.Time
+	first, final   api.Answer // under the first key, and in the end
 }
 
+// serviceRun is the part of a loadRun for one service.
 type serviceRun struct {
-	load    ServiceLoad
-	report  ServiceReport
-	ratios  *hdrhistogram.Histogram
-	micros  *hdrhistogram.Histogram
-	clients []*client.Client
-	flight  sync.Map // *client.Submission
+	spec           ServiceLoad
+	report         ServiceReport
+	responseRatios *hdrhistogram.Histogram
+	responseMicros *hdrhistogram.Histogram
+	clients        []*client.Client
+	inFlight       sync.Map // *client.Submission to *client.Client
 }
 
-// RunLoad puts load on c, open loop: jobs are sent when they are due, whatever
-// became of those before. It returns once every job has its fate.
+// RunLoad submits load to c as an open loop: jobs are sent when they are due,
+// regardless of the progress of earlier ones. It returns when every job has ended
+// for its caller.
 func RunLoad(c *Cluster, load Load) (Report, error) {
-	r := &run{
+	r := &loadRun{
 		c: c, load: load,
-		ratios:   hdrhistogram.New(1, maxRatio, significance),
-		refusals: hdrhistogram.New(1, maxMicros, significance),
-		report:   Report{Reasons: map[string]int{}},
+		responseRatios: hdrhistogram.New(1, maxRatio, significantFigures),
+		refusalMicros:  hdrhistogram.New(1, maxMicros, significantFigures),
+		report:         Report{Reasons: map[string]int{}},
 	}
 	for i := range load.Services {
-		s, err := r.newService(&load.Services[i])
+		s, err := r.newServiceRun(&load.Services[i])
 		if err != nil {
 			return Report{}, err
 		}
 		r.services = append(r.services, s)
 	}
 	sent, wasted := c.Messages()
-	r.began = time.Now()
+	r.startTime = time.Now()
 	for i, s := range r.services {
-		r.wg.Go(func() { r.drive(s, rand.New(rand.NewPCG(load.Seed, uint64(i)))) })
+		r.wg.Go(func() { r.sendJobs(s, rand.New(rand.NewPCG(load.Seed, uint64(i)))) })
 	}
 	r.wg.Wait()
-	r.finish(sent, wasted)
+	r.computeReport(sent, wasted)
 	for _, s := range r.services {
 		for _, cl := range s.clients {
 			cl.Close()
@@ -145,18 +152,18 @@
 	return r.report, nil
 }
 
-func (r *run) newService(load *ServiceLoad) (*serviceRun, error) {
+func (r *loadRun) newServiceRun(load *ServiceLoad) (*serviceRun, error) {
 	s := &serviceRun{
-		load: *load, ratios: hdrhistogram.New(1, maxRatio, significance), micros: hdrhistogram.New(1, maxMicros, significance),
+		spec: *load, responseRatios: hdrhistogram.New(1, maxRatio, significantFigures), responseMicros: hdrhistogram.New(1, maxMicros, significantFigures),
 		report: ServiceReport{Name: load.Name},
 	}
 	addresses := r.c.CallerAddresses()
 	for i := range max(load.Callers, 1) {
 		cfg := client.Config{Tracer: r.c.Spec.Tracer}
-		if r.load.Dial != nil {
-			cfg = r.load.Dial(i)
+		if r.load.ClientConfig != nil {
+			cfg = r.load.ClientConfig(i)
 		}
-		// Each caller begins at another entry, as behind a balancer.
+		// Callers start at different entry instances, as behind a load balancer.
 		cfg.Entries = append(append([]string(nil), addresses[i%len(addresses):]...), addresses[:i%len(addresses)]...)
 		cfg.Caller = load.Name + "-caller"
 		cl, err := client.New(cfg)
@@ -168,81 +175,82 @@
 	return s, nil
 }
 
-// drive sends the jobs of one service when they are due.
-func (r *run) drive(s *serviceRun, rng *rand.Rand) {
+// sendJobs sends the jobs of one service when they are due.
+func (r *loadRun) sendJobs(s *serviceRun, rng *rand.Rand) {
 	due := time.Duration(0)
-	cancels := s.load.CancelAt
+	cancels := s.spec.CancelAt
 	for n := 0; ; n++ {
-		due += time.Duration(rng.ExpFloat64() / r.rate(s, due) * float64(time.Second))
+		due += time.Duration(rng.ExpFloat64() / r.rateAt(s, due) * float64(time.Second))
 		if due > r.load.Duration {
 			return
 		}
 		for len(cancels) > 0 && cancels[0] < due {
-			r.waitUntil(cancels[0])
-			r.cancelAll(s)
+			r.sleepUntil(cancels[0])
+			r.cancelInFlight(s)
 			cancels = cancels[1:]
 		}
-		job, ideal := s.job(rng)
-		again := rng.Float64() < s.load.Resubmit
+		job, idealMs := s.drawJob(rng)
+		resubmit := rng.Float64() < s.spec.Resubmit
 		cl := s.clients[n%len(s.clients)]
-		r.waitUntil(due)
-		at := r.began.Add(due)
-		r.wg.Go(func() { r.submit(s, cl, job, ideal, at, again) })
+		r.sleepUntil(due)
+		dueTime := r.startTime.Add(due)
+		r.wg.Go(func() { r.submit(s, cl, job, idealMs, dueTime, resubmit) })
 	}
 }
 
-func (r *run) rate(s *serviceRun, at time.Duration) float64 {
-	if s.load.Burst > 0 && at >= s.load.BurstAt && at < s.load.BurstTo {
-		return s.load.Rate * s.load.Burst
+func (r *loadRun) rateAt(s *serviceRun, at time.Duration) float64 {
+	if s.spec.Burst > 0 && at >= s.spec.BurstAt && at < s.spec.BurstTo {
+		return s.spec.Rate * s.spec.Burst
 	}
-	return s.load.Rate
+	return s.spec.Rate
 }
 
-func (r *run) waitUntil(due time.Duration) { time.Sleep(time.Until(r.began.Add(due))) }
+func (r *loadRun) sleepUntil(due time.Duration) { time.Sleep(time.Until(r.startTime.Add(due))) }
 
-// job draws a job, and returns its ideal response in milliseconds.
-func (s *serviceRun) job(rng *rand.Rand) (client.Job, float64) {
-	n := s.load.MinTasks + rng.IntN(s.load.MaxTasks-s.load.MinTasks+1)
-	job := client.Job{Service: s.load.Name, Deadline: s.load.Deadline}
-	longest := 0.0
+// drawJob returns a random job and its ideal response time in milliseconds, which
+// is the run time of its longest task.
+func (s *serviceRun) drawJob(rng *rand.Rand) (client.Job, float64) {
+	n := s.spec.MinTasks + rng.IntN(s.spec.MaxTasks-s.spec.MinTasks+1)
+	job := client.Job{Service: s.spec.Name, Deadline: s.spec.Deadline}
+	longestMs := 0.0
 	for range n {
-		runMs := s.load.RunMs.draw(rng)
-		longest = max(longest, runMs)
-		job.Tasks = append(job.Tasks, s.task(runMs))
+		runMs := s.spec.RunMs.sample(rng)
+		longestMs = max(longestMs, runMs)
+		job.Tasks = append(job.Tasks, s.newTask(runMs))
 	}
-	return job, longest
+	return job, longestMs
 }
 
-func (s *serviceRun) task(runMs float64) api.Task {
+func (s *serviceRun) newTask(runMs float64) api.Task {
 	payload, err := json.Marshal(standin.TaskPayload{SleepUs: int64(runMs * 1000)})
 	if err != nil {
-		panic(err) // cannot be: numbers only
+		panic(err) // impossible: the payload holds only a number
 	}
-	declared := s.load.Declared
+	declared := s.spec.DeclaredFactor
 	if declared == 0 {
 		declared = 1
 	}
-	return api.Task{CPU: s.load.CPU, MemoryMB: s.load.MemoryMB, RunMs: uint32(max(runMs*declared, 1)), Payload: payload}
+	return api.Task{CPU: s.spec.CPU, MemoryMB: s.spec.MemoryMB, RunMs: uint32(max(runMs*declared, 1)), Payload: payload}
 }
 
-func (r *run) submit(s *serviceRun, cl *client.Client, job client.Job, ideal float64, due time.Time, again bool) {
+func (r *loadRun) submit(s *serviceRun, cl *client.Client, job client.Job, idealMs float64, due time.Time, resubmit bool) {
 	ctx := context.Background()
 	sub, err := cl.Prepare(ctx, job)
 	if err != nil {
-		r.note(s, job, api.Answer{}, err, ideal, time.Since(due))
+		r.recordAnswer(s, job, api.Answer{}, err, idealMs, time.Since(due))
 		return
 	}
-	s.flight.Store(sub, cl)
-	defer s.flight.Delete(sub)
-	if again {
-		r.wg.Go(func() { r.resubmit(sub, cl, ideal) })
+	s.inFlight.Store(sub, cl)
+	defer s.inFlight.Delete(sub)
+	if resubmit {
+		r.wg.Go(func() { r.resubmit(sub, cl, idealMs) })
 	}
-	began := time.Now()
+	started := time.Now()
 	answer, err := sub.Submit(ctx)
-	record := jobRecord{home: homeName(sub), began: began, first: answer}
-	if ended(answer, err) {
-		// Provably not run, only for where it was sent: the library sends it
-		// again under a new key.
+	record := jobRecord{home: homeName(sub), started: started, first: answer}
+	if sessionEnded(answer, err) {
+		// The job provably did not run, and only because its session or its home
+		// ended. It is therefore submitted again, under a new key.
 		cl.Leave(sub)
 		answer, err = cl.Do(ctx, job)
 	}
@@ -250,9 +258,11 @@
 	r.mu.Lock()
 	r.jobs = append(r.jobs, record)
 	r.mu.Unlock()
-	r.note(s, job, answer, err, ideal, time.Since(due))
+	r.recordAnswer(s, job, answer, err, idealMs, time.Since(due))
 }
 
+// homeName returns the name of the home of a submission, or an empty string if
+// its session is invalid.
 func homeName(sub *client.Submission) string {
 	log, err := sub.Key().Session.Log()
 	if err != nil {
@@ -261,24 +271,27 @@
 	return log.Home.Instance()
 }
 
-func ended(answer api.Answer, err error) bool {
+// sessionEnded reports whether a job did not run for the sole reason that its
+// session or its home had ended or was shutting down.
+func sessionEnded(answer api.Answer, err error) bool {
 	return failure.Is(err, failure.SessionEnded) || failure.Is(err, failure.Stopping) || err == nil && client.HomeEnded(&answer)
 }
 
-// resubmit sends the same key to some entry while the job should be running.
-func (r *run) resubmit(sub *client.Submission, cl *client.Client, ideal float64) {
-	time.Sleep(time.Duration(ideal / 2 * float64(time.Millisecond)))
+// resubmit sends the same key to one of the entry instances, in turn, after half
+// of the ideal response time, when the job should be running.
+func (r *loadRun) resubmit(sub *client.Submission, cl *client.Client, idealMs float64) {
+	time.Sleep(time.Duration(idealMs / 2 * float64(time.Millisecond)))
 	addresses := r.c.CallerAddresses()
 	if len(addresses) == 0 {
 		return
 	}
-	r.resubmits.Add(1)
-	n := r.resubmits.Load()
+	r.resubmissions.Add(1)
+	n := r.resubmissions.Load()
 	_, _ = sub.SendTo(context.Background(), addresses[int(n)%len(addresses)])
 }
 
-func (r *run) cancelAll(s *serviceRun) {
-	s.flight.Range(func(key, value any) bool {
+func (r *loadRun) cancelInFlight(s *serviceRun) {
+	s.inFlight.Range(func(key, value any) bool {
 		r.wg.Go(func() { _, _ = value.(*client.Client).Cancel(context.Background(), key.(*client.Submission).Key()) })
 		return true
 	})
--- a/experiment/network.go
+++ b/experiment/network.go
@@ -8,98 +8,105 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// Network gives the loopback the latencies and the cuts of availability zones.
-// It wraps the connections that entries and callers open.
+// Network emulates the latencies and network partitions between availability
+// zones on the loopback interface. It wraps the connections that entry instances
+// and callers open.
 type Network struct {
-	mu     sync.Mutex
-	zones  map[string]string // by address
-	cuts   map[[2]string]bool
-	healed chan struct{} // closed and replaced when a cut ends
-	oneWay func(from, to string) time.Duration
+	mu         sync.Mutex
+	zones      map[string]string  // by address
+	partitions map[[2]string]bool // by zonePair
+	healed     chan struct{}      // closed and replaced when the partitions end
+	latency    func(from, to string) time.Duration
 }
 
-// cutDial is how long opening a connection across a cut takes to fail.
-const cutDial = 200 * time.Millisecond
+// partitionDialTimeout is how long opening a connection to a partitioned zone
+// takes to fail.
+const partitionDialTimeout = 200 * time.Millisecond
 
-// NewNetwork returns a network without cuts. oneWay gives the latency between
-// two zones.
-func NewNetwork(oneWay func(from, to string) time.Duration) *Network {
-	return &Network{zones: map[string]string{}, cuts: map[[2]string]bool{}, healed: make(chan struct{}), oneWay: oneWay}
+// NewNetwork returns a network without partitions. latency returns the one-way
+// latency between two zones.
+func NewNetwork(latency func(from, to string) time.Duration) *Network {
+	return &Network{zones: map[string]string{}, partitions: map[[2]string]bool{}, healed: make(chan struct{}), latency: latency}
 }
 
-// SetZone says in which zone an address is.
+// SetZone records the zone of an address. Unrecorded addresses count as being in
+// the zone of whoever dials them.
 func (n *Network) SetZone(address, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zones[address] = zone
 }
 
-func pair(a, b string) [2]string {
+// zonePair returns two zones in alphabetical order, as the key of a partition.
+func zonePair(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
 	}
 	return [2]string{a, b}
 }
 
-// Partition parts two zones: nothing passes, and nothing is lost that TCP would
-// bring once the cut is over.
+// Partition separates two zones. Until Heal, no data passes between them. Data on
+// open connections is delayed, not lost: TCP would retransmit it afterwards.
 func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[pair(a, b)] = true
+	n.partitions[zonePair(a, b)] = true
 }
 
-// Heal ends every cut.
+// Heal ends all partitions.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cuts)
+	clear(n.partitions)
 	close(n.healed)
 	n.healed = make(chan struct{})
 }
 
-func (n *Network) state(a, b string) (cut bool, healed chan struct{}) {
+// partitionState reports whether two zones are partitioned from each other, and
+// returns a channel that the next Heal closes.
+func (n *Network) partitionState(a, b string) (partitioned bool, healed chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[pair(a, b)], n.healed
+	return n.partitions[zonePair(a, b)], n.healed
 }
 
-// Dial opens a connection from a zone to an address.
+// Dial opens a connection from a zone to an address, with the latency of the two
+// zones and subject to their partitions.
 func (n *Network) Dial(from, address string) (net.Conn, error) {
 	n.mu.Lock()
-	to, known := n.zones[address]
+	to, ok := n.zones[address]
 	n.mu.Unlock()
-	if !known {
+	if !ok {
 		to = from
 	}
-	if cut, healed := n.state(from, to); cut {
+	if partitioned, healed := n.partitionState(from, to); partitioned {
 		select {
 		case <-healed:
-		case <-time.After(cutDial):
-			return nil, failure.Unreachable.New("%s and %s are cut off from each other", from, to)
+		case <-time.After(partitionDialTimeout):
+			return nil, failure.Unreachable.New("zones %s and %s are partitioned from each other", from, to)
 		}
 	}
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	l := &line{n: n, from: from, to: to, delay: n.oneWay(from, to)}
-	if l.delay == 0 && from == to {
+	path := &zonePath{network: n, from: from, to: to, delay: n.latency(from, to)}
+	if path.delay == 0 && from == to {
 		return conn, nil
 	}
-	return newSlowConn(conn, l), nil
+	return newDelayedConn(conn, path), nil
 }
 
-// line is the way between two zones.
-type line struct {
-	n        *Network
+// zonePath is the network path from one zone to another.
+type zonePath struct {
+	network  *Network
 	from, to string
 	delay    time.Duration // one way
 }
 
-// pass waits for a time and for the end of a cut; false says that done came
-// first.
-func (l *line) pass(due time.Time, done chan struct{}) bool {
+// waitUntilDeliverable waits until due, and then until the zones are not partitioned. It
+// returns false if done is closed first.
+func (p *zonePath) waitUntilDeliverable(due time.Time, done chan struct{}) bool {
 	if wait := time.Until(due); wait > 0 {
 		select {
 		case <-time.After(wait):
@@ -108,8 +115,8 @@
 		}
 	}
 	for {
-		cut, healed := l.n.state(l.from, l.to)
-		if !cut {
+		partitioned, healed := p.network.partitionState(p.from, p.to)
+		if !partitioned {
 			return true
 		}
 		select {
@@ -120,48 +127,49 @@
 	}
 }
 
-// slowConn delays both directions, and holds them back during a cut.
-type slowConn struct {
+// delayedConn delays both directions by the latency of its path, and holds data
+// back during a partition.
+type delayedConn struct {
 	net.Conn
-	line    *line
-	out, in chan chunk
-	rest    chunk // of in, being read
+	path    *zonePath
+	out, in chan chunk // written and not yet sent; received and not yet read
+	unread  chunk      // rest of the last chunk taken from in
 	done    chan struct{}
 	once    sync.Once
 }
 
-// chunk is some bytes, or the end, of one direction.
+// chunk is some bytes of one direction, or the error that ends it.
 type chunk struct {
-	due  time.Time
+	due  time.Time // earliest delivery
 	data []byte
 	err  error
 }
 
 const (
-	slowDepth = 1024 // chunks on their way
-	slowRead  = 16 << 10
+	maxQueuedChunks = 1024 // chunks per direction
+	readBufferSize  = 16 << 10
 )
 
-func newSlowConn(conn net.Conn, l *line) net.Conn {
-	c := &slowConn{
-		Conn: conn, line: l, done: make(chan struct{}),
-		out: make(chan chunk, slowDepth), in: make(chan chunk, slowDepth),
+func newDelayedConn(conn net.Conn, path *zonePath) net.Conn {
+	c := &delayedConn{
+		Conn: conn, path: path, done: make(chan struct{}),
+		out: make(chan chunk, maxQueuedChunks), in: make(chan chunk, maxQueuedChunks),
 	}
-	go c.writeOut()
-	go c.readIn()
+	go c.writeLoop()
+	go c.readLoop()
 	return c
 }
 
-func (c *slowConn) writeOut() {
+func (c *delayedConn) writeLoop() {
 	for {
 		select {
 		case <-c.done:
 			return
-		case k := <-c.out:
-			if !c.line.pass(k.due, c.done) {
+		case next := <-c.out:
+			if !c.path.waitUntilDeliverable(next.due, c.done) {
 				return
 			}
-			if _, err := c.Conn.Write(k.data); err != nil {
+			if _, err := c.Conn.Write(next.data); err != nil {
 				_ = c.Close()
 				return
 			}
@@ -169,12 +177,12 @@
 	}
 }
 
-func (c *slowConn) readIn() {
+func (c *delayedConn) readLoop() {
 	for {
-		buf := make([]byte, slowRead)
+		buf := make([]byte, readBufferSize)
 		n, err := c.Conn.Read(buf)
 		select {
-		case c.in <- chunk{time.Now().Add(c.line.delay), buf[:n], err}:
+		case c.in <- chunk{time.Now().Add(c.path.delay), buf[:n], err}:
 		case <-c.done:
 			return
 		}
@@ -184,39 +192,39 @@
 	}
 }
 
-// Write queues p for when its time has come.
-func (c *slowConn) Write(p []byte) (int, error) {
-	k := chunk{due: time.Now().Add(c.line.delay), data: append([]byte(nil), p...)}
+// Write queues a copy of p, which is sent after the latency of the path.
+func (c *delayedConn) Write(p []byte) (int, error) {
+	next := chunk{due: time.Now().Add(c.path.delay), data: append([]byte(nil), p...)}
 	select {
-	case c.out <- k:
+	case c.out <- next:
 		return len(p), nil
 	case <-c.done:
 		return 0, net.ErrClosed
 	}
 }
 
-// Read returns what has come and whose time it is.
-func (c *slowConn) Read(p []byte) (int, error) {
-	for len(c.rest.data) == 0 {
-		if c.rest.err != nil {
-			return 0, c.rest.err
+// Read returns received data after the latency of the path.
+func (c *delayedConn) Read(p []byte) (int, error) {
+	for len(c.unread.data) == 0 {
+		if c.unread.err != nil {
+			return 0, c.unread.err
 		}
 		select {
-		case c.rest = <-c.in:
+		case c.unread = <-c.in:
 		case <-c.done:
 			return 0, net.ErrClosed
 		}
-		if !c.line.pass(c.rest.due, c.done) {
+		if !c.path.waitUntilDeliverable(c.unread.due, c.done) {
 			return 0, net.ErrClosed
 		}
 	}
-	n := copy(p, c.rest.data)
-	c.rest.data = c.rest.data[n:]
+	n := copy(p, c.unread.data)
+	c.unread.data = c.unread.data[n:]
 	return n, nil
 }
 
-// Close closes the connection at once.
-func (c *slowConn) Close() error {
+// Close closes the connection at once and drops the data not yet delivered.
+func (c *delayedConn) Close() error {
 	c.once.Do(func() { close(c.done) })
 	return c.Conn.Close()
 }
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -14,47 +14,52 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what came of a load. Ratios compare a response, from the moment
-// that it was due to be sent, with the longest true run time in its job.
+// Report is the result of a load. Response ratios divide the response time of a
+// job, counted from the time at which it was due to be sent, by the actual run
+// time of its longest task.
 type Report struct {
-	Jobs            int64      `json:"jobs"`
-	Tasks           int64      `json:"tasks"`
-	Complete        int64      `json:"complete"`
-	Failed          int64      `json:"failed"`
-	NotRun          int64      `json:"not_run"`
-	Unknown         int64      `json:"unknown"`
-	Unanswered      int64      `json:"unanswered"`
-	DuplicateStarts int64      `json:"duplicate_starts"`
-	Violations      []string   `json:"violations"`
-	MessagesPerTask float64    `json:"messages_per_task"`
-	WastedPerTask   float64    `json:"wasted_per_task"`
-	RatioP50        float64    `json:"response_ratio_p50"`
-	RatioP99        float64    `json:"response_ratio_p99"`
-	RefusalP99Ms    float64    `json:"refusal_p99_ms"`
-	GoodputShare    float64    `json:"goodput_share"` // run time of jobs completed under load, of all slots' time
-	Resubmissions   int64      `json:"resubmissions"`
-	Losses          LossReport `json:"losses"`
-	// Reasons counts the answers that are not complete, and the errors, by cause.
+	Jobs            int64    `json:"jobs"`
+	Tasks           int64    `json:"tasks"`
+	Complete        int64    `json:"complete"`
+	Failed          int64    `json:"failed"`
+	NotRun          int64    `json:"not_run"`
+	Unknown         int64    `json:"unknown"`
+	Unanswered      int64    `json:"unanswered"`
+	DuplicateStarts int64    `json:"duplicate_starts"`
+	Violations      []string `json:"violations"`
+	MessagesPerTask float64  `json:"messages_per_task"`
+	WastedPerTask   float64  `json:"wasted_per_task"`
+	RatioP50        float64  `json:"response_ratio_p50"`
+	RatioP99        float64  `json:"response_ratio_p99"`
+	RefusalP99Ms    float64  `json:"refusal_p99_ms"`
+	// GoodputShare is the run time of the jobs that completed between the warm-up
+	// and the end of the load, as a share of the time of all slots.
+	GoodputShare  float64    `json:"goodput_share"`
+	Resubmissions int64      `json:"resubmissions"`
+	Losses        LossReport `json:"losses"`
+	// Reasons counts the answers that are not complete, by fate and reason, and the
+	// errors, by code.
 	Reasons  map[string]int   `json:"reasons"`
 	Sent     map[string]int64 `json:"sent"`
 	Wasted   map[string]int64 `json:"wasted"`
 	Services []ServiceReport  `json:"services"`
 }
 
-// LossReport is what became of the jobs that were in flight at an entry when
-// that was killed. First is the fate of the key that was in flight; Final, what
-// the caller had in the end, after a new key where the first was not run.
+// LossReport describes the jobs that were in flight at an entry instance when it
+// was killed. First counts the fates under the key that was in flight. Final
+// counts the fates that callers got in the end, which is under a new key where
+// the first was provably not run.
 type LossReport struct {
-	Entries   int                 `json:"entries"`
-	Jobs      int                 `json:"jobs"`
-	First     map[fate.Kind]int   `json:"first"`
-	Reasons   map[fate.Reason]int `json:"reasons"`
-	Final     map[fate.Kind]int   `json:"final"`
-	AnswerP50 float64             `json:"answer_ms_p50"` // from the loss to the answer
-	AnswerP99 float64             `json:"answer_ms_p99"`
+	Entries     int                 `json:"entries"` // kills of entry instances
+	Jobs        int                 `json:"jobs"`
+	First       map[fate.Kind]int   `json:"first"`
+	Reasons     map[fate.Reason]int `json:"reasons"`
+	Final       map[fate.Kind]int   `json:"final"`
+	AnswerP50Ms float64             `json:"answer_ms_p50"` // from the kill to the answer
+	AnswerP99Ms float64             `json:"answer_ms_p99"`
 }
 
-// ServiceReport is the part of one service.
+// ServiceReport is the part of a Report for one service.
 type ServiceReport struct {
 	Name     string  `json:"name"`
 	Jobs     int64   `json:"jobs"`
@@ -66,8 +71,8 @@
 	MsP99    float64 `json:"response_ms_p99"`
 }
 
-// note takes the answer of one job.
-func (r *run) note(s *serviceRun, job client.Job, answer api.Answer, err error, idealMs float64, took time.Duration) {
+// recordAnswer adds the answer to one job, or the error instead, to the report.
+func (r *loadRun) recordAnswer(s *serviceRun, job client.Job, answer api.Answer, err error, idealMs float64, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Jobs++
@@ -75,7 +80,7 @@
 	r.report.Tasks += int64(len(job.Tasks))
 	if err != nil {
 		r.report.Reasons[failure.Code(err)]++
-		r.refused(s, err, took)
+		r.recordRefusal(s, err, elapsed)
 		return
 	}
 	if answer.Fate != fate.Complete {
@@ -83,13 +88,13 @@
 	}
 	switch answer.Fate {
 	case fate.Complete:
-		r.complete(s, job, &answer, idealMs, took)
+		r.recordComplete(s, job, &answer, idealMs, elapsed)
 	case fate.Failed:
 		r.report.Failed++
 	case fate.NotRun:
 		r.report.NotRun++
 		s.report.NotRun++
-		_ = r.refusals.RecordValue(took.Microseconds())
+		_ = r.refusalMicros.RecordValue(elapsed.Microseconds())
 	case fate.Unknown:
 		r.report.Unknown++
 	default:
@@ -97,71 +102,73 @@
 	}
 }
 
-func (r *run) refused(s *serviceRun, err error, took time.Duration) {
+func (r *loadRun) recordRefusal(s *serviceRun, err error, elapsed time.Duration) {
 	if failure.Is(err, failure.Overloaded) {
 		r.report.NotRun++
 		s.report.NotRun++
-		_ = r.refusals.RecordValue(took.Microseconds())
+		_ = r.refusalMicros.RecordValue(elapsed.Microseconds())
 		return
 	}
 	r.report.Unanswered++
 }
 
-func (r *run) complete(s *serviceRun, job client.Job, answer *api.Answer, idealMs float64, took time.Duration) {
+func (r *loadRun) recordComplete(s *serviceRun, job client.Job, answer *api.Answer, idealMs float64, elapsed time.Duration) {
 	r.report.Complete++
 	s.report.Complete++
 	if len(answer.Tasks) != len(job.Tasks) {
 		r.report.Violations = append(r.report.Violations, "a complete answer lacks results")
 	}
-	ratio := float64(took.Microseconds()) / 1000 / idealMs
-	_ = r.ratios.RecordValue(int64(ratio * ratioScale))
-	_ = s.ratios.RecordValue(int64(ratio * ratioScale))
-	_ = s.micros.RecordValue(took.Microseconds())
-	if at := time.Since(r.began); at < r.warmUp() || at > r.load.Duration {
+	ratio := float64(elapsed.Microseconds()) / 1000 / idealMs
+	_ = r.responseRatios.RecordValue(int64(ratio * ratioScale))
+	_ = s.responseRatios.RecordValue(int64(ratio * ratioScale))
+	_ = s.responseMicros.RecordValue(elapsed.Microseconds())
+	if at := time.Since(r.startTime); at < r.warmUp() || at > r.load.Duration {
 		return
 	}
 	for i := range job.Tasks {
-		var w standin.TaskPayload
-		if json.Unmarshal(job.Tasks[i].Payload, &w) == nil {
-			r.goodMs += float64(w.SleepUs) / 1000
+		var payload standin.TaskPayload
+		if json.Unmarshal(job.Tasks[i].Payload, &payload) == nil {
+			r.goodputMs += float64(payload.SleepUs) / 1000
 		}
 	}
 }
 
-// warmUp is left out of the goodput: no job can have ended at first.
-func (r *run) warmUp() time.Duration { return r.load.Duration / 4 }
+// warmUp returns the length of the first part of the load, which the goodput
+// leaves out because no job can have ended at the very start.
+func (r *loadRun) warmUp() time.Duration { return r.load.Duration / 4 }
 
-// finish works the figures out, and checks what must always hold.
-func (r *run) finish(sentBefore, wastedBefore map[string]int64) {
+// computeReport computes the figures of the report and checks the invariants.
+func (r *loadRun) computeReport(sentBefore, wastedBefore map[string]int64) {
 	sent, wasted := r.c.Messages()
 	subtract(sent, sentBefore)
 	subtract(wasted, wastedBefore)
-	p := &r.report
-	p.Sent, p.Wasted = sent, wasted
-	p.Resubmissions = r.resubmits.Load()
-	tasks := float64(max(p.Tasks, 1))
-	p.MessagesPerTask = float64(sum(sent)) / tasks
-	p.WastedPerTask = float64(sum(wasted)) / tasks
-	p.RatioP50, p.RatioP99 = quantiles(r.ratios, ratioScale)
-	_, p.RefusalP99Ms = quantiles(r.refusals, 1000)
+	report := &r.report
+	report.Sent, report.Wasted = sent, wasted
+	report.Resubmissions = r.resubmissions.Load()
+	tasks := float64(max(report.Tasks, 1))
+	report.MessagesPerTask = float64(sum(sent)) / tasks
+	report.WastedPerTask = float64(sum(wasted)) / tasks
+	report.RatioP50, report.RatioP99 = quantiles(r.responseRatios, ratioScale)
+	_, report.RefusalP99Ms = quantiles(r.refusalMicros, 1000)
 	slots := float64(len(r.c.Upstreams) * r.c.Spec.Slots)
-	p.GoodputShare = r.goodMs / (slots * float64((r.load.Duration - r.warmUp()).Milliseconds()))
-	_, twice := r.c.Recorder.Starts()
-	p.DuplicateStarts = int64(len(twice))
+	report.GoodputShare = r.goodputMs / (slots * float64((r.load.Duration - r.warmUp()).Milliseconds()))
+	_, duplicates := r.c.Recorder.Starts()
+	report.DuplicateStarts = int64(len(duplicates))
 	if leaked := r.c.LeakedSlots(); leaked > 0 {
-		p.Violations = append(p.Violations, strconv.Itoa(leaked)+" places are held though no job runs")
+		report.Violations = append(report.Violations, strconv.Itoa(leaked)+" places are held though no job runs")
 	}
-	for _, task := range twice {
-		p.Violations = append(p.Violations, "started twice: "+task)
+	for _, task := range duplicates {
+		report.Violations = append(report.Violations, "started twice: "+task)
 	}
-	p.Losses = r.losses()
+	report.Losses = r.lossReport()
 	for _, s := range r.services {
-		s.report.RatioP50, s.report.RatioP99 = quantiles(s.ratios, ratioScale)
-		s.report.MsP50, s.report.MsP99 = quantiles(s.micros, 1000)
-		p.Services = append(p.Services, s.report)
+		s.report.RatioP50, s.report.RatioP99 = quantiles(s.responseRatios, ratioScale)
+		s.report.MsP50, s.report.MsP99 = quantiles(s.responseMicros, 1000)
+		report.Services = append(report.Services, s.report)
 	}
 }
 
+// quantiles returns the median and the 99th percentile of h, divided by scale.
 func quantiles(h *hdrhistogram.Histogram, scale float64) (p50, p99 float64) {
 	return float64(h.ValueAtQuantile(50)) / scale, float64(h.ValueAtQuantile(99)) / scale
 }
@@ -180,14 +187,15 @@
 	return total
 }
 
-// losses finds the jobs that were in flight at entries when those were killed.
-func (r *run) losses() LossReport {
+// lossReport reports on the jobs that were in flight at entry instances when these
+// were killed.
+func (r *loadRun) lossReport() LossReport {
 	report := LossReport{First: map[fate.Kind]int{}, Final: map[fate.Kind]int{}, Reasons: map[fate.Reason]int{}}
-	took := hdrhistogram.New(1, maxMicros, significance)
+	answerMicros := hdrhistogram.New(1, maxMicros, significantFigures)
 	for _, loss := range r.c.Losses() {
 		report.Entries++
 		for _, j := range r.jobs {
-			if j.home != loss.Name || loss.At.Before(j.began) || loss.At.After(j.ended) {
+			if j.home != loss.Name || loss.At.Before(j.started) || loss.At.After(j.ended) {
 				continue
 			}
 			report.Jobs++
@@ -196,9 +204,9 @@
 			if j.first.Fate != fate.Complete {
 				report.Reasons[j.first.Reason]++
 			}
-			_ = took.RecordValue(j.ended.Sub(loss.At).Microseconds())
+			_ = answerMicros.RecordValue(j.ended.Sub(loss.At).Microseconds())
 		}
 	}
-	report.AnswerP50, report.AnswerP99 = quantiles(took, 1000)
+	report.AnswerP50Ms, report.AnswerP99Ms = quantiles(answerMicros, 1000)
 	return report
 }
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -18,53 +18,53 @@
 	"gopkg.in/ini.v1"
 )
 
-// Scenario is a cluster, a load and the faults that befall it, as an INI file
-// says it.
+// Scenario is a cluster, a load and the faults to inject, as described by an INI
+// file.
 type Scenario struct {
-	Name    string
-	Cluster ClusterSection
-	Load    LoadSection
-	Service []ServiceSection
-	Faults  []FaultSection
+	Name     string
+	Cluster  ClusterSection
+	Load     LoadSection
+	Services []ServiceSection
+	Faults   []FaultSection
 }
 
 // ClusterSection is the [cluster] section.
 type ClusterSection struct {
-	Zones        string  `ini:"zones"` // names, comma separated
-	Entries      string  `ini:"entries"`
-	Upstreams    string  `ini:"upstreams"`
-	Slots        int     `ini:"slots"`
-	CPU          float64 `ini:"cpu"`
-	MemoryMB     uint64  `ini:"memory_mb"`
-	PerRack      int     `ini:"per_rack"`
-	BetweenUs    int64   `ini:"between_zones_us"` // one way
-	CallersUs    int64   `ini:"to_callers_us"`    // one way
-	Order        string  `ini:"order"`
-	HeartbeatMs  int64   `ini:"heartbeat_ms"`
-	ReleaseMs    int64   `ini:"release_delay_ms"`
-	Witness      string  `ini:"witness"`
-	Placing      string  `ini:"placing"`
-	MaxQueued    int     `ini:"max_queued"`
-	NoEjection   bool    `ini:"no_ejection"`
-	PlatformLag  int64   `ini:"list_lag_ms"`
-	SettingsText string  `ini:"settings"`
+	Zones          string  `ini:"zones"`            // names, comma separated
+	Entries        string  `ini:"entries"`          // number in each zone, comma separated; the last one also applies to further zones
+	Upstreams      string  `ini:"upstreams"`        // number in each zone, as for entries
+	Slots          int     `ini:"slots"`            // slots of each upstream
+	CPU            float64 `ini:"cpu"`              // cores of each upstream
+	MemoryMB       uint64  `ini:"memory_mb"`        // memory of each upstream
+	PerRack        int     `ini:"per_rack"`         // upstreams in one rack
+	BetweenZonesUs int64   `ini:"between_zones_us"` // one-way latency
+	ToCallersUs    int64   `ini:"to_callers_us"`    // one-way latency
+	Order          string  `ini:"order"`            // order in which a broker serves waiting tasks
+	HeartbeatMs    int64   `ini:"heartbeat_ms"`
+	ReleaseDelayMs int64   `ini:"release_delay_ms"` // how long free slots wait before they are returned to the broker
+	Witness        string  `ini:"witness"`          // scope of the witness: none, zone or region
+	Placement      string  `ini:"placing"`          // how instances share upstreams: broker, static, guess or probe
+	MaxQueued      int     `ini:"max_queued"`       // tasks that may wait at a broker
+	NoEjection     bool    `ini:"no_ejection"`      // failing upstreams keep getting tasks
+	ListLagMs      int64   `ini:"list_lag_ms"`      // age of the platform's list of instances
+	Settings       string  `ini:"settings"`         // accepted, but without effect
 }
 
 // LoadSection is the [load] section.
 type LoadSection struct {
 	Seconds float64 `ini:"seconds"`
-	// Level is the offered load as a share of all slots.
+	// Level is the offered load as a share of the capacity of all slots.
 	Level float64 `ini:"level"`
-	// Scale is what run times are divided by.
+	// Scale is what run times and deadlines are divided by.
 	Scale float64 `ini:"scale"`
 	Seed  uint64  `ini:"seed"`
 }
 
-// ServiceSection is a [service NAME] section. Run times are in milliseconds
-// before scaling.
+// ServiceSection is a [service NAME] section. Run times are in milliseconds, to
+// be divided by LoadSection.Scale.
 type ServiceSection struct {
 	Name       string
-	Share      float64   `ini:"share"` // of the offered load
+	Share      float64   `ini:"share"` // share of the offered load, relative to the other services
 	Callers    int       `ini:"callers"`
 	MinTasks   int       `ini:"min_tasks"`
 	MaxTasks   int       `ini:"max_tasks"`
@@ -72,31 +72,31 @@
 	Sigma      float64   `ini:"sigma"`
 	MinMs      float64   `ini:"min_ms"`
 	MaxMs      float64   `ini:"max_ms"`
-	LongMs     float64   `ini:"long_ms"`
-	LongShare  float64   `ini:"long_share"`
-	Declared   float64   `ini:"declared"`
+	LongMs     float64   `ini:"long_ms"`    // highest run time
+	LongShare  float64   `ini:"long_share"` // share of tasks that run between MaxMs and LongMs
+	Declared   float64   `ini:"declared"`   // declared run time, as a multiple of the actual one
 	CPU        float64   `ini:"cpu"`
 	MemoryMB   uint64    `ini:"memory_mb"`
-	DeadlineMs int64     `ini:"deadline_ms"` // before scaling
-	Resubmit   float64   `ini:"resubmit"`
+	DeadlineMs int64     `ini:"deadline_ms"` // to be divided by LoadSection.Scale
+	Resubmit   float64   `ini:"resubmit"`    // share of jobs that are resubmitted while they run
 	QuotaSlots int       `ini:"quota_slots"`
-	CancelAt   []float64 `ini:"cancel_at"` // seconds
-	Burst      float64   `ini:"burst"`
-	BurstAt    float64   `ini:"burst_at"`
-	BurstTo    float64   `ini:"burst_to"`
+	CancelAt   []float64 `ini:"cancel_at"` // seconds since the start
+	Burst      float64   `ini:"burst"`     // factor of the rate from BurstAt to BurstTo
+	BurstAt    float64   `ini:"burst_at"`  // seconds since the start
+	BurstTo    float64   `ini:"burst_to"`  // seconds since the start
 }
 
 // FaultSection is a [fault NAME] section.
 type FaultSection struct {
 	Name   string
-	At     float64 `ini:"at"`  // seconds
-	For    float64 `ini:"for"` // seconds; zero is to the end
+	At     float64 `ini:"at"`  // seconds since the start
+	For    float64 `ini:"for"` // seconds; zero means until the end of the run
 	Kind   string  `ini:"kind"`
-	Target string  `ini:"target"` // names of instances or zones, comma separated
-	Factor int64   `ini:"factor"`
+	Target string  `ini:"target"` // names of instances or zones, or prefixes of upstream IDs, comma separated
+	Factor int64   `ini:"factor"` // factor of run times (straggle) or number of kills (losses)
 }
 
-// ReadScenario reads and checks a scenario file.
+// ReadScenario reads and validates a scenario file.
 func ReadScenario(path string) (*Scenario, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -105,26 +105,27 @@
 	return ParseScenario(path, raw)
 }
 
-// ParseScenario is LoadScenario for text at hand.
+// ParseScenario parses and validates the text of a scenario. The scenario's name
+// is the base name of name without the suffix ".ini".
 func ParseScenario(name string, raw []byte) (*Scenario, error) {
 	file, err := ini.Load(raw)
 	if err != nil {
-		return nil, failure.Field(failure.InvalidInput, name, "is not INI: %v", err)
+		return nil, failure.Field(failure.InvalidInput, name, "is not valid INI: %v", err)
 	}
 	s := &Scenario{
 		Name:    strings.TrimSuffix(name[strings.LastIndexByte(name, '/')+1:], ".ini"),
-		Cluster: ClusterSection{Slots: 8, CPU: 64, MemoryMB: 128 << 10, PerRack: 6, HeartbeatMs: 500, Witness: "zone", Placing: "broker", Order: string(placement.OrderFIFO)},
+		Cluster: ClusterSection{Slots: 8, CPU: 64, MemoryMB: 128 << 10, PerRack: 6, HeartbeatMs: 500, Witness: "zone", Placement: "broker", Order: string(placement.OrderFIFO)},
 		Load:    LoadSection{Seconds: 5, Level: 0.7, Scale: 4, Seed: 1},
 	}
 	for _, section := range file.Sections() {
-		if err := s.take(section); err != nil {
+		if err := s.parseSection(section); err != nil {
 			return nil, failure.Field(failure.InvalidInput, section.Name(), "%s: %v", name, err)
 		}
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
-func (s *Scenario) take(section *ini.Section) error {
+func (s *Scenario) parseSection(section *ini.Section) error {
 	kind, name, _ := strings.Cut(section.Name(), " ")
 	switch kind {
 	case ini.DefaultSection:
@@ -136,7 +137,7 @@
 	case "service":
 		v := ServiceSection{Name: name, Share: 1, Callers: 16, MinTasks: 20, MaxTasks: 20, MedianMs: 250, Sigma: 0.8, MinMs: 50, MaxMs: 1000}
 		err := section.StrictMapTo(&v)
-		s.Service = append(s.Service, v)
+		s.Services = append(s.Services, v)
 		return err
 	case "fault":
 		v := FaultSection{Name: name}
@@ -144,38 +145,40 @@
 		s.Faults = append(s.Faults, v)
 		return err
 	default:
-		return failure.Field(failure.InvalidInput, section.Name(), "is no section of a scenario")
+		return failure.Field(failure.InvalidInput, section.Name(), "is not a section of a scenario")
 	}
 }
 
-func (s *Scenario) check() error {
-	if len(s.zones()) == 0 || len(s.Service) == 0 {
-		return failure.Field(failure.InvalidInput, "cluster.zones", "a scenario needs zones and a service")
+func (s *Scenario) validate() error {
+	if len(s.zones()) == 0 || len(s.Services) == 0 {
+		return failure.Field(failure.InvalidInput, "cluster.zones", "a scenario needs at least one zone and one service")
 	}
 	for _, f := range s.Faults {
-		if _, known := faultKinds[f.Kind]; !known {
-			return failure.Field(failure.InvalidInput, "fault "+f.Name+".kind", "is %q, which is no kind of fault", f.Kind)
+		if _, ok := faultKinds[f.Kind]; !ok {
+			return failure.Field(failure.InvalidInput, "fault "+f.Name+".kind", "is %q, which is not a known kind of fault", f.Kind)
 		}
 	}
 	return nil
 }
 
 func (s *Scenario) zones() []ZoneSpec {
-	names := fields(s.Cluster.Zones)
-	entries, upstreams := fields(s.Cluster.Entries), fields(s.Cluster.Upstreams)
+	names := splitList(s.Cluster.Zones)
+	entries, upstreams := splitList(s.Cluster.Entries), splitList(s.Cluster.Upstreams)
 	var list []ZoneSpec
 	for i, name := range names {
-		list = append(list, ZoneSpec{Name: name, Entries: number(entries, i), Upstreams: number(upstreams, i)})
+		list = append(list, ZoneSpec{Name: name, Entries: numberAt(entries, i), Upstreams: numberAt(upstreams, i)})
 	}
 	return list
 }
 
-func fields(s string) []string {
+// splitList splits a list at commas and spaces.
+func splitList(s string) []string {
 	return strings.FieldsFunc(s, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// number returns the i-th number of list, or the last one.
-func number(list []string, i int) int {
+// numberAt returns the i-th number of list, or the last one if the list is
+// shorter. An empty list yields zero.
+func numberAt(list []string, i int) int {
 	if len(list) == 0 {
 		return 0
 	}
@@ -186,32 +189,32 @@
 	return n
 }
 
-// Run starts the scenario's cluster, runs its load through its faults, and
-// returns what came of it.
+// Run starts the scenario's cluster, submits its load while it injects the
+// faults, and returns the report.
 func (s *Scenario) Run() (Report, error) {
-	between, callers := micros(s.Cluster.BetweenUs), micros(s.Cluster.CallersUs)
+	betweenZones, toCallers := microseconds(s.Cluster.BetweenZonesUs), microseconds(s.Cluster.ToCallersUs)
 	network := NewNetwork(func(from, to string) time.Duration {
 		switch {
 		case from == callersZone:
-			return callers
+			return toCallers
 		case from == to:
 			return 0
 		default:
-			return between
+			return betweenZones
 		}
 	})
-	c, err := StartCluster(s.spec(network))
+	c, err := StartCluster(s.clusterSpec(network))
 	if err != nil {
 		return Report{}, err
 	}
 	defer c.Close()
-	c.Platform.Faults.ListLagMs.Store(s.Cluster.PlatformLag)
-	load := s.load(network, c)
+	c.Platform.Faults.ListLagMs.Store(s.Cluster.ListLagMs)
+	load := s.buildLoad(network, c)
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.faults(c, network, stop)
+		s.injectFaults(c, network, stop)
 	}()
 	report, err := RunLoad(c, load)
 	close(stop)
@@ -219,12 +222,12 @@
 	return report, err
 }
 
-// callersZone is where callers dial from.
+// callersZone is the zone from which callers open connections.
 const callersZone = "callers"
 
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func microseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-func (s *Scenario) spec(network *Network) ClusterSpec {
+func (s *Scenario) clusterSpec(network *Network) ClusterSpec {
 	broker := placement.DefaultBrokerConfig
 	broker.Order = placement.Order(s.Cluster.Order)
 	if s.Cluster.MaxQueued > 0 {
@@ -239,17 +242,17 @@
 		HeartbeatInterval: heartbeat, Network: network,
 		Membership: membership.Config{SuspectMs: 3 * s.Cluster.HeartbeatMs, DeadMs: 6 * s.Cluster.HeartbeatMs},
 		Dispatch: dispatch.Config{
-			Broker: broker, Placement: dispatch.PlacementMode(s.Cluster.Placing), ReleaseDelay: time.Duration(s.Cluster.ReleaseMs) * time.Millisecond,
+			Broker: broker, Placement: dispatch.PlacementMode(s.Cluster.Placement), ReleaseDelay: time.Duration(s.Cluster.ReleaseDelayMs) * time.Millisecond,
 			UpstreamLostAfter: 2 * time.Second, WitnessTimeout: 2 * heartbeat,
 		},
-		Settings: "[fleet]\nwitness = " + s.Cluster.Witness + "\n" + s.quotas(),
+		Settings: "[fleet]\nwitness = " + s.Cluster.Witness + "\n" + s.quotaSettings(),
 	}
 }
 
-// quotas returns the settings of services that have a quota.
-func (s *Scenario) quotas() string {
+// quotaSettings returns, as INI text, the settings of the services with a quota.
+func (s *Scenario) quotaSettings() string {
 	text := ""
-	for _, v := range s.Service {
+	for _, v := range s.Services {
 		if v.QuotaSlots > 0 {
 			text += fmt.Sprintf("[service %s]\nquota_slots = %d\n", v.Name, v.QuotaSlots)
 		}
@@ -257,33 +260,33 @@
 	return text
 }
 
-func (s *Scenario) load(network *Network, c *Cluster) Load {
+func (s *Scenario) buildLoad(network *Network, c *Cluster) Load {
 	slots := float64(len(c.Upstreams) * c.Spec.Slots)
 	load := Load{Seed: s.Load.Seed, Duration: time.Duration(s.Load.Seconds * float64(time.Second))}
-	shares := 0.0
-	for _, v := range s.Service {
-		shares += v.Share
+	totalShare := 0.0
+	for _, v := range s.Services {
+		totalShare += v.Share
 	}
-	for _, v := range s.Service {
-		service := v.load(s.Load.Scale)
-		perJob := service.RunMs.Mean() * float64(v.MinTasks+v.MaxTasks) / 2
-		service.Rate = s.Load.Level * slots * 1000 / perJob * v.Share / shares
+	for _, v := range s.Services {
+		service := v.serviceLoad(s.Load.Scale)
+		runMsPerJob := service.RunMs.Mean() * float64(v.MinTasks+v.MaxTasks) / 2
+		service.Rate = s.Load.Level * slots * 1000 / runMsPerJob * v.Share / totalShare
 		load.Services = append(load.Services, service)
 	}
-	load.Dial = func(int) client.Config {
+	load.ClientConfig = func(int) client.Config {
 		return client.Config{Dial: func(address string) (net.Conn, error) { return network.Dial(callersZone, address) }}
 	}
 	return load
 }
 
-func (v *ServiceSection) load(scale float64) ServiceLoad {
+func (v *ServiceSection) serviceLoad(scale float64) ServiceLoad {
 	l := ServiceLoad{
 		Name: v.Name, Callers: v.Callers, MinTasks: v.MinTasks, MaxTasks: v.MaxTasks,
 		RunMs: Dist{
 			Median: v.MedianMs / scale, Sigma: v.Sigma, Min: v.MinMs / scale, Max: v.MaxMs / scale,
-			Long: v.LongMs / scale, LongShare: v.LongShare,
+			LongMax: v.LongMs / scale, LongShare: v.LongShare,
 		},
-		Declared: v.Declared, CPU: v.CPU, MemoryMB: v.MemoryMB, Resubmit: v.Resubmit,
+		DeclaredFactor: v.Declared, CPU: v.CPU, MemoryMB: v.MemoryMB, Resubmit: v.Resubmit,
 		Deadline: time.Duration(float64(v.DeadlineMs) / scale * float64(time.Millisecond)),
 		Burst:    v.Burst, BurstAt: seconds(v.BurstAt), BurstTo: seconds(v.BurstTo),
 	}
--- a/experiment/scenario_test.go
+++ b/experiment/scenario_test.go
@@ -7,7 +7,7 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// TestScenariosAreRight holds every scenario in bench against the checks.
+// TestScenariosAreRight checks that every scenario in bench is valid.
 func TestScenariosAreRight(t *testing.T) {
 	files, err := filepath.Glob("../bench/*.ini")
 	if err != nil || len(files) < 15 {
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestShortPlay plays one scenario with faults for a second, as a whole.
+// TestShortPlay runs one scenario with faults, shortened to one second.
 func TestShortPlay(t *testing.T) {
 	s, err := ReadScenario("../bench/entry-loss.ini")
 	if err != nil {
--- a/experiment/settings_test.go
+++ b/experiment/settings_test.go
@@ -16,14 +16,14 @@
 	"github.com/sedgehatch/sedgehatch/settings"
 )
 
-func storeOf(t *testing.T, c *Cluster) (*settings.Store, *kv.Client) {
+func newSettingsStore(t *testing.T, c *Cluster) (*settings.Store, *kv.Client) {
 	t.Helper()
 	p := kv.NewClient(c.Platform.Address(), nil, nil)
 	t.Cleanup(p.Close)
 	return settings.NewStore(p, func() int64 { return 0 }), p
 }
 
-func set(node, key, value string) func(*settings.Tree) (*settings.Tree, []error) {
+func setValue(node, key, value string) func(*settings.Tree) (*settings.Tree, []error) {
 	return func(t *settings.Tree) (*settings.Tree, []error) {
 		n, err := settings.ParseNode(node)
 		if err != nil {
@@ -36,21 +36,22 @@
 func awaitRevision(t *testing.T, c *Cluster, revision uint64) {
 	t.Helper()
 	for _, n := range c.Nodes() {
-		await(t, fmt.Sprintf("revision %d everywhere", revision), func() bool { return n.Revision() >= revision })
+		waitFor(t, fmt.Sprintf("revision %d everywhere", revision), func() bool { return n.Revision() >= revision })
 	}
 }
 
-// Operators who race lose no update: every change that was accepted is there.
+// Concurrent changes by several operators lose no update: every change that was
+// accepted is stored.
 func TestOperatorsRace(t *testing.T) {
-	c := small(t, nil)
+	c := newTestCluster(t, nil)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	accepted := map[string]bool{}
 	for i := range 12 {
-		store, _ := storeOf(t, c)
+		store, _ := newSettingsStore(t, c)
 		wg.Go(func() {
 			node := fmt.Sprintf("service s%d", i)
-			if _, _, err := store.Update(0, node, set(node, settings.KeyWeight, "7")); err == nil {
+			if _, _, err := store.Update(0, node, setValue(node, settings.KeyWeight, "7")); err == nil {
 				mu.Lock()
 				accepted[node] = true
 				mu.Unlock()
@@ -60,7 +61,7 @@
 		})
 	}
 	wg.Wait()
-	store, _ := storeOf(t, c)
+	store, _ := newSettingsStore(t, c)
 	head, tree, _, err := store.Load()
 	if err != nil || int(head.Number) != len(accepted) || len(accepted) == 0 {
 		t.Fatalf("revision %d after %d accepted changes, %v", head.Number, len(accepted), err)
@@ -74,29 +75,29 @@
 	awaitRevision(t, c, head.Number)
 }
 
-// A write whose answer is lost took effect once, and its writer learns that.
+// A write whose answer is lost takes effect once, and its writer finds that out.
 func TestLostAnswerToAChange(t *testing.T) {
-	c := small(t, nil)
-	store, _ := storeOf(t, c)
+	c := newTestCluster(t, nil)
+	store, _ := newSettingsStore(t, c)
 	c.Platform.Faults.DropAnswers.Store(true)
-	head, diff, err := store.Update(0, "op", set("fleet", settings.KeyDeadlineMs, "5000"))
+	head, diff, err := store.Update(0, "op", setValue("fleet", settings.KeyDeadlineMs, "5000"))
 	c.Platform.Faults.DropAnswers.Store(false)
 	if err != nil || head.Number != 1 || len(diff) != 1 {
 		t.Fatalf("revision %d, %v, %v", head.Number, diff, err)
 	}
 	awaitRevision(t, c, 1)
 	c.Platform.Faults.Down.Store(true)
-	if _, _, err := store.Update(0, "op", set("fleet", settings.KeyDeadlineMs, "6000")); !failure.Is(err, failure.Lost) {
+	if _, _, err := store.Update(0, "op", setValue("fleet", settings.KeyDeadlineMs, "6000")); !failure.Is(err, failure.Lost) {
 		t.Errorf("a change while the platform is down: %v", err)
 	}
 }
 
-// A platform that comes back with old data turns nothing back.
+// A platform that comes back with old data does not revert the settings in force.
 func TestOldDataIsNotApplied(t *testing.T) {
-	c := small(t, nil)
-	store, p := storeOf(t, c)
+	c := newTestCluster(t, nil)
+	store, p := newSettingsStore(t, c)
 	for _, deadline := range []string{"5000", "6000"} {
-		if _, _, err := store.Update(0, "op", set("fleet", settings.KeyDeadlineMs, deadline)); err != nil {
+		if _, _, err := store.Update(0, "op", setValue("fleet", settings.KeyDeadlineMs, deadline)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -117,7 +118,8 @@
 	if _, err := c.StartEntry(name); err != nil {
 		t.Fatal(err)
 	}
-	// The restarted entry reads the old data first, and its peers put it right.
+	// The restarted entry instance reads the old revision first, and then gets the
+	// newer one from its peers.
 	awaitRevision(t, c, 2)
 	for _, n := range c.Nodes() {
 		if n.Revision() != 2 {
@@ -126,11 +128,12 @@
 	}
 }
 
-// An entry that is started while the platform is down starts from its peers.
+// An entry instance that starts while the platform is down gets from its peers
+// what it needs to serve jobs.
 func TestStartFromPeers(t *testing.T) {
-	c := small(t, quick)
-	store, _ := storeOf(t, c)
-	if _, _, err := store.Update(0, "op", set("fleet", settings.KeyDeadlineMs, "5000")); err != nil {
+	c := newTestCluster(t, detectFailuresFast)
+	store, _ := newSettingsStore(t, c)
+	if _, _, err := store.Update(0, "op", setValue("fleet", settings.KeyDeadlineMs, "5000")); err != nil {
 		t.Fatal(err)
 	}
 	awaitRevision(t, c, 1)
@@ -149,16 +152,17 @@
 		t.Fatal(err)
 	}
 	defer cl.Close()
-	answer, err := cl.Do(context.Background(), tasks(20, time.Millisecond))
-	wantComplete(t, answer, err, 20)
+	answer, err := cl.Do(context.Background(), sleepJob(20, time.Millisecond))
+	requireComplete(t, answer, err, 20)
 }
 
-// Alone, without platform and peers, an entry says so and serves nothing.
+// An entry instance that reaches neither the platform nor a peer has no settings,
+// and refuses jobs with that error.
 func TestAloneWithoutSettings(t *testing.T) {
 	n, err := entry.New(entry.Config{
 		Fleet: "f", Instance: "e", Zone: "z", ListenCallers: "127.0.0.1:0", ListenInner: "127.0.0.1:0",
 		PlatformAddress: "127.0.0.1:1", HeartbeatInterval: time.Second, InstancePollInterval: time.Second,
-	}, entry.Hooks{}, (&ClusterSpec{}).quietLog())
+	}, entry.Hooks{}, (&ClusterSpec{}).loggerOrDiscard())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,24 +173,25 @@
 		t.Fatal(err)
 	}
 	defer cl.Close()
-	if _, err := cl.Do(context.Background(), tasks(1, 0)); !failure.Is(err, failure.NoSettings) {
+	if _, err := cl.Do(context.Background(), sleepJob(1, 0)); !failure.Is(err, failure.NoSettings) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// Settings come into force without a restart and without a cut request.
+// A changed quota comes into force without a restart and without interrupting
+// requests.
 func TestQuotaComesIntoForce(t *testing.T) {
-	c := small(t, nil)
-	store, _ := storeOf(t, c)
-	if _, _, err := store.Update(0, "op", set("service desk", settings.KeyQuotaSlots, "6")); err != nil {
+	c := newTestCluster(t, nil)
+	store, _ := newSettingsStore(t, c)
+	if _, _, err := store.Update(0, "op", setValue("service desk", settings.KeyQuotaSlots, "6")); err != nil {
 		t.Fatal(err)
 	}
 	awaitRevision(t, c, 1)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(30, 50*time.Millisecond))
-	home, _ := homeOf(t, s)
-	done := background(s, c.Node(home).CallerAddress())
-	most := 0
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(30, 50*time.Millisecond))
+	home, _ := homeAndWitness(t, s)
+	done := submitInBackground(s, c.Node(home).CallerAddress())
+	maxRunning := 0
 	for running := true; running; {
 		select {
 		case got := <-done:
@@ -195,31 +200,32 @@
 				t.Error(got.err)
 			}
 		case <-time.After(time.Millisecond):
-			most = max(most, c.RunningTasks())
+			maxRunning = max(maxRunning, c.RunningTasks())
 		}
 	}
-	if most > 6 || most == 0 {
-		t.Errorf("%d tasks ran at a time, quota 6", most)
+	if maxRunning > 6 || maxRunning == 0 {
+		t.Errorf("%d tasks ran at the same time, quota 6", maxRunning)
 	}
 }
 
-// A setting of the fleet that bounds what is kept is in force at running logs.
+// A change of how long the fleet keeps answers also applies to logs that are
+// already open.
 func TestKeptAnswersComeIntoForce(t *testing.T) {
-	c := small(t, nil)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(2, 0))
+	c := newTestCluster(t, nil)
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(2, 0))
 	answer, err := s.Submit(context.Background())
-	wantComplete(t, answer, err, 2)
-	store, _ := storeOf(t, c)
-	if _, _, err := store.Update(0, "op", set("fleet", settings.KeyKeepAnswersSeconds, "1")); err != nil {
+	requireComplete(t, answer, err, 2)
+	store, _ := newSettingsStore(t, c)
+	if _, _, err := store.Update(0, "op", setValue("fleet", settings.KeyKeepAnswersSeconds, "1")); err != nil {
 		t.Fatal(err)
 	}
 	awaitRevision(t, c, 1)
-	await(t, "the answer to be let go", func() bool {
+	waitFor(t, "the answer to be evicted", func() bool {
 		answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 		return err == nil && answer.Fate == fate.Unknown && answer.Reason == fate.ReasonNoLongerKept
 	})
-	if n := c.startsOf(s.Key()); n != 2 {
+	if n := c.startCount(s.Key()); n != 2 {
 		t.Errorf("%d starts", n)
 	}
 }
--- a/experiment/stop_test.go
+++ b/experiment/stop_test.go
@@ -14,17 +14,17 @@
 func TestUpstreamConnectionDies(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		t.Run(fmt.Sprintf("before the start took effect: %v", before), func(t *testing.T) {
-			c := small(t, quick)
-			cl := callers(t, c)
-			bad := c.Upstreams[0]
+			c := newTestCluster(t, detectFailuresFast)
+			cl := newClient(t, c)
+			faulty := c.Upstreams[0]
 			if before {
-				bad.Faults.DropStarts.Store(true)
+				faulty.Faults.DropStarts.Store(true)
 			} else {
-				bad.Faults.DropAnswers.Store(true)
+				faulty.Faults.DropAnswers.Store(true)
 			}
-			answer, err := cl.Do(context.Background(), tasks(40, 20*time.Millisecond))
-			wantComplete(t, answer, err, 40)
-			checkStarts(t, c)
+			answer, err := cl.Do(context.Background(), sleepJob(40, 20*time.Millisecond))
+			requireComplete(t, answer, err, 40)
+			checkNoDuplicateStarts(t, c)
 			if starts, _ := c.Recorder.Starts(); starts != 40 {
 				t.Errorf("%d starts", starts)
 			}
@@ -32,14 +32,15 @@
 	}
 }
 
-// An upstream that vanishes with its tasks: their job fails, and says which.
+// When an upstream is lost together with its running tasks, their job fails, and
+// the answer shows which tasks have an unknown outcome.
 func TestUpstreamVanishes(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(20, 500*time.Millisecond))
-	home, _ := homeOf(t, s)
-	done := background(s, c.Node(home).CallerAddress())
-	await(t, "every task to start", func() bool { return c.startsOf(s.Key()) == 20 })
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(20, 500*time.Millisecond))
+	home, _ := homeAndWitness(t, s)
+	done := submitInBackground(s, c.Node(home).CallerAddress())
+	waitFor(t, "every task to start", func() bool { return c.startCount(s.Key()) == 20 })
 	c.Upstreams[0].Close()
 	answer := (<-done).answer
 	if answer.Fate != fate.Failed || answer.Reason != fate.ReasonTaskLost {
@@ -54,77 +55,77 @@
 	if unknown == 0 || len(answer.Tasks) != 20 {
 		t.Errorf("%d of %d tasks are unknown", unknown, len(answer.Tasks))
 	}
-	checkStarts(t, c)
+	checkNoDuplicateStarts(t, c)
 }
 
 func TestPlannedStopCutsNothing(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
 	var wg sync.WaitGroup
-	begun := make(chan struct{}, 40)
+	started := make(chan struct{}, 40)
 	for range 40 {
 		wg.Go(func() {
-			begun <- struct{}{}
-			answer, err := cl.Do(context.Background(), tasks(4, 50*time.Millisecond))
+			started <- struct{}{}
+			answer, err := cl.Do(context.Background(), sleepJob(4, 50*time.Millisecond))
 			if err != nil || answer.Fate != fate.Complete {
 				t.Errorf("answer %s %s, %v", answer.Fate, answer.Reason, err)
 			}
 		})
 	}
 	for range 40 {
-		<-begun
+		<-started
 	}
 	if !c.StopEntry(context.Background(), c.Names()[0]) {
-		t.Error("the entry did not drain")
+		t.Error("the entry instance did not drain")
 	}
 	wg.Wait()
-	checkStarts(t, c)
+	checkNoDuplicateStarts(t, c)
 }
 
 func TestPlatformOutage(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
 	c.Platform.Faults.Down.Store(true)
-	answer, err := cl.Do(context.Background(), tasks(20, 10*time.Millisecond))
-	wantComplete(t, answer, err, 20)
+	answer, err := cl.Do(context.Background(), sleepJob(20, 10*time.Millisecond))
+	requireComplete(t, answer, err, 20)
 	c.KillEntry(c.Names()[0])
-	fresh := callers(t, c)
-	answer, err = fresh.Do(context.Background(), tasks(20, 10*time.Millisecond))
-	wantComplete(t, answer, err, 20)
+	second := newClient(t, c)
+	answer, err = second.Do(context.Background(), sleepJob(20, 10*time.Millisecond))
+	requireComplete(t, answer, err, 20)
 }
 
 func TestLeavingUpstreamGetsNothing(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
 	leaving := c.Upstreams[0]
 	leaving.Faults.Leaving.Store(true)
-	answer, err := cl.Do(context.Background(), tasks(48, 5*time.Millisecond))
-	wantComplete(t, answer, err, 48)
+	answer, err := cl.Do(context.Background(), sleepJob(48, 5*time.Millisecond))
+	requireComplete(t, answer, err, 48)
 	for _, n := range c.Nodes() {
-		await(t, "every entry to know", func() bool { return n.UpstreamIsLeaving(leaving.Instance().ID) })
+		waitFor(t, "every entry instance to see the upstream as leaving", func() bool { return n.UpstreamIsLeaving(leaving.Instance().ID) })
 	}
 	sent, _ := c.Messages()
-	answer, err = cl.Do(context.Background(), tasks(40, 5*time.Millisecond))
-	wantComplete(t, answer, err, 40)
+	answer, err = cl.Do(context.Background(), sleepJob(40, 5*time.Millisecond))
+	requireComplete(t, answer, err, 40)
 	after, _ := c.Messages()
 	if starts := after["start"] - sent["start"]; starts != 40 {
 		t.Errorf("%d starts were sent for 40 tasks", starts)
 	}
 }
 
-// An upstream that the platform lists as leaving gets nothing new within 2 s,
-// though it would still take it.
+// An upstream that the platform lists as leaving gets no new tasks after 2 s at
+// the latest, though it would still accept them.
 func TestListedLeaving(t *testing.T) {
-	c := small(t, quick)
-	cl := callers(t, c)
+	c := newTestCluster(t, detectFailuresFast)
+	cl := newClient(t, c)
 	leaving := c.Upstreams[0].Instance()
 	leaving.Leaving = true
 	c.Platform.PutInstance(leaving)
-	until := time.Now().Add(2 * time.Second)
+	deadline := time.Now().Add(2 * time.Second)
 	for {
-		s := prepare(t, cl, tasks(40, time.Millisecond))
+		s := prepare(t, cl, sleepJob(40, time.Millisecond))
 		answer, err := s.Submit(context.Background())
-		wantComplete(t, answer, err, 40)
+		requireComplete(t, answer, err, 40)
 		used := false
 		for _, start := range c.Recorder.StartsByPrefix(s.Key().String() + "/") {
 			used = used || start.Upstream == leaving.ID
@@ -132,32 +133,32 @@
 		if !used {
 			return
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			t.Fatal("a leaving upstream still gets tasks")
 		}
 	}
 }
 
-// A home that is cut off from its witness, and from callers on the other side,
-// goes on with what it has started; the other side asks the witness, which
-// takes over. Neither tells what the other contradicts, nor starts a task that
-// the other started, and after the cut they agree.
+// A network partition separates the home of a job from its witness. The home goes
+// on with the tasks that it has started. A caller on the other side asks the
+// witness, which takes over. The two must not report contradicting fates, nor both
+// start the same task, and must agree after the partition.
 func TestHomeCutOff(t *testing.T) {
 	network := NewNetwork(func(_, _ string) time.Duration { return 0 })
-	c := small(t, func(s *ClusterSpec) {
-		quick(s)
+	c := newTestCluster(t, func(s *ClusterSpec) {
+		detectFailuresFast(s)
 		s.Network = network
 		s.Settings = "[fleet]\nwitness = region\n"
 		s.Slots = 4
 	})
-	cl := callers(t, c)
-	s := prepare(t, cl, tasks(60, 150*time.Millisecond))
-	home, witness := homeOf(t, s)
-	if c.zones[home] == c.zones[witness] {
+	cl := newClient(t, c)
+	s := prepare(t, cl, sleepJob(60, 150*time.Millisecond))
+	home, witness := homeAndWitness(t, s)
+	if c.zoneOf[home] == c.zoneOf[witness] {
 		t.Fatalf("home %s and witness %s are in one zone", home, witness)
 	}
-	first := background(s, c.Node(home).CallerAddress())
-	await(t, "tasks to run while others wait", func() bool { return c.startsOf(s.Key()) >= 24 })
+	first := submitInBackground(s, c.Node(home).CallerAddress())
+	waitFor(t, "tasks to run while others wait", func() bool { return c.startCount(s.Key()) >= 24 })
 	network.Partition("a", "b")
 	second, err := s.SendTo(context.Background(), c.Node(witness).CallerAddress())
 	if err != nil {
@@ -181,33 +182,34 @@
 			continue
 		}
 		if final != "" && kind != final {
-			t.Errorf("one key was told %v", fates)
+			t.Errorf("callers got different fates for one key: %v", fates)
 		}
 		final = kind
 	}
 	if final == fate.NotRun {
-		t.Errorf("told %v after %d starts", fates, c.startsOf(s.Key()))
+		t.Errorf("fates %v after %d starts", fates, c.startCount(s.Key()))
 	}
-	t.Logf("told %v", fates)
-	checkStarts(t, c)
+	t.Logf("fates %v", fates)
+	checkNoDuplicateStarts(t, c)
 }
 
-// Every entry is stopped and started again under load: no caller notices.
+// Every entry instance is shut down gracefully and restarted under load, and no
+// job fails.
 func TestRollingRestart(t *testing.T) {
-	c := small(t, quick)
+	c := newTestCluster(t, detectFailuresFast)
 	stop := make(chan struct{})
-	var work sync.WaitGroup
+	var submitters sync.WaitGroup
 	var jobs atomic.Int64
 	for range 4 {
-		cl := callers(t, c)
-		work.Go(func() {
+		cl := newClient(t, c)
+		submitters.Go(func() {
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				answer, err := cl.Do(context.Background(), tasks(6, 20*time.Millisecond))
+				answer, err := cl.Do(context.Background(), sleepJob(6, 20*time.Millisecond))
 				if err != nil || answer.Fate != fate.Complete {
 					t.Errorf("answer %s %s, %v", answer.Fate, answer.Reason, err)
 				}
@@ -217,9 +219,9 @@
 	}
 	rollingRestart(c, nil, nil)
 	close(stop)
-	work.Wait()
-	checkStarts(t, c)
+	submitters.Wait()
+	checkNoDuplicateStarts(t, c)
 	if jobs.Load() == 0 {
-		t.Error("nothing was tried")
+		t.Error("no job was submitted")
 	}
 }
--- a/experiment/throughput_test.go
+++ b/experiment/throughput_test.go
@@ -17,8 +17,9 @@
 	"gopkg.in/ini.v1"
 )
 
-// idle is a fleet of one entry, or two, whose upstreams answer at once.
-func idle(b *testing.B, entries int) *Cluster {
+// startIdleCluster starts a cluster of one zone, with the given number of entry
+// instances and eight upstreams.
+func startIdleCluster(b *testing.B, entries int) *Cluster {
 	b.Helper()
 	c, err := StartCluster(ClusterSpec{Zones: []ZoneSpec{{"a", entries, 8}}, Slots: 64})
 	if err != nil {
@@ -29,11 +30,11 @@
 }
 
 // BenchmarkStarts runs jobs of 50 tasks that end at once. Its time, bytes and
-// allocations are those of one task, callers and upstreams included.
+// allocations are per task, and include the callers and upstreams.
 func BenchmarkStarts(b *testing.B) {
 	for name, entries := range map[string]int{"alone": 1, "witness": 2} {
 		b.Run(name, func(b *testing.B) {
-			c := idle(b, entries)
+			c := startIdleCluster(b, entries)
 			const perJob = 50
 			job := client.Job{Service: "desk", Deadline: 20 * time.Second, Tasks: make([]api.Task, perJob)}
 			var wg sync.WaitGroup
@@ -64,10 +65,10 @@
 	}
 }
 
-// BenchmarkDirect starts the same tasks at the same upstreams without
-// sedgehatch: what is left of BenchmarkStarts without it.
+// BenchmarkDirect starts the same tasks as BenchmarkStarts directly at an
+// upstream. The difference between the two is the cost of sedgehatch.
 func BenchmarkDirect(b *testing.B) {
-	c := idle(b, 1)
+	c := startIdleCluster(b, 1)
 	cl := upstream.NewClient("u", c.Upstreams[0].Address(), 64, nil)
 	defer cl.CloseIdleConnections()
 	task := &fate.Task{}
@@ -82,38 +83,38 @@
 	})
 }
 
-// BenchmarkAddedLatency compares a job of one task that ends at once with the
-// same start sent to the upstream directly, turn by turn.
+// BenchmarkAddedLatency compares a job of one task that ends at once with the same
+// task started directly at an upstream, in alternation.
 func BenchmarkAddedLatency(b *testing.B) {
 	for name, entries := range map[string]int{"alone": 1, "witness": 2} {
 		b.Run(name, func(b *testing.B) {
-			c := idle(b, entries)
-			direct := upstream.NewClient("u", c.Upstreams[0].Address(), 4, nil)
-			defer direct.CloseIdleConnections()
+			c := startIdleCluster(b, entries)
+			upstreamClient := upstream.NewClient("u", c.Upstreams[0].Address(), 4, nil)
+			defer upstreamClient.CloseIdleConnections()
 			cl, err := c.Client("desk")
 			if err != nil {
 				b.Fatal(err)
 			}
 			defer cl.Close()
 			job := client.Job{Service: "desk", Deadline: 20 * time.Second, Tasks: make([]api.Task, 1)}
-			looked := hdrhistogram.New(1, maxMicros, significance)
-			through := hdrhistogram.New(1, maxMicros, significance)
-			straight := hdrhistogram.New(1, maxMicros, significance)
-			timed := func(h *hdrhistogram.Histogram, call func() error) {
-				began := time.Now()
+			lookupFirst := hdrhistogram.New(1, maxMicros, significantFigures)
+			viaEntry := hdrhistogram.New(1, maxMicros, significantFigures)
+			direct := hdrhistogram.New(1, maxMicros, significantFigures)
+			measure := func(h *hdrhistogram.Histogram, call func() error) {
+				start := time.Now()
 				if err := call(); err != nil {
 					b.Fatal(err)
 				}
-				_ = h.RecordValue(time.Since(began).Microseconds())
+				_ = h.RecordValue(time.Since(start).Microseconds())
 			}
 			for n := 0; b.Loop(); n++ {
-				timed(through, func() error {
+				measure(viaEntry, func() error {
 					_, err := cl.Do(context.Background(), job)
 					return err
 				})
-				// With a lookup before the first attempt, as the paper's check
-				// would be if it were not kept for resubmissions.
-				timed(looked, func() error {
+				// Looks the key up before the first attempt as well. The paper's
+				// protocol does so for each attempt, sedgehatch for resubmissions only.
+				measure(lookupFirst, func() error {
 					s, err := cl.Prepare(context.Background(), job)
 					if err != nil {
 						return err
@@ -122,43 +123,44 @@
 					_, err = s.Submit(context.Background())
 					return err
 				})
-				timed(straight, func() error {
-					_, err := direct.Start(&upstream.StartRequest{Lease: fmt.Sprintf("d/%p/%d/0", c, n), LeaseMs: 1000, Service: "desk", Task: &fate.Task{}, Timeout: time.Second})
+				measure(direct, func() error {
+					_, err := upstreamClient.Start(&upstream.StartRequest{Lease: fmt.Sprintf("d/%p/%d/0", c, n), LeaseMs: 1000, Service: "desk", Task: &fate.Task{}, Timeout: time.Second})
 					return err
 				})
 			}
-			b.ReportMetric(float64(through.ValueAtQuantile(50)-straight.ValueAtQuantile(50)), "added-us-p50")
-			b.ReportMetric(float64(looked.ValueAtQuantile(50)-straight.ValueAtQuantile(50)), "added-us-p50-lookup-first")
-			b.ReportMetric(float64(through.ValueAtQuantile(99)-straight.ValueAtQuantile(99)), "added-us-p99")
+			b.ReportMetric(float64(viaEntry.ValueAtQuantile(50)-direct.ValueAtQuantile(50)), "added-us-p50")
+			b.ReportMetric(float64(lookupFirst.ValueAtQuantile(50)-direct.ValueAtQuantile(50)), "added-us-p50-lookup-first")
+			b.ReportMetric(float64(viaEntry.ValueAtQuantile(99)-direct.ValueAtQuantile(99)), "added-us-p99")
 		})
 	}
 }
 
-// bounds are what bench/bounds.ini holds.
+// bounds are the limits in bench/bounds.ini.
 type bounds struct {
 	Allocations float64 `ini:"allocations"`
 	Messages    float64 `ini:"messages"`
 	Wasted      float64 `ini:"wasted"`
 }
 
-// TestBounds holds the allocations and messages of a task, callers and
-// upstreams included, in jobs of 50 on two entries.
+// TestBounds checks the allocations and messages per task against the limits in
+// bench/bounds.ini, for jobs of 50 tasks on two entry instances. The figures
+// include the callers and upstreams.
 func TestBounds(t *testing.T) {
-	c := small(t, func(s *ClusterSpec) {
+	c := newTestCluster(t, func(s *ClusterSpec) {
 		s.Zones = []ZoneSpec{{"a", 2, 8}}
 		s.Slots = 64
 		s.HeartbeatInterval = 500 * time.Millisecond
 	})
-	cl := callers(t, c)
+	cl := newClient(t, c)
 	const perJob, jobs = 50, 40
-	job := tasks(perJob, 0)
+	job := sleepJob(perJob, 0)
 	run := func() {
 		for range jobs {
 			answer, err := cl.Do(context.Background(), job)
-			wantComplete(t, answer, err, perJob)
+			requireComplete(t, answer, err, perJob)
 		}
 	}
-	run() // connections, logs and histories are there from now on
+	run() // warm-up: creates connections, logs and histories
 	var bound bounds
 	file, err := ini.Load("../bench/bounds.ini")
 	if err != nil {
@@ -172,17 +174,17 @@
 	runtime.ReadMemStats(&before)
 	run()
 	runtime.ReadMemStats(&after)
-	now, wasted := c.Messages()
-	subtract(now, sent)
-	subtract(wasted, wastedBefore)
+	sentAfter, wastedAfter := c.Messages()
+	subtract(sentAfter, sent)
+	subtract(wastedAfter, wastedBefore)
 	for _, kind := range []string{"heartbeat", "platform", "slot_sync"} {
-		delete(now, kind) // these go with time, not with tasks
+		delete(sentAfter, kind) // sent at intervals, independently of tasks
 	}
 	allocs := float64(after.Mallocs-before.Mallocs) / (perJob * jobs)
-	messages := float64(sum(now)) / (perJob * jobs)
-	waste := float64(sum(wasted)) / (perJob * jobs)
-	t.Logf("a task: %.1f allocations, %.3f messages, %.4f wasted; %v", allocs, messages, waste, now)
+	messages := float64(sum(sentAfter)) / (perJob * jobs)
+	waste := float64(sum(wastedAfter)) / (perJob * jobs)
+	t.Logf("a task: %.1f allocations, %.3f messages, %.4f wasted; %v", allocs, messages, waste, sentAfter)
 	if allocs > bound.Allocations || messages > bound.Messages || waste > bound.Wasted {
-		t.Errorf("a bound is passed: %+v", bound)
+		t.Errorf("a bound is exceeded: %+v", bound)
 	}
 }
--- a/experiment/variants.go
+++ b/experiment/variants.go
@@ -13,8 +13,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Variants are ways to compare on one scenario. An empty list is what the
-// scenario says itself.
+// Variants lists values to compare on a scenario, which is run once for each
+// combination of them. For an empty list, or zero Seconds, the scenario's own
+// value applies.
 type Variants struct {
 	QueueOrders []string
 	Placements  []string
@@ -23,55 +24,57 @@
 	Seconds     float64
 }
 
-// RunResult is one run.
+// RunResult is the result of one run of a scenario.
 type RunResult struct {
 	Name    string  `json:"name"`
-	Variant string  `json:"way"` // the variant without its load
+	Variant string  `json:"way"` // all that varies but the load, as text
 	Load    float64 `json:"load"`
 	Report  Report  `json:"report"`
 }
 
-// Run runs every variant of s, one after another, and calls done after each.
+// Run runs s once for each combination of values in v, one after another, and
+// calls done after each run.
 func (v *Variants) Run(s *Scenario, done func(*RunResult)) ([]RunResult, error) {
-	var rows []RunResult
-	for _, placing := range orOwn(v.Placements, s.Cluster.Placing) {
-		for _, policy := range orOwn(v.QueueOrders, s.Cluster.Order) {
-			for _, witness := range orOwn(v.Witnesses, s.Cluster.Witness) {
-				for _, load := range orOwn(v.Loads, s.Load.Level) {
-					row, err := v.runOne(*s, placing, policy, witness, load)
+	var results []RunResult
+	for _, placement := range orDefault(v.Placements, s.Cluster.Placement) {
+		for _, queueOrder := range orDefault(v.QueueOrders, s.Cluster.Order) {
+			for _, witness := range orDefault(v.Witnesses, s.Cluster.Witness) {
+				for _, load := range orDefault(v.Loads, s.Load.Level) {
+					result, err := v.runOne(*s, placement, queueOrder, witness, load)
 					if err != nil {
-						return rows, err
+						return results, err
 					}
-					rows = append(rows, row)
-					done(&row)
+					results = append(results, result)
+					done(&result)
 				}
 			}
 		}
 	}
-	return rows, nil
+	return results, nil
 }
 
-func orOwn[T any](list []T, own T) []T {
+// orDefault returns list, or a list of only value if list is empty.
+func orDefault[T any](list []T, value T) []T {
 	if len(list) == 0 {
-		return []T{own}
+		return []T{value}
 	}
 	return list
 }
 
-func (v *Variants) runOne(s Scenario, placing, policy, witness string, load float64) (RunResult, error) {
-	s.Cluster.Placing, s.Cluster.Order, s.Cluster.Witness, s.Load.Level = placing, policy, witness, load
+func (v *Variants) runOne(s Scenario, placement, queueOrder, witness string, load float64) (RunResult, error) {
+	s.Cluster.Placement, s.Cluster.Order, s.Cluster.Witness, s.Load.Level = placement, queueOrder, witness, load
 	if v.Seconds > 0 {
 		s.Load.Seconds = v.Seconds
 	}
-	row := RunResult{Variant: fmt.Sprintf("%s %s %s witness=%s", s.Name, placing, policy, witness), Load: load}
-	row.Name = fmt.Sprintf("%s load=%g", row.Variant, load)
+	result := RunResult{Variant: fmt.Sprintf("%s %s %s witness=%s", s.Name, placement, queueOrder, witness), Load: load}
+	result.Name = fmt.Sprintf("%s load=%g", result.Variant, load)
 	report, err := s.Run()
-	row.Report = report
-	return row, err
+	result.Report = report
+	return result, err
 }
 
-// RunDemo runs both users' services, scaled down, on a small fleet, with some
-// jobs resubmitted on purpose to another entry.
+// RunDemo runs the services of both users, scaled down, on a small fleet. Some
+// jobs are resubmitted on purpose while they run.
 func RunDemo() (Report, error) {
 	c, err := StartCluster(ClusterSpec{
 		Zones:             []ZoneSpec{{"plaine", 2, 6}, {"depot", 2, 6}},
@@ -84,11 +87,11 @@
 	return RunLoad(c, Load{Seed: 1, Duration: 5 * time.Second, Services: []ServiceLoad{
 		{
 			Name: "wardrobe-desk", Callers: 6, Rate: 12, MinTasks: 5, MaxTasks: 30, Resubmit: 0.1,
-			RunMs: Dist{Median: 50, Sigma: 0.8, Min: 12, Max: 250, Long: 800, LongShare: 0.005}, Deadline: 8 * time.Second,
+			RunMs: Dist{Median: 50, Sigma: 0.8, Min: 12, Max: 250, LongMax: 800, LongShare: 0.005}, Deadline: 8 * time.Second,
 		},
 		{
 			Name: "dispatch", Callers: 4, Rate: 12, MinTasks: 1, MaxTasks: 20, Resubmit: 0.1,
-			RunMs: Dist{Median: 50, Sigma: 0.8, Min: 12, Max: 250, Long: 800, LongShare: 0.005}, Deadline: 8 * time.Second,
+			RunMs: Dist{Median: 50, Sigma: 0.8, Min: 12, Max: 250, LongMax: 800, LongShare: 0.005}, Deadline: 8 * time.Second,
 		},
 	}})
 }
@@ -98,8 +101,9 @@
 	plotHeight = 11 * vg.Centimeter
 )
 
-// WritePlots writes response ratios and messages against load as PNG files in dir.
-func WritePlots(dir string, rows []RunResult) error {
+// WritePlots plots response ratios and messages per task against the load, as
+// PNG files in dir.
+func WritePlots(dir string, results []RunResult) error {
 	plots := []struct {
 		file, title, axis string
 		value             func(*Report) float64
@@ -109,14 +113,14 @@
 		{"messages.png", "Messages", "messages per task", func(r *Report) float64 { return r.MessagesPerTask }},
 	}
 	for _, p := range plots {
-		if err := drawPlot(filepath.Join(dir, p.file), p.title, p.axis, rows, p.value); err != nil {
+		if err := drawPlot(filepath.Join(dir, p.file), p.title, p.axis, results, p.value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func drawPlot(path, title, axis string, rows []RunResult, value func(*Report) float64) error {
+func drawPlot(path, title, axis string, results []RunResult, value func(*Report) float64) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "load, share of all slots"
@@ -124,18 +128,18 @@
 	p.Legend.Top = true
 	p.Legend.Left = true
 	var lines []any
-	index := map[string]int{}
-	for i := range rows {
-		at, known := index[rows[i].Variant]
-		if !known {
-			at = len(lines) + 1
-			index[rows[i].Variant] = at
-			lines = append(lines, rows[i].Variant, plotter.XYs{})
+	lineOf := map[string]int{}
+	for i := range results {
+		line, ok := lineOf[results[i].Variant]
+		if !ok {
+			line = len(lines) + 1
+			lineOf[results[i].Variant] = line
+			lines = append(lines, results[i].Variant, plotter.XYs{})
 		}
-		lines[at] = append(lines[at].(plotter.XYs), plotter.XY{X: rows[i].Load, Y: value(&rows[i].Report)})
+		lines[line] = append(lines[line].(plotter.XYs), plotter.XY{X: results[i].Load, Y: value(&results[i].Report)})
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
-		return failure.Internal.Wrap(err, "the plot cannot be drawn")
+		return failure.Internal.Wrap(err, "cannot draw the plot")
 	}
 	if err := p.Save(plotWidth, plotHeight, path); err != nil {
 		return failure.Field(failure.InvalidInput, "plot", "cannot be written: %v", err)
