--- a/experiment/failure_test.go
+++ b/experiment/failure_test.go
@@ -288,7 +288,7 @@
 		job := sleepJob(4, longTask)
 		job.Deadline = deadline
 		for i := range job.Tasks {
-			job.Tasks[i].RunMs = 10 // far below the actual run time
+			job.Tasks[i].RunMs = 10 // declared run time, far below the actual one
 		}
 		before, _ := c.Recorder.Starts()
 		var err error
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -93,7 +93,7 @@
 	load           Load
 	startTime      time.Time
 	wg             sync.WaitGroup
-	mu             sync.Mutex // guards jobs and all results
+	mu             sync.Mutex // guards jobs, goodputMs, the reports and the histograms
 	report         Report
 	responseRatios *hdrhistogram.Histogram
 	refusalMicros  *hdrhistogram.Histogram
@@ -105,9 +105,9 @@
 
 // jobRecord is the course of one job as its caller saw it.
 type jobRecord struct {
-	home           string // name of the entry instance
+	home           string // name of the entry instance that is the job's home
 	started, ended time.Time
-	first, final   api.Answer // under the first key, and in the end
+	first, final   api.Answer // answer under the first key, and answer that the caller got in the end
 }
 
 // serviceRun is the part of a loadRun for one service.
@@ -117,7 +117,7 @@
 	responseRatios *hdrhistogram.Histogram
 	responseMicros *hdrhistogram.Histogram
 	clients        []*client.Client
-	inFlight       sync.Map // *client.Submission to *client.Client
+	inFlight       sync.Map // client of each job in flight, by *client.Submission
 }
 
 // RunLoad submits load to c as an open loop: jobs are sent when they are due,
--- a/experiment/network.go
+++ b/experiment/network.go
@@ -29,8 +29,8 @@
 	return &Network{zones: map[string]string{}, partitions: map[[2]string]bool{}, healed: make(chan struct{}), latency: latency}
 }
 
-// SetZone records the zone of an address. Unrecorded addresses count as being in
-// the zone of whoever dials them.
+// SetZone records the zone of an address. Dial takes any other address to be in
+// the zone from which it is dialed.
 func (n *Network) SetZone(address, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -53,7 +53,7 @@
 	Entries     int                 `json:"entries"` // kills of entry instances
 	Jobs        int                 `json:"jobs"`
 	First       map[fate.Kind]int   `json:"first"`
-	Reasons     map[fate.Reason]int `json:"reasons"`
+	Reasons     map[fate.Reason]int `json:"reasons"` // of the fates in First that are not complete
 	Final       map[fate.Kind]int   `json:"final"`
 	AnswerP50Ms float64             `json:"answer_ms_p50"` // from the kill to the answer
 	AnswerP99Ms float64             `json:"answer_ms_p99"`
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -32,7 +32,7 @@
 type ClusterSection struct {
 	Zones          string  `ini:"zones"`            // names, comma separated
 	Entries        string  `ini:"entries"`          // number in each zone, comma separated; the last one also applies to further zones
-	Upstreams      string  `ini:"upstreams"`        // number in each zone, as for entries
+	Upstreams      string  `ini:"upstreams"`        // number in each zone, comma separated; the last one also applies to further zones
 	Slots          int     `ini:"slots"`            // slots of each upstream
 	CPU            float64 `ini:"cpu"`              // cores of each upstream
 	MemoryMB       uint64  `ini:"memory_mb"`        // memory of each upstream
@@ -77,7 +77,7 @@
 	Declared   float64   `ini:"declared"`   // declared run time, as a multiple of the actual one
 	CPU        float64   `ini:"cpu"`
 	MemoryMB   uint64    `ini:"memory_mb"`
-	DeadlineMs int64     `ini:"deadline_ms"` // to be divided by LoadSection.Scale
+	DeadlineMs int64     `ini:"deadline_ms"` // milliseconds, to be divided by LoadSection.Scale
 	Resubmit   float64   `ini:"resubmit"`    // share of jobs that are resubmitted while they run
 	QuotaSlots int       `ini:"quota_slots"`
 	CancelAt   []float64 `ini:"cancel_at"` // seconds since the start
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -36,10 +36,10 @@
 	mu          sync.Mutex
 	values      map[string]api.KVEntry
 	leaseOf     map[string]string               // lease ID by key; empty for a key without a lease
-	leaseExpiry map[string]time.Time            // by lease ID
+	leaseExpiry map[string]time.Time            // end of each lease, by lease ID
 	changed     chan struct{}                   // closed and replaced at each write
-	instances   map[string]api.PlatformInstance // by ID
-	snapshots   []instanceSnapshot              // of instances after each change, for ListLagMs
+	instances   map[string]api.PlatformInstance // the list of instances, by ID
+	snapshots   []instanceSnapshot              // list of instances after each change, for ListLagMs
 }
 
 // instanceSnapshot is the list of instances as it was from a time on.
@@ -103,7 +103,7 @@
 	p.takeSnapshot()
 }
 
-// takeSnapshot stores the current list of instances. The caller holds p.mu.
+// takeSnapshot stores the current list of instances. p.mu must be held.
 func (p *Platform) takeSnapshot() {
 	snapshot := instanceSnapshot{at: time.Now()}
 	for _, i := range p.instances {
@@ -222,8 +222,8 @@
 	return entry, true
 }
 
-// removeExpired removes the keys whose leases have expired or were deleted. The
-// caller holds p.mu.
+// removeExpired removes the keys whose leases have expired or were deleted. p.mu
+// must be held.
 func (p *Platform) removeExpired() {
 	now := time.Now()
 	for key, id := range p.leaseOf {
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -34,7 +34,7 @@
 	DropAnswers    atomic.Bool  // connections of starts are closed after the start has taken effect
 	SlowdownFactor atomic.Int64 // factor of all run times, if above 1
 	Leaving        atomic.Bool  // new starts are refused
-	DropNonStarts  atomic.Bool  // all calls except starts are closed without an answer
+	DropNonStarts  atomic.Bool  // connections of all calls except starts are closed without an answer
 }
 
 // UpstreamConfig configures an upstream.
@@ -42,7 +42,7 @@
 	Info     api.UpstreamInfo
 	Recorder *StartRecorder
 	Listen   string        // host and port; empty means a free port of the loopback interface
-	UsageLag time.Duration // maximum age of usage reports
+	UsageLag time.Duration // a usage report is reused until it is this old
 }
 
 // Upstream emulates an upstream that runs tasks.
@@ -320,8 +320,8 @@
 	u.recordUsage(service, state, ran)
 }
 
-// recordUsage adds a task that has ended to the usage of its service. The caller
-// holds u.mu.
+// recordUsage adds a task that has ended to the usage of its service. u.mu must be
+// held.
 func (u *Upstream) recordUsage(service string, state api.LeaseState, ran time.Duration) {
 	s := u.usage[service]
 	if s == nil {
