--- a/experiment/throughput_test.go
+++ b/experiment/throughput_test.go
@@ -70,7 +70,7 @@
 func BenchmarkDirect(b *testing.B) {
 	c := startIdleCluster(b, 1)
 	cl := upstream.NewClient("u", c.Upstreams[0].Address(), 64, nil)
-	defer cl.CloseIdleConnections()
+	defer cl.Close()
 	task := &fate.Task{}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
@@ -90,7 +90,7 @@
 		b.Run(name, func(b *testing.B) {
 			c := startIdleCluster(b, entries)
 			upstreamClient := upstream.NewClient("u", c.Upstreams[0].Address(), 4, nil)
-			defer upstreamClient.CloseIdleConnections()
+			defer upstreamClient.Close()
 			cl, err := c.Client("desk")
 			if err != nil {
 				b.Fatal(err)
