--- a/cli/soak.go
+++ b/cli/soak.go
@@ -20,35 +20,35 @@
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "run the daemon as processes against an emulated platform, inject faults, check the promises",
+		Usage: "run daemon processes against an emulated platform, inject faults and check invariants",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "daemon", Usage: "the `PROGRAM` to run; by default sedgehatchd beside this program, then in the path, then built from the checkout that this is run in"},
+			&cli.StringFlag{Name: "daemon", Usage: "the `PROGRAM` to run; by default sedgehatchd in the directory of this program, then in the PATH, then built from the checkout in the working directory"},
 			&cli.Uint64Flag{Name: "seed", Usage: "the first seed", Value: 1},
-			&cli.IntFlag{Name: "seeds", Usage: "how many seeds, one after the other", Value: 1},
+			&cli.IntFlag{Name: "seeds", Usage: "number of consecutive seeds to run, one after the other", Value: 1},
 			&cli.DurationFlag{Name: "length", Usage: "how long faults are injected for each seed", Value: 20 * time.Second},
-			&cli.IntFlag{Name: "zones", Value: 2, Usage: "availability zones"},
-			&cli.IntFlag{Name: "instances", Value: 3, Usage: "instances of each zone"},
-			&cli.IntFlag{Name: "upstreams", Value: 4, Usage: "upstreams of each zone"},
+			&cli.IntFlag{Name: "zones", Value: 2, Usage: "number of availability zones"},
+			&cli.IntFlag{Name: "instances", Value: 3, Usage: "number of instances in each zone"},
+			&cli.IntFlag{Name: "upstreams", Value: 4, Usage: "number of upstreams in each zone"},
 			&cli.BoolFlag{Name: "evacuations", Value: true, Usage: "also evacuate availability zones"},
-			&cli.BoolFlag{Name: "lives", Value: true, Usage: "also let upstreams start again under their ids, and shrink and grow"},
-			&cli.IntFlag{Name: "customers", Value: 12, Usage: "customers that send one job after the other"},
-			&cli.StringFlag{Name: "keep", Usage: "a `DIRECTORY` where the logs of all instances stay"},
+			&cli.BoolFlag{Name: "lives", Value: true, Usage: "also restart upstreams under the same IDs and change their capacity"},
+			&cli.IntFlag{Name: "customers", Value: 12, Usage: "number of customers, each of which sends one job after the other"},
+			&cli.StringFlag{Name: "keep", Usage: "`DIRECTORY` in which to keep the settings and logs of all instances"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			// A run that is broken off, also by a pipe that closes, still ends
-			// its processes.
+			// An interrupted run must still stop its processes, also if it is
+			// interrupted because the pipe of its output was closed.
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM, syscall.SIGPIPE)
 			defer stop()
-			daemon, cleanup, err := soakDaemon(c.String("daemon"))
+			daemon, cleanup, err := findDaemon(c.String("daemon"))
 			if err != nil {
 				return err
 			}
 			defer cleanup()
 			for i := range c.Int("seeds") {
 				if ctx.Err() != nil {
-					return failure.Stopping.New("the soak was broken off")
+					return failure.Stopping.New("the soak run was interrupted")
 				}
-				if err := soakSeed(ctx, c, daemon, c.Uint64("seed")+uint64(i)); err != nil {
+				if err := runSoak(ctx, c, daemon, c.Uint64("seed")+uint64(i)); err != nil {
 					return err
 				}
 			}
@@ -57,27 +57,28 @@
 	}
 }
 
-// daemonProgram is the name of the daemon's program.
-const daemonProgram = "sedgehatchd"
+// daemonName is the name of the daemon's executable.
+const daemonName = "sedgehatchd"
 
-// soakDaemon finds the daemon: the one that is named, one beside this program, one in
-// the path, or one that it builds from the checkout in the working directory. Cleanup
-// removes what was built. The error is InvalidInput and tells how to get one.
-func soakDaemon(named string) (program string, cleanup func(), err error) {
-	nothing := func() {}
-	if named != "" {
-		if program, err = exec.LookPath(named); err != nil {
+// findDaemon returns the path of the daemon's executable: the given one or else, in this order,
+// one in the directory of this program, one in the PATH, or one that it builds from the
+// checkout in the working directory. Cleanup removes what was built. The error is InvalidInput
+// and says how to provide the daemon.
+func findDaemon(name string) (program string, cleanup func(), err error) {
+	noCleanup := func() {}
+	if name != "" {
+		if program, err = exec.LookPath(name); err != nil {
 			return "", nil, failure.Field(failure.InvalidInput, "daemon", "cannot be run: %v", err)
 		}
-		return program, nothing, nil
+		return program, noCleanup, nil
 	}
 	if self, err := os.Executable(); err == nil {
-		if beside, err := exec.LookPath(filepath.Join(filepath.Dir(self), daemonProgram)); err == nil {
-			return beside, nothing, nil
+		if sibling, err := exec.LookPath(filepath.Join(filepath.Dir(self), daemonName)); err == nil {
+			return sibling, noCleanup, nil
 		}
 	}
-	if program, err := exec.LookPath(daemonProgram); err == nil {
-		return program, nothing, nil
+	if program, err := exec.LookPath(daemonName); err == nil {
+		return program, noCleanup, nil
 	}
 	return buildDaemon()
 }
@@ -85,48 +86,49 @@
 func buildDaemon() (program string, cleanup func(), err error) {
 	dir, err := os.MkdirTemp("", "sedgehatch-daemon-")
 	if err != nil {
-		return "", nil, failure.Internal.Wrap(err, "no directory for the daemon")
+		return "", nil, failure.Internal.Wrap(err, "cannot create a directory for the daemon")
 	}
-	cleanup = func() { _ = os.RemoveAll(dir) } // it is the system's to clean otherwise
-	program = filepath.Join(dir, daemonProgram)
-	out, err := exec.Command("go", "build", "-o", program, "./cmd/"+daemonProgram).CombinedOutput()
+	cleanup = func() { _ = os.RemoveAll(dir) } // if it fails, the system cleans its temporary directory
+	program = filepath.Join(dir, daemonName)
+	out, err := exec.Command("go", "build", "-o", program, "./cmd/"+daemonName).CombinedOutput()
 	if err != nil {
 		cleanup()
 		return "", nil, failure.Field(failure.InvalidInput, "daemon",
-			"no %s is beside this program or in the path, and none can be built here (%s); run this in a checkout with Go, or name one", daemonProgram, strings.TrimSpace(string(out)))
+			"%s is neither in the directory of this program nor in the PATH, and cannot be built here (%s); run this in a checkout with Go, or set --daemon", daemonName, strings.TrimSpace(string(out)))
 	}
 	return program, cleanup, nil
 }
 
-// soakSeed runs one seed. The error is Invariant where a promise was broken.
-func soakSeed(ctx context.Context, c *cli.Command, daemon string, seed uint64) error {
+// runSoak runs one seed and prints its summary. The error is Invariant if an invariant was
+// violated.
+func runSoak(ctx context.Context, c *cli.Command, daemon string, seed uint64) error {
 	dir := c.String("keep")
 	if dir == "" {
 		temporary, err := os.MkdirTemp("", "sedgehatch-soak-")
 		if err != nil {
-			return failure.Internal.Wrap(err, "no directory for settings and logs")
+			return failure.Internal.Wrap(err, "cannot create a directory for settings and logs")
 		}
 		dir = temporary
 	} else if err := os.MkdirAll(dir, 0o700); err != nil {
-		return failure.Field(failure.InvalidInput, "keep", "cannot make the directory: %v", err)
+		return failure.Field(failure.InvalidInput, "keep", "cannot create the directory: %v", err)
 	}
 	report, err := soak.Run(ctx, soak.Config{
-		Daemon: daemon, Dir: dir, Seed: seed, Length: c.Duration("length"),
-		Zones: c.Int("zones"), Instances: c.Int("instances"), Upstreams: c.Int("upstreams"), Customers: c.Int("customers"), Evacuations: c.Bool("evacuations"), Lives: c.Bool("lives"),
+		Daemon: daemon, Dir: dir, Seed: seed, InjectionTime: c.Duration("length"),
+		Zones: c.Int("zones"), Instances: c.Int("instances"), Upstreams: c.Int("upstreams"), Customers: c.Int("customers"), Evacuations: c.Bool("evacuations"), RestartsAndResizes: c.Bool("lives"),
 	})
 	if err != nil {
-		return failure.Field(failure.InvalidInput, "daemon", "the soak does not start: %v", err)
+		return failure.Field(failure.InvalidInput, "daemon", "the soak run cannot start: %v", err)
 	}
-	fmt.Fprintf(c.Root().Writer, "seed %d: %d faults, %d evacuations, %d starts, answers %v, %d broken\n", seed, report.Faults, report.Evacuations, report.Starts, report.Answers, len(report.Broken))
-	for _, b := range report.Broken {
-		fmt.Fprintln(c.Root().Writer, "  broken:", b)
+	fmt.Fprintf(c.Root().Writer, "seed %d: %d faults, %d evacuations, %d starts, answers %v, %d broken\n", seed, report.Faults, report.Evacuations, report.Starts, report.Responses, len(report.Violations))
+	for _, violation := range report.Violations {
+		fmt.Fprintln(c.Root().Writer, "  broken:", violation)
 	}
-	if len(report.Broken) == 0 && c.String("keep") == "" {
-		_ = os.RemoveAll(dir) // it is the system's to clean otherwise
+	if len(report.Violations) == 0 && c.String("keep") == "" {
+		_ = os.RemoveAll(dir) // if it fails, the system cleans its temporary directory
 	}
-	if len(report.Broken) > 0 {
+	if len(report.Violations) > 0 {
 		fmt.Fprintln(c.Root().Writer, "  settings and logs:", dir)
-		return failure.Invariant.New("seed %d broke %d promises", seed, len(report.Broken))
+		return failure.Invariant.New("seed %d violated %d invariants", seed, len(report.Violations))
 	}
 	return nil
 }
--- a/soak/customer.go
+++ b/soak/customer.go
@@ -12,86 +12,87 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// tally is what customers saw.
-type tally struct {
-	mu        sync.Mutex
-	answers   map[string]int
-	broken    []string
-	submitted map[string]bool
-	cancelled map[string]time.Time
-	lately    []bool // the last answers: whether the job was complete
+// results collects what the customers observe, and the violations of invariants.
+type results struct {
+	mu                sync.Mutex
+	responseCounts    map[string]int // by kind of response, as in Report.Responses
+	violations        []string
+	submitted         map[string]bool      // by job ID
+	refusedAt         map[string]time.Time // when the customer received the refusal, by job ID
+	recentlyCompleted []bool               // whether the job completed, for each of the last responses
 }
 
-// window is how many answers tell whether the installation has recovered.
-const window = 40
+// recoveryWindow is the number of most recent responses that decide whether the installation
+// has recovered.
+const recoveryWindow = 40
 
-func newTally() *tally {
-	return &tally{answers: map[string]int{}, submitted: map[string]bool{}, cancelled: map[string]time.Time{}}
+func newResults() *results {
+	return &results{responseCounts: map[string]int{}, submitted: map[string]bool{}, refusedAt: map[string]time.Time{}}
 }
 
-func (t *tally) add(answer string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.answers[answer]++
-	t.lately = append(t.lately, answer == "completed")
-	if len(t.lately) > window {
-		t.lately = t.lately[1:]
+func (r *results) countResponse(response string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.responseCounts[response]++
+	r.recentlyCompleted = append(r.recentlyCompleted, response == "completed")
+	if len(r.recentlyCompleted) > recoveryWindow {
+		r.recentlyCompleted = r.recentlyCompleted[1:]
 	}
 }
 
-func (t *tally) breaks(format string, args ...any) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.broken = append(t.broken, fmt.Sprintf(format, args...))
+func (r *results) addViolation(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// recovered reports whether the last answers were nearly all complete.
-func (t *tally) recovered() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// recovered reports whether at least 90% of the last recoveryWindow responses were for
+// completed jobs.
+func (r *results) recovered() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	good := 0
-	for _, ok := range t.lately {
+	for _, ok := range r.recentlyCompleted {
 		if ok {
 			good++
 		}
 	}
-	return len(t.lately) == window && good >= window*9/10
+	return len(r.recentlyCompleted) == recoveryWindow && good >= recoveryWindow*9/10
 }
 
-func (t *tally) forget() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.lately = nil
+func (r *results) clearRecent() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.recentlyCompleted = nil
 }
 
 const (
-	// resendAfter is how long a customer waits before it sends a job again
-	// whose answer it did not get.
-	resendAfter = 1300 * time.Millisecond
-	// deadline is how long a customer waits for an answer.
-	deadline = 4 * time.Second
-	// sendings bounds how often one job is sent.
-	sendings = 3
-	// leaveShare of the customers' requests are broken off early, and leaveStillShare of
-	// those to an instance that stands still.
-	leaveShare      = 0.05
-	leaveStillShare = 0.5
+	// resendDelay is how long a customer waits before it resends a job for which it has
+	// not received a final response.
+	resendDelay = 1300 * time.Millisecond
+	// customerTimeout is how long a customer waits for a response.
+	customerTimeout = 4 * time.Second
+	// maxSends is the maximum number of times that a job is sent.
+	maxSends = 3
+	// disconnectShare is the share of requests that customers abort early, and
+	// disconnectPausedShare that of the other requests to a paused instance.
+	disconnectShare       = 0.05
+	disconnectPausedShare = 0.5
 )
 
-// customer sends one job after the other until ctx ends. It keeps connections
-// open from job to job.
+// customer sends one job after the other and keeps connections open between jobs.
 type customer struct {
-	number int
-	rng    *rand.Rand
-	in     *installation
-	tally  *tally
-	http   *http.Client
+	index        int
+	rng          *rand.Rand
+	installation *installation
+	results      *results
+	http         *http.Client
 }
 
 func (c *customer) run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
-		c.job(ctx, fmt.Sprintf("%08x%08x", c.number+1, n))
+		c.runJob(ctx, fmt.Sprintf("%08x%08x", c.index+1, n))
 		pause(ctx, time.Duration(c.rng.IntN(60))*time.Millisecond)
 	}
 }
@@ -103,79 +104,82 @@
 	}
 }
 
-// job sends one job until it is answered.
-func (c *customer) job(ctx context.Context, id string) {
-	c.tally.mu.Lock()
-	c.tally.submitted[id] = true
-	c.tally.mu.Unlock()
+// runJob sends a job until it receives a final response, and checks that response against
+// the runs of the job.
+func (c *customer) runJob(ctx context.Context, id string) {
+	c.results.mu.Lock()
+	c.results.submitted[id] = true
+	c.results.mu.Unlock()
 	job := standin.Job{ID: id, Tasks: 1 + c.rng.IntN(6), MilliCPU: taskCPU, TaskDuration: time.Duration(10+c.rng.IntN(300)) * time.Millisecond}
-	maybeRun := false
-	for range sendings {
-		leaves := c.rng.Float64() < leaveShare
+	mayHaveRun := false
+	for range maxSends {
+		disconnect := c.rng.Float64() < disconnectShare
 		sent := time.Now()
-		status, answer, unread := c.send(ctx, job, leaves)
+		status, response, unread := c.send(ctx, job, disconnect)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case unread:
-			c.tally.add("unread")
-			continue // nobody has read it: it is sent again at once
-		case status == http.StatusOK && answer == `{"State":"completed"}`:
-			c.tally.add("completed")
-			if done := c.in.ledger.DoneTasks(id); done != job.Tasks {
-				c.tally.breaks("%s is answered completed, %d of %d tasks are done", id, done, job.Tasks)
+			c.results.countResponse("unread")
+			continue // no instance has read the request, so it is resent at once
+		case status == http.StatusOK && response == `{"State":"completed"}`:
+			c.results.countResponse("completed")
+			if done := c.installation.tracker.DoneTasks(id); done != job.Tasks {
+				c.results.addViolation("%s is answered completed, %d of %d tasks are done", id, done, job.Tasks)
 			}
 			return
 		case status == http.StatusOK:
-			c.tally.add("failed")
+			c.results.countResponse("failed")
 			return
 		case status == http.StatusServiceUnavailable || status == http.StatusNotFound:
-			c.tally.add(fmt.Sprint(status, " ", answer))
-			if began := c.in.ledger.LastJobStart(id); !maybeRun && !began.IsZero() {
-				c.tally.breaks("%s is answered %d at %v, and began at %v", id, status, sent, began)
+			c.results.countResponse(fmt.Sprint(status, " ", response))
+			if started := c.installation.tracker.LastJobStart(id); !mayHaveRun && !started.IsZero() {
+				c.results.addViolation("%s is answered %d at %v, and began at %v", id, status, sent, started)
 			}
-			c.tally.refused(id)
+			c.results.recordRefusal(id)
 			return
 		default:
-			c.tally.add(fmt.Sprint(status))
-			maybeRun = true
+			c.results.countResponse(fmt.Sprint(status))
+			mayHaveRun = true
 		}
-		pause(ctx, resendAfter)
+		pause(ctx, resendDelay)
 	}
 }
 
-// refused notes a job that was never run: nothing of it may begin later.
-func (t *tally) refused(id string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.cancelled[id] = time.Now()
+// recordRefusal records that a job was refused without having run. None of its tasks may
+// start after that.
+func (r *results) recordRefusal(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.refusedAt[id] = time.Now()
 }
 
-// send sends a job to an instance that is picked at random. The status is 0
-// without an answer; unread is set where the instance stood still all the while.
-func (c *customer) send(ctx context.Context, job standin.Job, leaves bool) (status int, answer string, unread bool) {
-	limit := deadline
-	soon := func() { limit = time.Duration(20+c.rng.IntN(100)) * time.Millisecond }
-	if leaves {
-		soon()
+// send sends a job to a random instance. If disconnect is set, it aborts the request early.
+// The status is 0 if there was no response. Unread is set if, in addition, the instance was
+// paused during the whole request and so cannot have read it.
+func (c *customer) send(ctx context.Context, job standin.Job, disconnect bool) (status int, response string, unread bool) {
+	timeout := customerTimeout
+	shortenTimeout := func() { timeout = time.Duration(20+c.rng.IntN(100)) * time.Millisecond }
+	if disconnect {
+		shortenTimeout()
 	}
-	p := c.in.processes[c.rng.IntN(len(c.in.processes))]
-	number, still := p.stillness()
-	if still && !leaves && c.rng.Float64() < leaveStillShare {
-		soon()
+	p := c.installation.processes[c.rng.IntN(len(c.installation.processes))]
+	signals, paused := p.pauseState()
+	if paused && !disconnect && c.rng.Float64() < disconnectPausedShare {
+		shortenTimeout()
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	req, err := standin.NewRequest(ctx, http.MethodPost, p.customers(), host, prefix(0)+job.ID, job.Body(), deadline)
+	req, err := standin.NewRequest(ctx, http.MethodPost, p.customerAddress(), host, routePrefix(0)+job.ID, job.Body(), customerTimeout)
 	if err != nil {
 		return 0, "", false
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		now, paused := p.stillness()
-		return 0, "", still && paused && now == number
+		signalsNow, pausedNow := p.pauseState()
+		return 0, "", paused && pausedNow && signalsNow == signals
 	}
-	defer func() { _ = res.Body.Close() }() // it has been read
+	defer func() { _ = res.Body.Close() }() // an error does not matter after reading
 	raw, err := io.ReadAll(res.Body)
 	if err != nil {
 		return 0, "", false
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -20,62 +20,65 @@
 	"golang.org/x/sys/unix"
 )
 
-// Config describes a run.
+// Config holds the parameters of a run.
 type Config struct {
-	Daemon    string // the program
-	Dir       string // for settings and logs
-	Seed      uint64
-	Length    time.Duration // of the faults
-	Zones     int
-	Instances int // of each availability zone
-	Upstreams int // of each availability zone
-	Customers int
-	// Evacuations adds evacuations of availability zones to the faults. Seeds that
-	// were kept before do without: they would play other faults.
+	Daemon        string        // path of the daemon's executable
+	Dir           string        // directory for settings files and logs
+	Seed          uint64        // determines the sequence of faults and jobs
+	InjectionTime time.Duration // how long new faults are injected
+	Zones         int           // number of availability zones
+	Instances     int           // number per zone
+	Upstreams     int           // number per zone
+	Customers     int           // number of customers that send jobs at the same time
+	// Evacuations adds evacuations of zones to the faults. It is optional because it
+	// changes the sequence of faults: seeds that were recorded without it are only
+	// reproduced without it.
 	Evacuations bool
-	// Lives adds upstreams that crash and start again under their ids, and whose room
-	// shrinks and grows; as Evacuations.
-	Lives bool
+	// RestartsAndResizes adds crashes of upstreams that then restart under the same ID,
+	// and temporary reductions of the capacity of upstreams. It is optional for the same
+	// reason as Evacuations.
+	RestartsAndResizes bool
 }
 
 const (
-	// taskCPU is what a task asks for, and upstreamCPU what an upstream has,
+	// taskCPU is the demand of a task, and upstreamCPU the capacity of an upstream, in
 	// thousandths of a core.
 	taskCPU     = 6000
 	upstreamCPU = 20000
-	// upstreamMemory is what an upstream has, megabytes.
+	// upstreamMemory is the memory of an upstream in megabytes.
 	upstreamMemory = 1000
-	// customersPort and the next ones are the same for all instances: each has
-	// an address of loopback of its own.
-	customersPort = 18161
+	// customerPort, readinessPort and peerPort are the ports of all instances. The
+	// instances differ in their loopback addresses.
+	customerPort  = 18161
 	readinessPort = 18167
-	peersPort     = 17720
-	// networks is how many runs may go on at once on one machine.
-	networks = 250
+	peerPort      = 17720
+	// networkCount is the number of loopback networks. Each run uses one of them, so it is
+	// also the maximum number of concurrent runs on one machine.
+	networkCount = 250
 )
 
-// process is one instance: a program that is started, stopped and started again.
+// process is one instance: a daemon process that can be stopped and restarted.
 type process struct {
 	name, ip, zone string
 	store          *Proxy
 	dir            string
 	daemon         string
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd     // nil while the program does not run
-	ended  chan struct{} // closed once cmd has ended
-	paused bool
-	pauses int // signals that paused it or let it go on
-	life   int
+	mu          sync.Mutex
+	cmd         *exec.Cmd     // nil while the daemon is not running
+	ended       chan struct{} // closed once cmd has exited
+	paused      bool          // stopped by SIGSTOP
+	signalCount int           // number of signals sent
+	starts      int           // number of times that the daemon was started
 }
 
-func (p *process) customers() string { return p.ip + ":" + strconv.Itoa(customersPort) }
+func (p *process) customerAddress() string { return p.ip + ":" + strconv.Itoa(customerPort) }
 
-// settings writes the settings file of the process.
-func (p *process) settings() error {
+// writeSettings writes the writeSettings file of the process.
+func (p *process) writeSettings() error {
 	raw, err := standin.Settings(standin.Process{
-		Name: p.name, IP: p.ip, Zone: p.zone, CustomersPort: customersPort, ReadinessPort: readinessPort, PeersPort: peersPort,
-		Store: p.store.Address, FirstStart: p.life == 0,
+		Name: p.name, IP: p.ip, Zone: p.zone, CustomersPort: customerPort, ReadinessPort: readinessPort, PeersPort: peerPort,
+		Store: p.store.Address, FirstStart: p.starts == 0,
 	})
 	if err != nil {
 		return err
@@ -83,21 +86,21 @@
 	return os.WriteFile(filepath.Join(p.dir, p.name+".json"), raw, 0o600)
 }
 
-// start starts the program, unless it runs.
+// start starts the daemon unless it is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	if err := p.settings(); err != nil {
+	if err := p.writeSettings(); err != nil {
 		return err
 	}
 	log, err := os.OpenFile(filepath.Join(p.dir, p.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the program has it
+	defer func() { _ = log.Close() }() // the daemon has its own descriptor
 	cmd := exec.Command(p.daemon, "platform")
 	cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+filepath.Join(p.dir, p.name+".json"))
 	cmd.Stdout, cmd.Stderr = log, log
@@ -106,16 +109,17 @@
 	}
 	ended := make(chan struct{})
 	p.cmd, p.ended, p.paused = cmd, ended, false
-	p.life++
+	p.starts++
 	go func() {
-		_ = cmd.Wait() // however it ended
+		_ = cmd.Wait() // the exit status does not matter
 		close(ended)
 	}()
 	return nil
 }
 
-// signal sends signals to the program, if it runs, and returns the one that got them and
-// what tells of its end.
+// signal sends signals to the daemon if it is running. It returns the command that received
+// them and a channel that is closed once it has exited, or nil if the daemon is not running.
+// After SIGSTOP, it waits until the daemon has stopped.
 func (p *process) signal(signals ...syscall.Signal) (*exec.Cmd, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,38 +128,39 @@
 	}
 	for _, s := range signals {
 		p.paused = s == syscall.SIGSTOP || p.paused && s != syscall.SIGCONT
-		p.pauses++
-		_ = p.cmd.Process.Signal(s) // one that has just ended needs none
+		p.signalCount++
+		_ = p.cmd.Process.Signal(s) // fails only if the process has just exited
 		if s == syscall.SIGSTOP {
-			awaitStop(p.cmd.Process.Pid)
+			waitStopped(p.cmd.Process.Pid)
 		}
 	}
 	return p.cmd, p.ended
 }
 
-// awaitStop waits until a child stands still, or has ended. Its threads run on for a while
-// after the signal was sent, for milliseconds on a busy machine.
-func awaitStop(pid int) {
+// waitStopped waits until a child process has stopped or exited. After SIGSTOP was sent, the
+// threads of the process continue for a while: for milliseconds on a busy machine.
+func waitStopped(pid int) {
 	for {
 		err := unix.Waitid(unix.P_PID, pid, nil, unix.WSTOPPED|unix.WEXITED|unix.WNOWAIT, nil)
 		if !errors.Is(err, unix.EINTR) {
-			return // any other error tells that it has ended and was waited for
+			return // other errors mean that the process has exited and was waited for
 		}
 	}
 }
 
-// stillness tells whether a process stands still, and which time it is: one that is the
-// same later has not run meanwhile.
-func (p *process) stillness() (number int, paused bool) {
+// pauseState reports whether the process is paused, and how many signals it has received. If
+// it is paused with the same number of signals later, it has not run in the meantime.
+func (p *process) pauseState() (signals int, paused bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.pauses, p.cmd != nil && p.paused
+	return p.signalCount, p.cmd != nil && p.paused
 }
 
-// end waits until the program has ended, after a signal that makes it. Several
-// may end the same program at once.
-func (p *process) end(s syscall.Signal) {
-	cmd, ended := p.signal(syscall.SIGCONT, s)
+// terminate sends a signal that makes the daemon exit, and waits until it has exited. If the
+// daemon is paused, it is resumed first. Several goroutines may terminate the same process at
+// the same time.
+func (p *process) terminate(signal syscall.Signal) {
+	cmd, ended := p.signal(syscall.SIGCONT, signal)
 	if cmd == nil {
 		return
 	}
@@ -167,34 +172,33 @@
 	}
 }
 
-// installation is the whole: processes, upstreams, the store, and proxies
-// between them.
+// installation consists of the instances, the emulated upstreams and store, and the proxies
+// from each instance to the store and from the instances to each upstream.
 type installation struct {
-	cfg       Config
-	rng       *rand.Rand
-	store     *standin.Store
-	ledger    *standin.RunTracker
-	processes []*process
-	network   int          // of the addresses of the processes
-	claim     net.Listener // keeps other runs from the same network
-	version   int
-	extra     int // routes beyond the first
-	outages   outages
+	cfg           Config
+	rng           *rand.Rand
+	store         *standin.Store
+	tracker       *standin.RunTracker
+	processes     []*process
+	network       int          // third octet of the addresses of the instances
+	reservation   net.Listener // keeps other runs from using the same network
+	configVersion int
+	extraRoutes   int // number of routes in addition to the first
+	outages       outages
 
-	mu        sync.Mutex
-	upstreams []*upstream
-	born      int
-	evacuated map[string]bool // zones
-	// evacuations is how many there were.
-	evacuations int
+	mu             sync.Mutex
+	upstreams      []*upstream
+	upstreamCount  int // number of upstreams created so far
+	evacuatedZones map[string]bool
+	evacuations    int // number of evacuations so far
 }
 
 type upstream struct {
 	*standin.Upstream
-	proxy   *Proxy
-	zone    string
-	drained time.Time
-	claimed bool // a fault is at it that another must not undo
+	proxy     *Proxy
+	zone      string
+	drainedAt time.Time // zero if it was not drained
+	reserved  bool      // changed by a fault, which other faults must not undo
 }
 
 func newInstallation(cfg Config) (*installation, error) {
@@ -202,11 +206,11 @@
 	if err != nil {
 		return nil, err
 	}
-	in := &installation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2)), store: store, ledger: standin.NewRunTracker(), evacuated: map[string]bool{}}
+	in := &installation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2)), store: store, tracker: standin.NewRunTracker(), evacuatedZones: map[string]bool{}}
 	if err := in.configure(); err != nil {
 		return nil, err
 	}
-	if err := in.claimNetwork(); err != nil {
+	if err := in.reserveNetwork(); err != nil {
 		return nil, err
 	}
 	for z := range cfg.Zones {
@@ -222,7 +226,7 @@
 				return nil, err
 			}
 			p := &process{
-				name: fmt.Sprintf("%s-%d", zone, i), ip: fmt.Sprintf("127.%d.%d.%d", firstNet+z, in.network, 10+i), zone: zone,
+				name: fmt.Sprintf("%s-%d", zone, i), ip: fmt.Sprintf("127.%d.%d.%d", firstZoneOctet+z, in.network, 10+i), zone: zone,
 				store: proxy, dir: cfg.Dir, daemon: cfg.Daemon,
 			}
 			in.processes = append(in.processes, p)
@@ -231,47 +235,49 @@
 	return in, nil
 }
 
-// firstNet is the second number of the addresses of the first availability zone.
-const firstNet = 20
+// firstZoneOctet is the second octet of the addresses in the first zone. The following zones
+// use the next numbers.
+const firstZoneOctet = 20
 
-// claimNetwork picks addresses of loopback that no other run uses.
-func (in *installation) claimNetwork() error {
+// reserveNetwork selects a network of loopback addresses that no other run uses.
+func (in *installation) reserveNetwork() error {
 	var err error
-	for i := range networks {
-		in.network = (os.Getpid() + i) % networks
-		address := fmt.Sprintf("127.%d.%d.9:%d", firstNet, in.network, peersPort)
-		if in.claim, err = net.Listen("tcp4", address); err == nil {
+	for i := range networkCount {
+		in.network = (os.Getpid() + i) % networkCount
+		address := fmt.Sprintf("127.%d.%d.9:%d", firstZoneOctet, in.network, peerPort)
+		if in.reservation, err = net.Listen("tcp4", address); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-// configure writes the next version: the first route always, others come and go.
+// configure writes the next version of the configuration, with the first route and a random
+// number of additional ones.
 func (in *installation) configure() error {
-	in.version += 1 + in.rng.IntN(3)
-	in.extra = in.rng.IntN(3)
+	in.configVersion += 1 + in.rng.IntN(3)
+	in.extraRoutes = in.rng.IntN(3)
 	var routes []standin.Route
-	for i := range 1 + in.extra {
-		routes = append(routes, standin.Route{Name: fmt.Sprintf("r%d", i), Host: host, Prefix: prefix(i), Service: "desk", MaxAttempts: 4})
+	for i := range 1 + in.extraRoutes {
+		routes = append(routes, standin.Route{Name: fmt.Sprintf("r%d", i), Host: host, Prefix: routePrefix(i), Service: "desk", MaxAttempts: 4})
 	}
-	return in.store.Configure(in.version, routes)
+	return in.store.Configure(in.configVersion, routes)
 }
 
 const host = "desk.example"
 
-func prefix(route int) string { return fmt.Sprintf("/q%d/", route) }
+func routePrefix(route int) string { return fmt.Sprintf("/q%d/", route) }
 
 func (in *installation) addUpstream(zone string) error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.born++
+	in.upstreamCount++
 	u, err := standin.NewUpstream(standin.UpstreamConfig{
-		ID: fmt.Sprintf("u%d", in.born), Service: "desk", Zone: zone, Address: "127.0.0.1:0",
+		ID: fmt.Sprintf("u%d", in.upstreamCount), Service: "desk", Zone: zone, Address: "127.0.0.1:0",
 		Capacity: fleet.Resources{MilliCPU: upstreamCPU, MemoryMB: upstreamMemory}, Unregistered: true,
 		TaskDuration: standin.SpecDuration,
-		Demand:       func(string) fleet.Resources { return fleet.Resources{MilliCPU: taskCPU} }, ReportsStartTime: in.cfg.Lives,
-	}, in.store, in.ledger)
+		Demand:       func(string) fleet.Resources { return fleet.Resources{MilliCPU: taskCPU} }, ReportsStartTime: in.cfg.RestartsAndResizes,
+	}, in.store, in.tracker)
 	if err != nil {
 		return err
 	}
@@ -284,11 +290,11 @@
 	return nil
 }
 
-// close ends everything that the run started.
+// close stops everything that was started for the run.
 func (in *installation) close() {
 	var ended sync.WaitGroup
 	for _, p := range in.processes {
-		ended.Go(func() { p.end(syscall.SIGKILL); p.store.Close() })
+		ended.Go(func() { p.terminate(syscall.SIGKILL); p.store.Close() })
 	}
 	ended.Wait()
 	for _, u := range in.upstreams {
@@ -296,5 +302,5 @@
 		u.Close()
 	}
 	in.store.Close()
-	_ = in.claim.Close() // nothing was accepted on it
+	_ = in.reservation.Close() // an error does not matter: it accepted no connections
 }
--- a/soak/outage.go
+++ b/soak/outage.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// outages are the times in which the store answered nobody. Several may overlap.
+// outages records when the store was unavailable to all instances. Outages may overlap.
 type outages struct {
-	mu    sync.Mutex
-	open  int
-	began time.Time
-	past  []span
+	mu     sync.Mutex
+	active int         // number of outages that have not ended
+	start  time.Time   // when the first of the active outages began
+	ended  []timeRange // times of unavailability that have ended
 }
 
-type span struct{ from, to time.Time }
+type timeRange struct{ from, to time.Time }
 
-// begin begins an outage.
+// begin records the start of an outage.
 func (o *outages) begin(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.open == 0 {
-		o.began = now
+	if o.active == 0 {
+		o.start = now
 	}
-	o.open++
+	o.active++
 }
 
-// end ends an outage, and reports whether it was the last that is open.
+// end records the end of an outage and reports whether no other outage is active.
 func (o *outages) end(now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.open--
-	if o.open == 0 {
-		o.past = append(o.past, span{o.began, now})
+	o.active--
+	if o.active == 0 {
+		o.ended = append(o.ended, timeRange{o.start, now})
 	}
-	return o.open == 0
+	return o.active == 0
 }
 
-// within returns how much of a time the store was away.
-func (o *outages) within(from, to time.Time) time.Duration {
+// overlap returns how long the store was unavailable between from and to.
+func (o *outages) overlap(from, to time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	spans := o.past
-	if o.open > 0 {
-		spans = append(spans[:len(spans):len(spans)], span{o.began, to})
+	ranges := o.ended
+	if o.active > 0 {
+		ranges = append(ranges[:len(ranges):len(ranges)], timeRange{o.start, to})
 	}
-	away := time.Duration(0)
-	for _, s := range spans {
+	total := time.Duration(0)
+	for _, s := range ranges {
 		start, end := s.from, s.to
 		if start.Before(from) {
 			start = from
@@ -53,7 +53,7 @@
 		if end.After(to) {
 			end = to
 		}
-		away += max(end.Sub(start), 0)
+		total += max(end.Sub(start), 0)
 	}
-	return away
+	return total
 }
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -10,15 +10,16 @@
 	"testing"
 )
 
-// TestEndMeetsStart guards against a run that hangs: one fault ends a program while another
-// starts it again, and waits for the end of the wrong one.
+// TestEndMeetsStart guards against a deadlock when a fault terminates a daemon while another
+// fault restarts it: terminate must wait for the process that it has signalled, not for the
+// new one.
 func TestEndMeetsStart(t *testing.T) {
-	p := sleeper(t)
+	p := newSleepProcess(t)
 	const rounds, faults = 3000, 4
 	for range rounds {
 		var ended sync.WaitGroup
 		for range faults {
-			ended.Go(func() { p.end(syscall.SIGKILL) })
+			ended.Go(func() { p.terminate(syscall.SIGKILL) })
 			ended.Go(func() {
 				if err := p.start(); err != nil {
 					t.Error(err)
@@ -27,13 +28,14 @@
 		}
 		ended.Wait()
 	}
-	p.end(syscall.SIGKILL)
+	p.terminate(syscall.SIGKILL)
 }
 
-// TestPausedStandsStill: a program counts as paused only once it stands still. Customers
-// take it from there that a request was not read, and send it again at once.
+// TestPausedStandsStill checks that signal returns only after a paused process has stopped.
+// Customers rely on it: they resend a request at once if the instance was paused all the
+// time, because it cannot have read the request.
 func TestPausedStandsStill(t *testing.T) {
-	p := sleeper(t)
+	p := newSleepProcess(t)
 	if err := p.start(); err != nil {
 		t.Fatal(err)
 	}
@@ -51,20 +53,20 @@
 		p.signal(syscall.SIGCONT)
 	}
 	if running > 0 {
-		t.Errorf("paused %d times, and running still %d times", rounds, running)
+		t.Errorf("paused %d times, still running after %d of them", rounds, running)
 	}
-	p.end(syscall.SIGKILL)
+	p.terminate(syscall.SIGKILL)
 }
 
-// sleeper returns a process whose program does nothing.
-func sleeper(t *testing.T) *process {
+// newSleepProcess returns a process whose program only sleeps.
+func newSleepProcess(t *testing.T) *process {
 	t.Helper()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "program")
 	if err := os.WriteFile(program, []byte("#!/bin/sh\nexec sleep 600\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	store, err := NewProxy("127.0.0.1:1") // the program does not use it
+	store, err := NewProxy("127.0.0.1:1") // the program does not connect to it
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -16,39 +16,44 @@
 
 // Report is the outcome of a run.
 type Report struct {
-	Seed   uint64
-	Faults int
-	Starts int
-	// Evacuations is how many zones were evacuated.
-	Evacuations int
-	Answers     map[string]int
-	Broken      []string // promises that were broken
+	Seed        uint64
+	Faults      int // number of faults that were injected
+	Starts      int // number of runs that were started on upstreams
+	Evacuations int // number of evacuations of zones
+	// Responses counts what customers observed, by kind: "completed" and "failed", "unread"
+	// for a request that no instance has read, or else the HTTP status (0 if there was no
+	// response), for refusals with the body.
+	Responses  map[string]int
+	Violations []string // descriptions of violated invariants
 }
 
 const (
-	// readyLimit bounds how long the first start takes, and recoverLimit how
-	// long service takes to come back after the faults.
-	readyLimit   = 20 * time.Second
-	recoverLimit = 12 * time.Second
-	// drainBound is how long after its drain an upstream may still get tasks, not
-	// counting the time in which nobody can read of it.
-	drainBound = 3 * time.Second
-	// evacuationBound is how long after the evacuation of its zone an upstream may
-	// still get tasks, not counting the time in which nobody can read of it. It is what
-	// the platform asks for; while faults overlap, owners are paused for up to 3 s.
-	evacuationBound = 5 * time.Second
-	// regretBound is how long after a refusal a start is still seen as late
-	// bookkeeping of this program.
-	regretBound = 50 * time.Millisecond
-	// longestPause bounds the pause between faults.
-	longestPause = 500 * time.Millisecond
-	// longestFault bounds how long a fault lasts.
-	longestFault = 3 * time.Second
+	// readyTimeout is the maximum time until all instances are ready after the first
+	// start, and recoveryTimeout the maximum time until jobs are served normally after the
+	// last fault.
+	readyTimeout    = 20 * time.Second
+	recoveryTimeout = 12 * time.Second
+	// maxStartAfterDrain is how long after its drain an upstream may still receive tasks,
+	// not counting outages of the store, in which no instance can learn of the drain.
+	maxStartAfterDrain = 3 * time.Second
+	// maxStartAfterEvacuation is how long after the evacuation of its zone an upstream may
+	// still receive tasks, not counting outages of the store, in which no instance can
+	// learn of the evacuation. The platform requires this limit. Overlapping faults may
+	// pause owners for up to 3 s of this time.
+	maxStartAfterEvacuation = 5 * time.Second
+	// refusalTolerance is how long after a refusal the start of a run is accepted, because
+	// this program may record a start that came before the refusal only after it.
+	refusalTolerance = 50 * time.Millisecond
+	// maxFaultPause is the maximum time between the starts of two faults.
+	maxFaultPause = 500 * time.Millisecond
+	// maxFaultDuration is the upper limit of the random duration of a fault. A fault adds
+	// to it, or uses a fraction of it, as it needs.
+	maxFaultDuration = 3 * time.Second
 )
 
-// Run starts an installation, injects faults for a while, and checks the
-// promises. The error is that of starting it. It ends early with ctx; every
-// process that it started has ended when it returns.
+// Run starts an installation, injects faults for cfg.InjectionTime, and checks the
+// invariants. It returns an error only if the installation cannot be started. If ctx is
+// cancelled, it ends early. All processes that it has started have exited when it returns.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	in, err := newInstallation(cfg)
 	if err != nil {
@@ -58,34 +63,34 @@
 	if err := in.start(); err != nil {
 		return Report{}, err
 	}
-	t := newTally()
+	results := newResults()
 	if !in.waitReady() {
-		t.breaks("the installation is not ready after %v", readyLimit)
-		return in.report(t, 0), nil
+		results.addViolation("the installation is not ready after %v", readyTimeout)
+		return in.report(results, 0), nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var customers sync.WaitGroup
 	for i := range cfg.Customers {
 		c := &customer{
-			number: i, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(100+i))), in: in, tally: t,
+			index: i, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(100+i))), installation: in, results: results,
 			http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
 		}
 		customers.Go(func() { c.run(ctx) })
 	}
-	faults := in.injectFaults(ctx, t)
-	in.checkRecovery(ctx, t)
+	faults := in.injectFaults(ctx, results)
+	in.checkRecovery(ctx, results)
 	cancel()
 	customers.Wait()
-	in.checkEnd(t)
-	return in.report(t, faults), nil
+	in.checkStarts(results)
+	return in.report(results, faults), nil
 }
 
-func (in *installation) report(t *tally, faults int) Report {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	broken := slices.Concat(t.broken, in.ledger.Violations())
-	return Report{Seed: in.cfg.Seed, Faults: faults, Starts: in.ledger.Starts(), Evacuations: in.evacuations, Answers: t.answers, Broken: broken}
+func (in *installation) report(r *results, faults int) Report {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	violations := slices.Concat(r.violations, in.tracker.Violations())
+	return Report{Seed: in.cfg.Seed, Faults: faults, Starts: in.tracker.Starts(), Evacuations: in.evacuations, Responses: r.responseCounts, Violations: violations}
 }
 
 // start starts every instance.
@@ -98,15 +103,16 @@
 	return nil
 }
 
-// waitReady waits until every instance takes customers.
+// waitReady waits until every instance accepts customers. It returns false if that takes
+// longer than readyTimeout.
 func (in *installation) waitReady() bool {
-	deadline := time.Now().Add(readyLimit)
+	deadline := time.Now().Add(readyTimeout)
 	for _, p := range in.processes {
 		for !ready(p) {
 			if time.Now().After(deadline) {
 				return false
 			}
-			time.Sleep(silencePoll)
+			time.Sleep(pollInterval)
 		}
 	}
 	return true
@@ -117,50 +123,50 @@
 	if err != nil {
 		return false
 	}
-	_ = res.Body.Close() // it has none
+	_ = res.Body.Close() // the body is not used
 	return res.StatusCode == http.StatusOK
 }
 
-// injectFaults lets one trouble begin after the other for the length of the run,
-// and returns how many. They overlap; all have ended when it returns.
-func (in *installation) injectFaults(ctx context.Context, t *tally) int {
-	end := time.Now().Add(in.cfg.Length)
+// injectFaults starts random faults for cfg.InjectionTime and returns their number. Faults
+// may overlap. All have ended when it returns.
+func (in *installation) injectFaults(ctx context.Context, r *results) int {
+	end := time.Now().Add(in.cfg.InjectionTime)
 	var running sync.WaitGroup
 	count := 0
 	for time.Now().Before(end) && ctx.Err() == nil {
-		fault := in.pickFault(t)
-		length := time.Duration(in.rng.Int64N(int64(longestFault)))
+		fault := in.pickFault(r)
+		length := time.Duration(in.rng.Int64N(int64(maxFaultDuration)))
 		running.Go(func() { fault(length) })
 		count++
-		time.Sleep(time.Duration(in.rng.Int64N(int64(longestPause))))
+		time.Sleep(time.Duration(in.rng.Int64N(int64(maxFaultPause))))
 	}
 	running.Wait()
 	return count
 }
 
-// pickFault draws the next fault.
-func (in *installation) pickFault(t *tally) func(time.Duration) {
+// pickFault returns a random fault, as a function that injects it for a given duration.
+func (in *installation) pickFault(r *results) func(time.Duration) {
 	p := in.processes[in.rng.IntN(len(in.processes))]
 	u := in.pickUpstream()
-	mode := Mode(1 + in.rng.IntN(modes-1))
-	more := in.moreFaults(u, t)
-	kind := in.rng.IntN(faultKinds + len(more))
-	if kind >= faultKinds {
-		return more[kind-faultKinds]
+	mode := Mode(1 + in.rng.IntN(modeCount-1))
+	optional := in.optionalFaults(u, r)
+	kind := in.rng.IntN(commonFaultKinds + len(optional))
+	if kind >= commonFaultKinds {
+		return optional[kind-commonFaultKinds]
 	}
 	switch kind {
 	case 0:
-		return func(d time.Duration) { p.end(syscall.SIGKILL); time.Sleep(d / 3); in.restart(p, t) }
+		return func(d time.Duration) { p.terminate(syscall.SIGKILL); time.Sleep(d / 3); in.restart(p, r) }
 	case 1:
-		return func(time.Duration) { p.end(syscall.SIGTERM); in.restart(p, t) }
+		return func(time.Duration) { p.terminate(syscall.SIGTERM); in.restart(p, r) }
 	case 2:
 		return func(d time.Duration) { p.signal(syscall.SIGSTOP); time.Sleep(d); p.signal(syscall.SIGCONT) }
 	case 3:
 		return func(time.Duration) { p.signal(syscall.SIGHUP) }
 	case 4:
-		return func(d time.Duration) { p.store.Set(mode); time.Sleep(d); p.store.Set(Pass) }
+		return func(d time.Duration) { p.store.SetMode(mode); time.Sleep(d); p.store.SetMode(Forward) }
 	case 5, 6:
-		return func(d time.Duration) { u.proxy.Set(mode); time.Sleep(d); u.proxy.Set(Pass) }
+		return func(d time.Duration) { u.proxy.SetMode(mode); time.Sleep(d); u.proxy.SetMode(Forward) }
 	case 7:
 		return func(d time.Duration) {
 			u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = true })
@@ -182,115 +188,118 @@
 		return func(time.Duration) { in.store.DropHistory() }
 	case 11:
 		if err := in.configure(); err != nil {
-			t.breaks("a configuration is not written: %v", err)
+			r.addViolation("a configuration is not written: %v", err)
 		}
 		return func(time.Duration) {}
 	case 12:
-		return func(time.Duration) { p.store.SilenceOpen() }
+		return func(time.Duration) { p.store.BlackholeOpen() }
 	case 13:
-		return func(time.Duration) { u.proxy.SilenceOpen() }
+		return func(time.Duration) { u.proxy.BlackholeOpen() }
 	default:
-		return func(d time.Duration) { in.replaceUpstream(u, d, t) }
+		return func(d time.Duration) { in.replaceUpstream(u, d, r) }
 	}
 }
 
-// faultKinds is how many kinds of faults there are that each run has.
-const faultKinds = 15
+// commonFaultKinds is the number of kinds of faults that do not depend on Config.
+const commonFaultKinds = 15
 
-// moreFaults returns the faults that a run may have beside.
-func (in *installation) moreFaults(u *upstream, t *tally) []func(time.Duration) {
-	var more []func(time.Duration)
+// optionalFaults returns the additional faults that are enabled in Config.
+func (in *installation) optionalFaults(u *upstream, r *results) []func(time.Duration) {
+	var faults []func(time.Duration)
 	if in.cfg.Evacuations {
-		more = append(more, func(d time.Duration) { in.evacuate(u.zone, d, t) })
+		faults = append(faults, func(d time.Duration) { in.evacuate(u.zone, d, r) })
 	}
-	if in.cfg.Lives {
-		more = append(more, func(d time.Duration) { in.startAgain(u, d) }, func(d time.Duration) { in.resize(u, d) })
+	if in.cfg.RestartsAndResizes {
+		faults = append(faults, func(d time.Duration) { in.crashUpstream(u, d) }, func(d time.Duration) { in.resize(u, d) })
 	}
-	return more
+	return faults
 }
 
 const (
-	// leastDown is how long an upstream is down at least before it starts again.
-	leastDown = time.Second
-	// roomBound is how long after its room has shrunk an upstream may still be filled over
-	// it: what the platform gives, and the longest time in which faults keep the news from
-	// an owner.
-	roomBound = 5500*time.Millisecond + 2*longestFault
-	// shrunkCPU is the room of an upstream that has shrunk, thousandths of a core.
-	shrunkCPU = taskCPU + taskCPU/2
+	// minDowntime is the minimum time between the crash of an upstream and its restart.
+	minDowntime = time.Second
+	// maxOvercommitTime is how long after its capacity was reduced an upstream may still
+	// receive more tasks than fit: 5.5 s that the platform allows, and the maximum time
+	// for which faults keep an owner from learning of the reduction.
+	maxOvercommitTime = 5500*time.Millisecond + 2*maxFaultDuration
+	// reducedCPU is the reduced capacity of an upstream in thousandths of a core.
+	reducedCPU = taskCPU + taskCPU/2
 )
 
-// startAgain lets an upstream crash and start again under its id, unless another fault does.
-func (in *installation) startAgain(u *upstream, d time.Duration) {
-	if !in.claimUpstream(u) {
+// crashUpstream crashes an upstream and restarts it under the same ID, unless another fault has
+// reserved it.
+func (in *installation) crashUpstream(u *upstream, d time.Duration) {
+	if !in.reserveUpstream(u) {
 		return
 	}
 	u.Crash()
-	time.Sleep(leastDown + d/3)
+	time.Sleep(minDowntime + d/3)
 	u.Restart()
 	in.releaseUpstream(u)
 }
 
-// resize lets the room of an upstream shrink and grow again, unless another fault is at it.
+// resize reduces the capacity of an upstream for a while, unless another fault has reserved
+// it.
 func (in *installation) resize(u *upstream, d time.Duration) {
-	if !in.claimUpstream(u) {
+	if !in.reserveUpstream(u) {
 		return
 	}
-	u.Resize(fleet.Resources{MilliCPU: shrunkCPU, MemoryMB: upstreamMemory}, roomBound)
-	time.Sleep(roomBound + d)
+	u.Resize(fleet.Resources{MilliCPU: reducedCPU, MemoryMB: upstreamMemory}, maxOvercommitTime)
+	time.Sleep(maxOvercommitTime + d)
 	u.Resize(fleet.Resources{MilliCPU: upstreamCPU, MemoryMB: upstreamMemory}, 0)
 	in.releaseUpstream(u)
 }
 
-// claimUpstream reports whether a fault may change an upstream that is not leaving.
-func (in *installation) claimUpstream(u *upstream) bool {
+// reserveUpstream reserves an upstream for a fault. It returns false if another fault has
+// reserved the upstream or it is being drained.
+func (in *installation) reserveUpstream(u *upstream) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if u.claimed || !u.drained.IsZero() {
+	if u.reserved || !u.drainedAt.IsZero() {
 		return false
 	}
-	u.claimed = true
+	u.reserved = true
 	return true
 }
 
 func (in *installation) releaseUpstream(u *upstream) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	u.claimed = false
+	u.reserved = false
 }
 
-// evacuate evacuates a zone, unless it is, and takes that back once it is clear
-// whether its upstreams get tasks later than they may.
-func (in *installation) evacuate(zone string, d time.Duration, t *tally) {
+// evacuate evacuates a zone, unless it is evacuated already. It ends the evacuation after it
+// has checked that no upstream of the zone received tasks later than allowed.
+func (in *installation) evacuate(zone string, d time.Duration, r *results) {
 	in.mu.Lock()
-	if in.evacuated[zone] {
+	if in.evacuatedZones[zone] {
 		in.mu.Unlock()
 		return
 	}
-	in.evacuated[zone] = true
+	in.evacuatedZones[zone] = true
 	in.evacuations++
 	in.mu.Unlock()
-	began := time.Now()
+	start := time.Now()
 	in.store.Evacuate(zone)
-	time.Sleep(evacuationBound + d)
+	time.Sleep(maxStartAfterEvacuation + d)
 	in.mu.Lock()
 	upstreams := slices.Clone(in.upstreams)
 	in.mu.Unlock()
 	for _, u := range upstreams {
-		last := in.ledger.LastUpstreamStart(u.ID)
-		if late := last.Sub(began) - in.outages.within(began, last); u.zone == zone && late > evacuationBound {
-			t.breaks("%s got a task %v after its zone was evacuated", u.ID, late)
+		last := in.tracker.LastUpstreamStart(u.ID)
+		if late := last.Sub(start) - in.outages.overlap(start, last); u.zone == zone && late > maxStartAfterEvacuation {
+			r.addViolation("%s got a task %v after its zone was evacuated", u.ID, late)
 		}
 	}
 	in.store.EndEvacuation(zone)
 	in.mu.Lock()
-	in.evacuated[zone] = false
+	in.evacuatedZones[zone] = false
 	in.mu.Unlock()
 }
 
-func (in *installation) restart(p *process, t *tally) {
+func (in *installation) restart(p *process, r *results) {
 	if err := p.start(); err != nil {
-		t.breaks("%s does not start again: %v", p.name, err)
+		r.addViolation("%s does not start again: %v", p.name, err)
 	}
 }
 
@@ -300,54 +309,57 @@
 	return in.upstreams[in.rng.IntN(len(in.upstreams))]
 }
 
-// replaceUpstream drains one upstream, ends it, and starts another.
-func (in *installation) replaceUpstream(u *upstream, d time.Duration, t *tally) {
+// replaceUpstream drains an upstream, starts another in the same zone, and then stops the
+// drained one, unless a fault has reserved it or it is being drained.
+func (in *installation) replaceUpstream(u *upstream, d time.Duration, r *results) {
 	in.mu.Lock()
-	if u.claimed || !u.drained.IsZero() {
+	if u.reserved || !u.drainedAt.IsZero() {
 		in.mu.Unlock()
 		return
 	}
-	u.drained = time.Now()
+	u.drainedAt = time.Now()
 	in.mu.Unlock()
 	u.Drain()
 	if err := in.addUpstream(u.zone); err != nil {
-		t.breaks("an upstream does not start: %v", err)
+		r.addViolation("an upstream does not start: %v", err)
 	}
-	time.Sleep(drainBound + d)
+	time.Sleep(maxStartAfterDrain + d)
 	u.Close()
 }
 
-// checkRecovery waits until nearly all jobs are served again.
-func (in *installation) checkRecovery(ctx context.Context, t *tally) {
-	t.forget()
-	deadline := time.Now().Add(recoverLimit)
-	for !t.recovered() && ctx.Err() == nil {
+// checkRecovery checks that nearly all jobs complete again within recoveryTimeout.
+func (in *installation) checkRecovery(ctx context.Context, r *results) {
+	r.clearRecent()
+	deadline := time.Now().Add(recoveryTimeout)
+	for !r.recovered() && ctx.Err() == nil {
 		if time.Now().After(deadline) {
-			t.breaks("jobs are not served again %v after the faults", recoverLimit)
+			r.addViolation("jobs are not served again %v after the faults", recoveryTimeout)
 			return
 		}
-		time.Sleep(silencePoll)
+		time.Sleep(pollInterval)
 	}
 }
 
-// checkEnd checks what can be told only at the end.
-func (in *installation) checkEnd(t *tally) {
-	t.mu.Lock()
-	submitted, refused := t.submitted, t.cancelled
-	t.mu.Unlock()
-	for _, job := range in.ledger.StartedJobs() {
+// checkStarts checks the invariants that can only be checked at the end of the run: every job
+// that was started was sent by a customer, no job was started after its refusal, and no
+// upstream received tasks too long after its drain.
+func (in *installation) checkStarts(r *results) {
+	r.mu.Lock()
+	submitted, refusedAt := r.submitted, r.refusedAt
+	r.mu.Unlock()
+	for _, job := range in.tracker.StartedJobs() {
 		if !submitted[job] {
-			t.breaks("%s was started, and nobody sent it", job)
+			r.addViolation("%s was started, and nobody sent it", job)
 		}
-		if at, was := refused[job]; was && in.ledger.LastJobStart(job).After(at.Add(regretBound)) {
-			t.breaks("%s began after it was refused", job)
+		if since, refused := refusedAt[job]; refused && in.tracker.LastJobStart(job).After(since.Add(refusalTolerance)) {
+			r.addViolation("%s began after it was refused", job)
 		}
 	}
 	for _, u := range in.upstreams {
-		last := in.ledger.LastUpstreamStart(u.ID)
-		late := last.Sub(u.drained) - in.outages.within(u.drained, last)
-		if !u.drained.IsZero() && late > drainBound {
-			t.breaks("%s got a task %v after its drain, of which the store was there for %v", u.ID, last.Sub(u.drained), late)
+		last := in.tracker.LastUpstreamStart(u.ID)
+		late := last.Sub(u.drainedAt) - in.outages.overlap(u.drainedAt, last)
+		if !u.drainedAt.IsZero() && late > maxStartAfterDrain {
+			r.addViolation("%s got a task %v after its drain, of which the store was there for %v", u.ID, last.Sub(u.drainedAt), late)
 		}
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// regressions are the seeds that ever failed, each with its cause.
+// regressions maps seeds that have failed to the cause of the failure.
 var regressions = map[uint64]string{
-	4010: "the check counted the time in which the store answered nobody",
+	4010: "the check of drained upstreams counted the time in which the store was unavailable",
 }
 
-// evacuatingSeed draws evacuations early.
-const evacuatingSeed = 3
+// evacuationSeed is a seed that has evacuations early.
+const evacuationSeed = 3
 
-// livesSeed draws both early.
-const livesSeed = 5
+// restartSeed is a seed that has both restarts and resizes of upstreams early.
+const restartSeed = 5
 
 func buildDaemon(t *testing.T) string {
 	t.Helper()
@@ -32,7 +32,7 @@
 	return path
 }
 
-// TestShort is a short run of one seed; those that ever failed run with it.
+// TestShort runs one seed, and the seeds that have failed before, for a short time.
 func TestShort(t *testing.T) {
 	daemon := buildDaemon(t)
 	seeds := []uint64{1}
@@ -41,57 +41,58 @@
 	}
 	for _, seed := range seeds {
 		report, err := Run(t.Context(), Config{
-			Daemon: daemon, Dir: t.TempDir(), Seed: seed, Length: 4 * time.Second, Zones: 2, Instances: 2, Upstreams: 3, Customers: 6,
+			Daemon: daemon, Dir: t.TempDir(), Seed: seed, InjectionTime: 4 * time.Second, Zones: 2, Instances: 2, Upstreams: 3, Customers: 6,
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if report.Faults == 0 || report.Answers["completed"] == 0 {
+		if report.Faults == 0 || report.Responses["completed"] == 0 {
 			t.Errorf("seed %d: %+v", seed, report)
 		}
-		for _, b := range report.Broken {
+		for _, b := range report.Violations {
 			t.Errorf("seed %d (%s): %s", seed, regressions[seed], b)
 		}
 	}
 }
 
-// TestEvacuations is a short run of a seed that evacuates zones among other faults.
+// TestEvacuations is a short run in which zones are evacuated, in addition to other faults.
 func TestEvacuations(t *testing.T) {
 	report, err := Run(t.Context(), Config{
-		Daemon: buildDaemon(t), Dir: t.TempDir(), Seed: evacuatingSeed, Length: 4 * time.Second, Zones: 2, Instances: 2, Upstreams: 3, Customers: 6,
+		Daemon: buildDaemon(t), Dir: t.TempDir(), Seed: evacuationSeed, InjectionTime: 4 * time.Second, Zones: 2, Instances: 2, Upstreams: 3, Customers: 6,
 		Evacuations: true,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.Evacuations == 0 || report.Answers["completed"] == 0 {
+	if report.Evacuations == 0 || report.Responses["completed"] == 0 {
 		t.Errorf("%+v", report)
 	}
-	for _, b := range report.Broken {
+	for _, b := range report.Violations {
 		t.Error(b)
 	}
 }
 
-// TestLives is a short run of a seed in which upstreams start again under their ids and
-// change their room, among other faults.
+// TestLives is a short run in which upstreams restart under the same IDs and change their
+// capacity, in addition to other faults.
 func TestLives(t *testing.T) {
 	report, err := Run(t.Context(), Config{
-		Daemon: buildDaemon(t), Dir: t.TempDir(), Seed: livesSeed, Length: 4 * time.Second, Zones: 2, Instances: 2, Upstreams: 3, Customers: 6,
-		Lives: true,
+		Daemon: buildDaemon(t), Dir: t.TempDir(), Seed: restartSeed, InjectionTime: 4 * time.Second, Zones: 2, Instances: 2, Upstreams: 3, Customers: 6,
+		RestartsAndResizes: true,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.Answers["completed"] == 0 {
+	if report.Responses["completed"] == 0 {
 		t.Errorf("%+v", report)
 	}
-	for _, b := range report.Broken {
+	for _, b := range report.Violations {
 		t.Error(b)
 	}
 }
 
-// TestEndTwice ends one program from two sides, as overlapping faults do: it is
-// gone before another is started.
+// TestEndTwice guards against a restart while the old daemon is still running: when two
+// overlapping faults terminate the same daemon, terminate must return to both only after the
+// daemon has exited.
 func TestEndTwice(t *testing.T) {
 	sleeper, err := exec.LookPath("sleep")
 	if err != nil {
@@ -110,40 +111,40 @@
 	var both sync.WaitGroup
 	for range 2 {
 		both.Go(func() {
-			p.end(syscall.SIGKILL)
+			p.terminate(syscall.SIGKILL)
 			if cmd.ProcessState == nil {
-				t.Error("the program counts as ended and has not")
+				t.Error("terminate returned before the process exited")
 			}
 		})
 	}
 	both.Wait()
 }
 
-// TestOutages: only the time in which the store answers nobody is left out.
+// TestOutages checks the recorded times of overlapping outages of the store.
 func TestOutages(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(1000+s), 0) }
 	var o outages
 	o.begin(at(1))
 	o.begin(at(2))
 	if o.end(at(3)) {
-		t.Error("the store is there again while another outage lasts")
+		t.Error("end reports the last outage while another one is active")
 	}
-	if away := o.within(at(0), at(4)); away != 3*time.Second {
-		t.Errorf("%v of an outage that lasts", away)
+	if away := o.overlap(at(0), at(4)); away != 3*time.Second {
+		t.Errorf("overlap with an active outage: %v, want 3 s", away)
 	}
 	if !o.end(at(5)) {
-		t.Error("the last outage has ended, and the store is not there")
+		t.Error("end does not report the last outage")
 	}
 	for name, c := range map[string]struct{ from, to, want int }{
-		"all of it": {0, 9, 4}, "its begin": {0, 2, 1}, "its end": {4, 9, 1}, "within it": {2, 3, 1}, "before": {0, 1, 0}, "after": {6, 9, 0},
+		"whole outage": {0, 9, 4}, "start of the outage": {0, 2, 1}, "end of the outage": {4, 9, 1}, "within the outage": {2, 3, 1}, "before the outage": {0, 1, 0}, "after the outage": {6, 9, 0},
 	} {
-		if away := o.within(at(c.from), at(c.to)); away != time.Duration(c.want)*time.Second {
+		if away := o.overlap(at(c.from), at(c.to)); away != time.Duration(c.want)*time.Second {
 			t.Errorf("%s: %v, want %d s", name, away, c.want)
 		}
 	}
 }
 
-// TestProxy checks each mode against an echo.
+// TestProxy checks each mode of the proxy with an echo server.
 func TestProxy(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -172,35 +173,35 @@
 		defer func() { _ = c.Close() }()
 		return echoes(c)
 	}
-	p.Set(Pass)
+	p.SetMode(Forward)
 	open, err := net.Dial("tcp4", p.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = open.Close() }()
 	if !echoes(open) {
-		t.Error("an open connection does not echo")
+		t.Error("an open connection does not echo in mode Forward")
 	}
-	p.SilenceOpen()
+	p.BlackholeOpen()
 	if echoes(open) {
-		t.Error("a connection that went silent echoes")
+		t.Error("a connection echoes after BlackholeOpen")
 	}
 	if !echo() {
-		t.Error("a new connection does not echo beside a silent one")
+		t.Error("a new connection does not echo after BlackholeOpen")
 	}
-	// Silence goes last: a proxy that holds bytes for ever must still close.
+	// Hold comes last: the proxy must also close while it holds data.
 	for _, c := range []struct {
 		mode Mode
 		want bool
-	}{{Pass, true}, {Delay, true}, {OneWay, false}, {Refuse, false}, {Silence, false}} {
-		p.Set(c.mode)
+	}{{Forward, true}, {Delay, true}, {HoldResponses, false}, {Reset, false}, {Hold, false}} {
+		p.SetMode(c.mode)
 		if got := echo(); got != c.want {
-			t.Errorf("mode %d: an echo %v, want %v", c.mode, got, c.want)
+			t.Errorf("mode %d: echo received is %v, want %v", c.mode, got, c.want)
 		}
 	}
 }
 
-// echoes reports whether a byte comes back soon.
+// echoes reports whether a byte sent on the connection comes back within 300 ms.
 func echoes(c net.Conn) bool {
 	_ = c.SetDeadline(time.Now().Add(300 * time.Millisecond))
 	if _, err := c.Write([]byte("x")); err != nil {
--- a/soak/unread_test.go
+++ b/soak/unread_test.go
@@ -19,18 +19,19 @@
 )
 
 const (
-	// unreadSeed draws the jobs and which instance is held up.
+	// unreadSeed determines the jobs and which instance is paused.
 	unreadSeed   = 7
 	unreadRounds = 12
-	unreadJobs   = 3 // a round
-	// unreadTakes is how long a task works: longer than a held-up instance needs to read
-	// what it missed, so that what it starts would run beside the other.
-	unreadTakes = 400 * time.Millisecond
+	jobsPerRound = 3
+	// unreadTaskDuration is longer than a resumed instance takes to read the requests in
+	// its accept queue, so that a run that it starts would overlap with the first run.
+	unreadTaskDuration = 400 * time.Millisecond
 )
 
-// TestReadBehindReset guards against two runs of one task at once by real processes: an
-// instance is held up with requests in its accept queue, their connections are reset, the
-// same jobs run by way of another instance, and then the first goes on and reads them.
+// TestReadBehindReset guards against two concurrent runs of the same task, with real
+// processes: an instance is paused with requests in its accept queue, and their connections
+// are reset. The same jobs are sent to another instance and run. Then the first instance is
+// resumed and reads the old requests.
 func TestReadBehindReset(t *testing.T) {
 	in, err := newInstallation(Config{Daemon: buildDaemon(t), Dir: t.TempDir(), Seed: unreadSeed, Zones: 2, Instances: 1, Upstreams: 3})
 	if err != nil {
@@ -41,35 +42,36 @@
 		t.Fatal(err)
 	}
 	if !in.waitReady() {
-		t.Fatalf("the installation is not ready after %v", readyLimit)
+		t.Fatalf("the installation is not ready after %v", readyTimeout)
 	}
 	rng := rand.New(rand.NewPCG(unreadSeed, 1))
-	sent := map[string]int{} // jobs that were sent to each instance and not read, by its name
+	sent := map[string]int{} // number of requests that were sent while paused, by name of the instance
 	for round := range unreadRounds {
-		held := rng.IntN(len(in.processes))
-		sent[in.processes[held].name] += unreadJobs
-		readBehindReset(t, in, rng, round, in.processes[held], in.processes[1-held])
+		paused := rng.IntN(len(in.processes))
+		sent[in.processes[paused].name] += jobsPerRound
+		readBehindReset(t, in, rng, round, in.processes[paused], in.processes[1-paused])
 	}
-	for _, broken := range in.ledger.Violations() {
-		t.Error(broken)
+	for _, violation := range in.tracker.Violations() {
+		t.Error(violation)
 	}
 	for _, p := range in.processes {
-		waitUntil(t, fmt.Sprintf("%s tells of %d requests read behind the end of their connections", p.name, sent[p.name]),
-			func() bool { return countUnread(t, p) == sent[p.name] })
+		waitUntil(t, fmt.Sprintf("%s logs %d requests that it read after the customer had disconnected", p.name, sent[p.name]),
+			func() bool { return countUnreadRequests(t, p) == sent[p.name] })
 	}
 }
 
-// readBehindReset plays one round, and returns once all jobs are answered and nothing runs.
-func readBehindReset(t *testing.T, in *installation, rng *rand.Rand, round int, held, other *process) {
+// readBehindReset runs one round. It returns once all jobs have responses and all runs have
+// ended.
+func readBehindReset(t *testing.T, in *installation, rng *rand.Rand, round int, paused, other *process) {
 	var jobs []standin.Job
-	for i := range unreadJobs {
+	for i := range jobsPerRound {
 		id := fmt.Sprintf("%08x%08x", round+1, i)
-		jobs = append(jobs, standin.Job{ID: id, Tasks: 1 + rng.IntN(2), MilliCPU: taskCPU, TaskDuration: unreadTakes})
+		jobs = append(jobs, standin.Job{ID: id, Tasks: 1 + rng.IntN(2), MilliCPU: taskCPU, TaskDuration: unreadTaskDuration})
 	}
-	held.signal(syscall.SIGSTOP)
+	paused.signal(syscall.SIGSTOP)
 	for _, j := range jobs {
-		conn := sendJob(t, held, j)
-		if err := errors.Join(conn.SetLinger(0), conn.Close()); err != nil { // a reset
+		conn := sendJob(t, paused, j)
+		if err := errors.Join(conn.SetLinger(0), conn.Close()); err != nil { // closes with a reset
 			t.Fatal(err)
 		}
 	}
@@ -80,31 +82,31 @@
 			defer func() { _ = conn.Close() }()
 			res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || res.StatusCode != http.StatusOK {
-				t.Errorf("%s by way of %s: %v, %v", j.ID, other.name, res, err)
+				t.Errorf("job %s sent to %s: %v, %v", j.ID, other.name, res, err)
 			}
 		})
 	}
 	for _, j := range jobs {
-		waitUntil(t, j.ID+" runs", func() bool { return in.ledger.IsRunning(j.ID) })
+		waitUntil(t, j.ID+" runs", func() bool { return in.tracker.IsRunning(j.ID) })
 	}
-	held.signal(syscall.SIGCONT)
+	paused.signal(syscall.SIGCONT)
 	answered.Wait()
 	for _, j := range jobs {
-		waitUntil(t, j.ID+" is over", func() bool { return !in.ledger.IsRunning(j.ID) })
-		if done := in.ledger.DoneTasks(j.ID); done != j.Tasks {
+		waitUntil(t, j.ID+" has ended", func() bool { return !in.tracker.IsRunning(j.ID) })
+		if done := in.tracker.DoneTasks(j.ID); done != j.Tasks {
 			t.Errorf("%s: %d of %d tasks are done", j.ID, done, j.Tasks)
 		}
 	}
 }
 
-// sendJob sends a job without waiting for its answer.
+// sendJob sends a job without waiting for the response.
 func sendJob(t *testing.T, to *process, job standin.Job) *net.TCPConn {
 	t.Helper()
-	req, err := standin.NewRequest(t.Context(), http.MethodPost, to.customers(), host, prefix(0)+job.ID, job.Body(), deadline)
+	req, err := standin.NewRequest(t.Context(), http.MethodPost, to.customerAddress(), host, routePrefix(0)+job.ID, job.Body(), customerTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := net.Dial("tcp4", to.customers())
+	conn, err := net.Dial("tcp4", to.customerAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,9 +116,9 @@
 	return conn.(*net.TCPConn)
 }
 
-// countUnread counts the requests that an instance says to have read behind the end of
-// their connections.
-func countUnread(t *testing.T, p *process) int {
+// countUnreadRequests returns the number of requests that an instance has read after the
+// customer had disconnected, according to its log.
+func countUnreadRequests(t *testing.T, p *process) int {
 	t.Helper()
 	log, err := os.ReadFile(filepath.Join(p.dir, p.name+".log"))
 	if err != nil {
@@ -125,12 +127,13 @@
 	return strings.Count(string(log), "the customer left before its request was read")
 }
 
-// waitUntil waits for a condition, and fails the test where it does not come.
+// waitUntil waits until a condition holds, and fails the test if that takes longer than
+// recoveryTimeout.
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(recoverLimit); !holds(); time.Sleep(silencePoll) {
+	for limit := time.Now().Add(recoveryTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(limit) {
-			t.Fatalf("not after %v: %s", recoverLimit, what)
+			t.Fatalf("after %v, still not true: %s", recoveryTimeout, what)
 		}
 	}
 }
