--- a/cli/bench.go
+++ b/cli/bench.go
@@ -21,10 +21,10 @@
 
 func demoCommand() *cli.Command {
 	return &cli.Command{
-		Name: "demo", Usage: "run a small fleet in this process and both users' services on it",
-		Description: "Starts stand-ins of the platform and of upstreams, 4 entries in 2 availability\n" +
-			"zones, submits jobs from several callers, resubmits some to other entries, and\n" +
-			"checks what must always hold.",
+		Name: "demo", Usage: "run a small fleet in this process and submit jobs of two services to it",
+		Description: "Starts an emulated platform, emulated upstreams and 4 instances in 2 availability\n" +
+			"zones, submits jobs from several callers, resubmits some of them to other\n" +
+			"instances, and checks the invariants.",
 		Flags: []cli.Flag{jsonFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			report, err := experiment.Demo()
@@ -38,13 +38,13 @@
 					return err
 				}
 			}
-			return broken(&report)
+			return invariantError(&report)
 		},
 	}
 }
 
-// broken returns an error when a run broke a promise.
-func broken(r *experiment.Report) error {
+// invariantError returns an error if a run violated an invariant.
+func invariantError(r *experiment.Report) error {
 	if len(r.Violations) > 0 || r.DuplicateStarts > 0 {
 		return failure.Invariant.New("%d tasks started twice; %s", r.DuplicateStarts, strings.Join(r.Violations, "; "))
 	}
@@ -53,16 +53,16 @@
 
 func benchCommand() *cli.Command {
 	return &cli.Command{
-		Name: "bench", Usage: "run scenarios, and compare policies, witnesses and loads",
+		Name: "bench", Usage: "run scenarios and compare policies, witness scopes and loads",
 		ArgsUsage:   "SCENARIO.ini ...",
-		Description: "Each combination of the flags runs each scenario once, one after another.",
+		Description: "Runs each scenario once with each combination of the flags' values, one after another.",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "policy", Usage: "`ORDER` of waiting work: fifo, least_remaining; may be repeated"},
-			&cli.StringSliceFlag{Name: "placing", Usage: "`WAY` of sharing upstreams: broker, static, guess, probe; may be repeated"},
+			&cli.StringSliceFlag{Name: "policy", Usage: "`ORDER` of waiting tasks: fifo, least_remaining; may be repeated"},
+			&cli.StringSliceFlag{Name: "placing", Usage: "`MODE` of allocating upstreams: broker, static, guess, probe; may be repeated"},
 			&cli.StringSliceFlag{Name: "witness", Usage: "`SCOPE` of the witness: none, zone, region; may be repeated"},
-			&cli.Float64SliceFlag{Name: "load", Usage: "`SHARE` of all slots that is offered; may be repeated"},
-			&cli.Float64Flag{Name: "seconds", Usage: "run each for so long instead"},
-			&cli.StringFlag{Name: "plot", Usage: "write plots of ratio and messages against load to `DIR`"},
+			&cli.Float64SliceFlag{Name: "load", Usage: "offered load as a `SHARE` of all slots; may be repeated"},
+			&cli.Float64Flag{Name: "seconds", Usage: "duration of each run; overrides that of the scenario"},
+			&cli.StringFlag{Name: "plot", Usage: "write plots of response time ratios and messages over load to `DIR`"},
 			jsonFlag(),
 		},
 		Action: bench,
@@ -71,7 +71,7 @@
 
 func bench(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return failure.Field(failure.InvalidInput, "SCENARIO.ini", "names no scenario")
+		return failure.Field(failure.InvalidInput, "SCENARIO.ini", "is missing: name at least one scenario")
 	}
 	variants := experiment.Variants{
 		Policies: c.StringSlice("policy"), Placings: c.StringSlice("placing"), Witnesses: c.StringSlice("witness"),
@@ -83,24 +83,24 @@
 		if err != nil {
 			return err
 		}
-		played, err := variants.Play(s, func(row *experiment.Row) { fmt.Fprintln(c.Root().ErrWriter, "done:", row.Name) })
+		results, err := variants.Play(s, func(row *experiment.Row) { fmt.Fprintln(c.Root().ErrWriter, "done:", row.Name) })
 		if err != nil {
 			return err
 		}
-		rows = append(rows, played...)
+		rows = append(rows, results...)
 	}
-	if err := present(c, rows); err != nil {
+	if err := outputRows(c, rows); err != nil {
 		return err
 	}
 	for i := range rows {
-		if err := broken(&rows[i].Report); err != nil {
+		if err := invariantError(&rows[i].Report); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func present(c *cli.Command, rows []experiment.Row) error {
+func outputRows(c *cli.Command, rows []experiment.Row) error {
 	if dir := c.String("plot"); dir != "" {
 		if err := experiment.Plot(dir, rows); err != nil {
 			return err
@@ -124,21 +124,22 @@
 	}
 }
 
-// standinCommand serves the stand-ins as processes, for trying the daemons.
+// standinCommand runs an emulated platform or upstream as a process, for manual tests of the
+// daemon.
 func standinCommand() *cli.Command {
 	return &cli.Command{
-		Name: "standin", Usage: "serve a stand-in of the platform or of an upstream, for trials",
+		Name: "standin", Usage: "run an emulated platform or upstream, for manual tests",
 		Commands: []*cli.Command{
 			{
-				Name: "platform", Usage: "serve a platform with a fixed list of instances",
+				Name: "platform", Usage: "run an emulated platform with a fixed list of instances",
 				Flags: []cli.Flag{
 					&cli.StringFlag{Name: "listen", Value: "127.0.0.1:7300"},
-					&cli.StringFlag{Name: "instances", Usage: "`FILE` with the list, JSON", Required: true},
+					&cli.StringFlag{Name: "instances", Usage: "`FILE` with the list of instances as JSON", Required: true},
 				},
 				Action: servePlatform,
 			},
 			{
-				Name: "upstream", Usage: "serve an upstream",
+				Name: "upstream", Usage: "run an emulated upstream",
 				Flags: []cli.Flag{
 					&cli.StringFlag{Name: "listen", Required: true}, &cli.StringFlag{Name: "id", Required: true},
 					&cli.StringFlag{Name: "zone", Required: true}, &cli.StringFlag{Name: "rack"},
@@ -157,7 +158,7 @@
 	}
 	var list api.PlatformInstances
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return failure.Field(failure.InvalidInput, "instances", "is not the JSON of a list: %v", err)
+		return failure.Field(failure.InvalidInput, "instances", "is not a list of instances as JSON: %v", err)
 	}
 	p, err := standin.StartPlatform(c.String("listen"))
 	if err != nil {
@@ -167,7 +168,7 @@
 	for _, i := range list.Instances {
 		p.List(i)
 	}
-	untilSignal(ctx)
+	waitForSignal(ctx)
 	return nil
 }
 
@@ -180,11 +181,11 @@
 		return err
 	}
 	defer u.Close()
-	untilSignal(ctx)
+	waitForSignal(ctx)
 	return nil
 }
 
-func untilSignal(ctx context.Context) {
+func waitForSignal(ctx context.Context) {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	<-ctx.Done()
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of operators and callers.
+// Package cli implements the sedgehatch command-line tool for operators and callers.
 package cli
 
 import (
@@ -17,46 +17,47 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The exit codes. Each fate of a job has its own.
+// The exit codes of the process. Each fate (final outcome) of a job has its own code.
 const (
-	ExitComplete  = 0 // or any other success
-	ExitError     = 1 // the command failed; nothing is known of a fate
-	ExitUsage     = 2 // the command line or the input is wrong
-	ExitConflict  = 3 // somebody else changed the settings first
+	ExitComplete  = 0 // the job is complete, or another command succeeded
+	ExitError     = 1 // the command failed without a fate of a job
+	ExitUsage     = 2 // the command line or the input is invalid
+	ExitConflict  = 3 // the settings were changed by someone else in the meantime
 	ExitFailed    = 10
 	ExitNotRun    = 11
 	ExitUnknown   = 12
-	ExitPending   = 13 // the job has no fate yet
-	ExitInvariant = 20 // one of the product's promises was seen broken
+	ExitPending   = 13 // the job has no fate yet, or a change of settings is not in force on all instances yet
+	ExitInvariant = 20 // an invariant of the product was violated
 )
 
-// exitOf gives the exit code of a fate.
-var exitOf = map[fate.Kind]int{
+// exitCodes maps the fate of a job to the exit code.
+var exitCodes = map[fate.Kind]int{
 	fate.Complete: ExitComplete, fate.Failed: ExitFailed, fate.NotRun: ExitNotRun,
 	fate.Unknown: ExitUnknown, fate.Pending: ExitPending,
 }
 
-// exit ends the process with a code, after what had to be said was said.
-type exit struct{ code int }
+// exitError ends the process with an exit code and without an error message. Commands return it
+// after they have printed their result.
+type exitError struct{ code int }
 
-func (e exit) Error() string { return fmt.Sprintf("exit code %d", e.code) }
+func (e exitError) Error() string { return fmt.Sprintf("exit code %d", e.code) }
 
-// Main runs the command line, and returns the exit code of the process.
+// Main runs the command given by the arguments of the process and returns the exit code.
 func Main(args []string) int {
 	return Run(context.Background(), args, os.Stdout, os.Stderr)
 }
 
-// Run is Main with its outputs passed in.
+// Run is like Main, but takes a context and writes to the given outputs.
 func Run(ctx context.Context, args []string, out, errOut io.Writer) int {
-	err := root(out, errOut).Run(ctx, args)
-	var code exit
+	err := newRootCommand(out, errOut).Run(ctx, args)
+	var exit exitError
 	switch {
 	case err == nil:
 		return ExitComplete
-	case errors.As(err, &code):
-		return code.code
+	case errors.As(err, &exit):
+		return exit.code
 	}
-	fmt.Fprintln(errOut, "sedgehatch:", wordError(err))
+	fmt.Fprintln(errOut, "sedgehatch:", formatError(err))
 	switch {
 	case failure.Is(err, failure.InvalidInput), failure.Is(err, failure.TooLarge):
 		return ExitUsage
@@ -65,14 +66,14 @@
 	case failure.Is(err, failure.Invariant):
 		return ExitInvariant
 	case failure.Code(err) == "internal":
-		return ExitUsage // an error of the command line itself
+		return ExitUsage // also errors of the command-line parser, which have no type
 	default:
 		return ExitError
 	}
 }
 
-// wordError words an error for a person: the field, what is wrong, the type.
-func wordError(err error) string {
+// formatError returns the message to print for an error: the field, the text and the type.
+func formatError(err error) string {
 	text := failure.Text(err)
 	if field := failure.FieldOf(err); field != "" {
 		text = field + ": " + text
@@ -80,16 +81,16 @@
 	return text + " (" + failure.Code(err) + ")"
 }
 
-func root(out, errOut io.Writer) *cli.Command {
+func newRootCommand(out, errOut io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:                  "sedgehatch",
-		Usage:                 "submit jobs to sedgehatch, and operate it",
+		Usage:                 "submit jobs to sedgehatch and operate it",
 		EnableShellCompletion: true,
 		Writer:                out,
 		ErrWriter:             errOut,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
 		Description: "Exit codes: 0 complete, 1 error, 2 wrong usage or input, 3 conflict,\n" +
-			"10 failed, 11 not run, 12 unknown, 13 pending, 20 a promise was broken.",
+			"10 failed, 11 not run, 12 unknown, 13 pending, 20 an invariant was violated.",
 		Commands: []*cli.Command{
 			demoCommand(), submitCommand(), jobCommand(), settingsCommand(), instancesCommand(),
 			benchCommand(), explainCommand(), soakCommand(), labCommand(), standinCommand(), versionCommand(),
@@ -113,14 +114,14 @@
 
 func jsonFlag() cli.Flag { return &cli.BoolFlag{Name: "json", Usage: "print JSON"} }
 
-// callerFlags are the flags of commands that speak to entries.
-func callerFlags() []cli.Flag {
+// clientFlags returns the flags of commands that connect to instances.
+func clientFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringSliceFlag{
-			Name: "entry", Aliases: []string{"e"}, Usage: "`HOST:PORT` of an entry or the balancer; may be repeated",
+			Name: "entry", Aliases: []string{"e"}, Usage: "`HOST:PORT` of an instance or of the load balancer; may be repeated",
 			Sources: cli.EnvVars("SEDGEHATCH_ENTRY"), Value: []string{"127.0.0.1:7400"},
 		},
-		&cli.StringFlag{Name: "caller", Usage: "the `NAME` to submit as", Value: "operator", Sources: cli.EnvVars("SEDGEHATCH_CALLER")},
+		&cli.StringFlag{Name: "caller", Usage: "the `NAME` of the caller to submit as", Value: "operator", Sources: cli.EnvVars("SEDGEHATCH_CALLER")},
 	}
 }
 
@@ -131,7 +132,7 @@
 func printJSON(w io.Writer, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return failure.Internal.Wrap(err, "the answer does not encode")
+		return failure.Internal.Wrap(err, "cannot encode the answer as JSON")
 	}
 	fmt.Fprintln(w, string(body))
 	return nil
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -30,7 +30,7 @@
 	return c
 }
 
-func file(t *testing.T, text string) string {
+func writeTempFile(t *testing.T, text string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "job.json")
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -39,11 +39,12 @@
 	return name
 }
 
-// TestExitCodes holds that each fate ends with its own code.
+// TestExitCodes checks the exit code of each fate, of invalid input and of an unreachable
+// instance.
 func TestExitCodes(t *testing.T) {
 	c := startFleet(t)
 	entry := "--entry=" + c.Addresses()[0]
-	for _, job := range []struct {
+	for _, test := range []struct {
 		text string
 		code int
 		fate fate.Kind
@@ -52,33 +53,33 @@
 		{`{"service":"desk","tasks":[{"payload":{"fail":true}}]}`, ExitFailed, fate.Failed},
 		{`{"service":"desk","tasks":[{"cpu":1000}]}`, ExitNotRun, fate.NotRun},
 	} {
-		code, out, errOut := run("submit", entry, "--json", file(t, job.text))
+		code, out, errOut := run("submit", entry, "--json", writeTempFile(t, test.text))
 		var a api.Answer
-		if err := json.Unmarshal([]byte(out), &a); err != nil || code != job.code || a.Fate != job.fate {
-			t.Errorf("%s: code %d, %s %s %v", job.text, code, out, errOut, err)
+		if err := json.Unmarshal([]byte(out), &a); err != nil || code != test.code || a.Fate != test.fate {
+			t.Errorf("%s: exit code %d, %s %s %v", test.text, code, out, errOut, err)
 		}
 	}
-	for _, bad := range [][]string{
-		{"submit", entry, file(t, `{"service":"desk","tasks":[]}`)},
-		{"submit", entry, file(t, `{"service":"desk","job":1}`)},
+	for _, args := range [][]string{
+		{"submit", entry, writeTempFile(t, `{"service":"desk","tasks":[]}`)},
+		{"submit", entry, writeTempFile(t, `{"service":"desk","job":1}`)},
 		{"submit", entry},
 		{"bench"},
 		{"settings", "set", "planet", "witness", "zone"},
 	} {
-		if code, _, errOut := run(bad...); code != ExitUsage || errOut == "" {
-			t.Errorf("%v: code %d, %s", bad, code, errOut)
+		if code, _, errOut := run(args...); code != ExitUsage || errOut == "" {
+			t.Errorf("%v: code %d, %s", args, code, errOut)
 		}
 	}
 	if code, _, _ := run("instances", "--entry=127.0.0.1:1"); code != ExitError {
-		t.Errorf("code %d without an entry", code)
+		t.Errorf("unreachable instance: code %d", code)
 	}
 }
 
 func TestSettingsCommands(t *testing.T) {
 	c := startFleet(t)
-	at := []string{"--platform=" + c.Platform.Address()}
-	change := append(at, "--entry="+c.Addresses()[0])
-	do := func(want int, contains string, args ...string) {
+	platformFlag := []string{"--platform=" + c.Platform.Address()}
+	changeFlags := append(platformFlag, "--entry="+c.Addresses()[0])
+	expect := func(want int, contains string, args ...string) {
 		t.Helper()
 		code, out, errOut := run(args...)
 		if code != want || !strings.Contains(out+errOut, contains) {
@@ -88,17 +89,17 @@
 	command := func(name string, flags []string, args ...string) []string {
 		return append(append([]string{"settings", name}, flags...), args...)
 	}
-	do(ExitComplete, "in force on every entry", command("set", change, "zone a", "deadline_ms", "5000")...)
-	do(ExitComplete, "from zone a", command("explain", at, "--zone=a")...)
-	do(ExitComplete, "5000", command("get", at, "--zone=a", "deadline_ms")...)
-	do(ExitUsage, "allowed: 1 to 600000", command("set", change, "zone a", "deadline_ms", "soon")...)
-	do(ExitConflict, "revision 1 is in force", command("set", append(change, "--base=7"), "fleet", "witness", "none")...)
-	do(ExitComplete, "(every service", command("set", change, "fleet", "witness", "region")...)
-	do(ExitComplete, "witness: region -> (inherited)", command("rollback", change, "1")...)
-	do(ExitComplete, "3 ", command("history", at)...)
-	tree := file(t, "[service desk]\nweight = 9\n")
-	do(ExitComplete, "weight: (inherited) -> 9", command("diff", at, tree)...)
-	do(ExitComplete, "is right", "settings", "validate", tree)
-	do(ExitUsage, "is no setting", "settings", "validate", file(t, "[fleet]\ncolour = red\n"))
-	do(ExitComplete, "revision 4 accepted", command("apply", change, tree)...)
+	expect(ExitComplete, "in force on every entry", command("set", changeFlags, "zone a", "deadline_ms", "5000")...)
+	expect(ExitComplete, "from zone a", command("explain", platformFlag, "--zone=a")...)
+	expect(ExitComplete, "5000", command("get", platformFlag, "--zone=a", "deadline_ms")...)
+	expect(ExitUsage, "allowed: 1 to 600000", command("set", changeFlags, "zone a", "deadline_ms", "soon")...)
+	expect(ExitConflict, "revision 1 is in force", command("set", append(changeFlags, "--base=7"), "fleet", "witness", "none")...)
+	expect(ExitComplete, "(every service", command("set", changeFlags, "fleet", "witness", "region")...)
+	expect(ExitComplete, "witness: region -> (inherited)", command("rollback", changeFlags, "1")...)
+	expect(ExitComplete, "3 ", command("history", platformFlag)...)
+	tree := writeTempFile(t, "[service desk]\nweight = 9\n")
+	expect(ExitComplete, "weight: (inherited) -> 9", command("diff", platformFlag, tree)...)
+	expect(ExitComplete, "is right", "settings", "validate", tree)
+	expect(ExitUsage, "is no setting", "settings", "validate", writeTempFile(t, "[fleet]\ncolour = red\n"))
+	expect(ExitComplete, "revision 4 accepted", command("apply", changeFlags, tree)...)
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -13,25 +13,25 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell from logs what became of a job, and why",
+		Usage:     "explain from logs what happened to a job and why",
 		ArgsUsage: "ID",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "logs", Usage: "a `FILE` with the lines of some instances; may be repeated; standard input without it"},
+			&cli.StringSliceFlag{Name: "logs", Usage: "`FILE` with log lines of one or more instances; may be repeated; default is standard input"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
-				return failure.Field(failure.InvalidInput, "id", "name one job")
+				return failure.Field(failure.InvalidInput, "id", "exactly one job ID is required")
 			}
-			log, err := readLogs(c.StringSlice("logs"))
+			logs, err := readLogs(c.StringSlice("logs"))
 			if err != nil {
 				return err
 			}
-			story := log.Explain(c.Args().First())
-			if err := story.Write(c.Root().Writer); err != nil {
-				return failure.Internal.Wrap(err, "cannot write the story")
+			explanation := logs.Explain(c.Args().First())
+			if err := explanation.Write(c.Root().Writer); err != nil {
+				return failure.Internal.Wrap(err, "cannot write the explanation")
 			}
-			if len(story.Lines) == 0 {
-				return exit{ExitError}
+			if len(explanation.Lines) == 0 {
+				return exitError{ExitError}
 			}
 			return nil
 		},
@@ -39,26 +39,26 @@
 }
 
 func readLogs(paths []string) (*explain.Logs, error) {
-	log := &explain.Logs{}
+	logs := &explain.Logs{}
 	if len(paths) == 0 {
-		if err := log.Read(os.Stdin); err != nil {
+		if err := logs.Read(os.Stdin); err != nil {
 			return nil, failure.Field(failure.InvalidInput, "logs", "cannot read standard input: %v", err)
 		}
-		return log, nil
+		return logs, nil
 	}
 	for _, path := range paths {
-		if err := readLog(log, path); err != nil {
+		if err := readLog(logs, path); err != nil {
 			return nil, failure.Field(failure.InvalidInput, "logs", "%v", err)
 		}
 	}
-	return log, nil
+	return logs, nil
 }
 
-func readLog(log *explain.Logs, path string) error {
+func readLog(logs *explain.Logs, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was only read
-	return log.Read(f)
+	defer func() { _ = f.Close() }() // an error does not matter after reading
+	return logs.Read(f)
 }
--- a/cli/pages_test.go
+++ b/cli/pages_test.go
@@ -24,16 +24,16 @@
 	"github.com/samber/lo"
 )
 
-// pages have the commands that TestPages runs.
+// pages lists the documentation pages with the commands that TestPages runs.
 var pages = []string{"README.md", "docs/OPERATIONS.md"}
 
 var (
-	commandLine = regexp.MustCompile(`(?m)^    ((?:sedgehatchd?|go run|go test) .*)$`)
-	remark      = regexp.MustCompile(`\s+# .*$`)
+	commandLine     = regexp.MustCompile(`(?m)^    ((?:sedgehatchd?|go run|go test) .*)$`)
+	trailingComment = regexp.MustCompile(`\s+# .*$`)
 )
 
-// documented returns the commands of the pages, as written.
-func documented(t *testing.T) []string {
+// documentedCommands returns the commands in the pages, without trailing comments.
+func documentedCommands(t *testing.T) []string {
 	t.Helper()
 	var commands []string
 	for _, page := range pages {
@@ -42,14 +42,15 @@
 			t.Fatal(err)
 		}
 		for _, line := range commandLine.FindAllStringSubmatch(string(text), -1) {
-			commands = append(commands, strings.Split(remark.ReplaceAllString(line[1], ""), "; ")...)
+			commands = append(commands, strings.Split(trailingComment.ReplaceAllString(line[1], ""), "; ")...)
 		}
 	}
 	return lo.Uniq(commands)
 }
 
-// words splits a command as a shell does that knows blanks and double quotes only.
-func words(t *testing.T, command string) []string {
+// splitCommand splits a command into words as a shell does, but supports only blanks and double
+// quotes.
+func splitCommand(t *testing.T, command string) []string {
 	t.Helper()
 	r := csv.NewReader(strings.NewReader(command))
 	r.Comma = ' '
@@ -60,8 +61,8 @@
 	return fields
 }
 
-// added are the arguments with which commands that take long are cut short.
-var added = []struct {
+// extraArgs are added to commands that would take long, to shorten them.
+var extraArgs = []struct {
 	prefix string
 	args   []string
 }{
@@ -70,31 +71,32 @@
 	{"sedgehatch bench", []string{"--seconds", "0.2"}},
 }
 
-// runsItself is left out: it would run this test.
-const runsItself = "go test ./..."
+// testCommand is not run because it would run this test.
+const testCommand = "go test ./..."
 
-// patience bounds how long a daemon takes until it serves.
-const patience = 20 * time.Second
+// startTimeout is the maximum time until a daemon is ready.
+const startTimeout = 20 * time.Second
 
-// site is what the commands of the pages meet.
-type site struct {
-	t        *testing.T
-	bin, dir string
-	env      []string
-	cluster  *experiment.Cluster
-	store    *standin.Store
-	// stands replaces words of the pages that stand for something.
-	stands map[string]string
+// pageTest is the environment in which the commands in the pages run.
+type pageTest struct {
+	t           *testing.T
+	binDir, dir string
+	env         []string
+	cluster     *experiment.Cluster
+	store       *standin.Store
+	// placeholders maps words in the pages, such as file names, to their values in this
+	// environment.
+	placeholders map[string]string
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{t: t, bin: t.TempDir(), dir: t.TempDir(), cluster: startFleet(t)}
+func newPageTest(t *testing.T) *pageTest {
+	p := &pageTest{t: t, binDir: t.TempDir(), dir: t.TempDir(), cluster: startFleet(t)}
 	store, err := standin.NewStore("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(store.Close)
-	s.store = store
+	p.store = store
 	if err := store.Configure(1, []standin.Route{{Name: "r", Host: "desk.example", Prefix: "/checks/", Service: "desk", MaxAttempts: 3}}); err != nil {
 		t.Fatal(err)
 	}
@@ -106,116 +108,118 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(upstream.Close)
-	if out, err := exec.Command("go", "build", "-o", s.bin+"/", "./cmd/...").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", p.binDir+"/", "./cmd/...").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	s.env = append(os.Environ(),
-		"PATH="+s.bin+string(os.PathListSeparator)+os.Getenv("PATH"),
-		"SEDGEHATCH_ENTRY="+s.cluster.Addresses()[0], "SEDGEHATCH_PLATFORM="+s.cluster.Platform.Address(),
-		"SEDGEHATCH_CONFIG="+s.write("settings.json", s.platformSettings()),
+	p.env = append(os.Environ(),
+		"PATH="+p.binDir+string(os.PathListSeparator)+os.Getenv("PATH"),
+		"SEDGEHATCH_ENTRY="+p.cluster.Addresses()[0], "SEDGEHATCH_PLATFORM="+p.cluster.Platform.Address(),
+		"SEDGEHATCH_CONFIG="+p.write("settings.json", p.platformSettings()),
 	)
-	job := s.write("job.json", `{"service":"desk","deadline_ms":5000,"tasks":[{"cpu":1,"run_ms":20,"payload":{}}]}`)
-	log := s.write("instance.log", `{"time":"2026-04-04T22:12:01.000Z","level":"INFO","msg":"job_late","instance":"i-1","job":"9f953c2a5b2e7396","took_ms":210,"objective_ms":190}`)
-	s.stands = map[string]string{
+	job := p.write("job.json", `{"service":"desk","deadline_ms":5000,"tasks":[{"cpu":1,"run_ms":20,"payload":{}}]}`)
+	log := p.write("instance.log", `{"time":"2026-04-04T22:12:01.000Z","level":"INFO","msg":"job_late","instance":"i-1","job":"9f953c2a5b2e7396","took_ms":210,"objective_ms":190}`)
+	p.placeholders = map[string]string{
 		"job.json": job, "instance.log": log, "instance-1.log": log, "instance-2.log": log, "ID": "9f953c2a5b2e7396",
-		"entry.ini": s.write("entry.ini", s.entrySettings()), "rules.png": filepath.Join(s.dir, "rules.png"),
-		"FILE": s.write("tree.ini", "[service desk]\nweight = 9\n"), "S": s.session(job),
+		"entry.ini": p.write("entry.ini", p.instanceConfig()), "rules.png": filepath.Join(p.dir, "rules.png"),
+		"FILE": p.write("tree.ini", "[service desk]\nweight = 9\n"), "S": p.submitJob(job),
 	}
-	return s
+	return p
 }
 
-func (s *site) write(name, text string) string {
-	s.t.Helper()
-	path := filepath.Join(s.dir, name)
+func (p *pageTest) write(name, text string) string {
+	p.t.Helper()
+	path := filepath.Join(p.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		s.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	return path
 }
 
-// Ports of the daemons, under those that the system gives away.
+// Ports of the daemons, below the range of ephemeral ports.
 const (
-	customersPort = 18161
+	customerPort  = 18161
 	readinessPort = 18167
-	peersPort     = 17720
-	callersPort   = 17400
+	peerPort      = 17720
+	callerPort    = 17400
 	innerPort     = 17500
 )
 
-// daemonIP is an address of the loopback that no other process uses: a port that was free
-// a moment ago may be taken.
+// daemonIP returns a loopback address that no other process uses, derived from the process ID.
+// Choosing free ports instead would be a race: another process could take them before the
+// daemon listens.
 func daemonIP() string {
 	const hosts = 254
 	pid := os.Getpid()
 	return fmt.Sprintf("127.88.%d.%d", pid/hosts%hosts, 1+pid%hosts)
 }
 
-func (s *site) platformSettings() string {
-	s.t.Helper()
+func (p *pageTest) platformSettings() string {
+	p.t.Helper()
 	raw, err := standin.Settings(standin.Process{
-		Name: "a-1", IP: daemonIP(), Zone: "a", CustomersPort: customersPort, ReadinessPort: readinessPort, PeersPort: peersPort,
-		Store: s.store.Address, FirstStart: true,
+		Name: "a-1", IP: daemonIP(), Zone: "a", CustomersPort: customerPort, ReadinessPort: readinessPort, PeersPort: peerPort,
+		Store: p.store.Address, FirstStart: true,
 	})
 	if err != nil {
-		s.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	return string(raw)
 }
 
-func (s *site) entrySettings() string {
+func (p *pageTest) instanceConfig() string {
 	return fmt.Sprintf("[instance]\nfleet = alone\nname = e\nregion = r\nzone = a\nrack = r1\n"+
-		"[listen]\ncallers = %[1]s:%[2]d\ninner = %[1]s:%[3]d\n[platform]\naddress = %[4]s\n", daemonIP(), callersPort, innerPort, s.cluster.Platform.Address())
+		"[listen]\ncallers = %[1]s:%[2]d\ninner = %[1]s:%[3]d\n[platform]\naddress = %[4]s\n", daemonIP(), callerPort, innerPort, p.cluster.Platform.Address())
 }
 
-// session submits a job, and returns the session that it was submitted in.
-func (s *site) session(job string) string {
-	s.t.Helper()
-	code, out := s.run("sedgehatch", "submit", "--json", job)
+// submitJob submits a job and returns the session in which it was submitted.
+func (p *pageTest) submitJob(job string) string {
+	p.t.Helper()
+	code, out := p.run("sedgehatch", "submit", "--json", job)
 	var answer api.Answer
 	if err := json.Unmarshal([]byte(out), &answer); err != nil || code != ExitComplete {
-		s.t.Fatalf("exit %d, %s, %v", code, out, err)
+		p.t.Fatalf("exit %d, %s, %v", code, out, err)
 	}
 	return string(answer.Session)
 }
 
-func (s *site) command(args ...string) (*exec.Cmd, *bytes.Buffer) {
+func (p *pageTest) command(args ...string) (*exec.Cmd, *bytes.Buffer) {
 	program := args[0]
 	if strings.HasPrefix(program, "sedgehatch") {
-		program = filepath.Join(s.bin, program)
+		program = filepath.Join(p.binDir, program)
 	}
 	out := &bytes.Buffer{}
 	cmd := exec.Command(program, args[1:]...)
-	cmd.Env, cmd.Stdout, cmd.Stderr = s.env, out, out
+	cmd.Env, cmd.Stdout, cmd.Stderr = p.env, out, out
 	return cmd, out
 }
 
-func (s *site) run(args ...string) (code int, out string) {
-	cmd, text := s.command(args...)
-	_ = cmd.Run() // its exit code is looked at
+func (p *pageTest) run(args ...string) (code int, out string) {
+	cmd, text := p.command(args...)
+	_ = cmd.Run() // the exit code is returned below
 	return cmd.ProcessState.ExitCode(), text.String()
 }
 
-// serves runs a daemon until it answers, and returns how it ends as planned.
-func (s *site) serves(answers func() bool, args ...string) (code int, out string) {
-	s.t.Helper()
-	cmd, text := s.command(args...)
+// runDaemon starts a daemon, waits until it is ready, and shuts it down with SIGTERM. It returns
+// the exit code and the output.
+func (p *pageTest) runDaemon(isReady func() bool, args ...string) (code int, out string) {
+	p.t.Helper()
+	cmd, text := p.command(args...)
 	if err := cmd.Start(); err != nil {
-		s.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	ended := make(chan struct{})
 	go func() {
-		_ = cmd.Wait() // its exit code is looked at
+		_ = cmd.Wait() // the exit code is returned below
 		close(ended)
 	}()
-	late := time.After(patience)
-	for !answers() {
+	timeout := time.After(startTimeout)
+	for !isReady() {
 		select {
 		case <-ended:
 			return cmd.ProcessState.ExitCode(), text.String()
-		case <-late:
+		case <-timeout:
 			_ = cmd.Process.Kill()
 			<-ended
-			s.t.Fatalf("it does not serve: %s", text)
+			p.t.Fatalf("the daemon is not ready in time: %s", text)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -224,12 +228,12 @@
 	return cmd.ProcessState.ExitCode(), text.String()
 }
 
-// ready reports whether the daemon on the platform takes customers.
-func (s *site) ready() bool {
+// platformDaemonReady reports whether the daemon on the emulated platform accepts customers.
+func (p *pageTest) platformDaemonReady() bool {
 	var settings struct{ Listen struct{ Readiness string } }
-	raw, err := os.ReadFile(filepath.Join(s.dir, "settings.json"))
+	raw, err := os.ReadFile(filepath.Join(p.dir, "settings.json"))
 	if err != nil || json.Unmarshal(raw, &settings) != nil {
-		s.t.Fatalf("settings %s: %v", raw, err)
+		p.t.Fatalf("settings %s: %v", raw, err)
 	}
 	res, err := http.Get("http://" + settings.Listen.Readiness + "/readiness")
 	if err != nil {
@@ -239,9 +243,9 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// listens reports whether the entry of entry.ini takes callers.
-func (s *site) listens() bool {
-	address := regexp.MustCompile(`callers = (\S+)`).FindStringSubmatch(s.entryFile())[1]
+// instanceListens reports whether the daemon configured by entry.ini accepts callers.
+func (p *pageTest) instanceListens() bool {
+	address := regexp.MustCompile(`callers = (\S+)`).FindStringSubmatch(p.instanceConfigFile())[1]
 	c, err := net.Dial("tcp4", address)
 	if err != nil {
 		return false
@@ -250,40 +254,41 @@
 	return true
 }
 
-func (s *site) entryFile() string {
-	raw, err := os.ReadFile(filepath.Join(s.dir, "entry.ini"))
+func (p *pageTest) instanceConfigFile() string {
+	raw, err := os.ReadFile(filepath.Join(p.dir, "entry.ini"))
 	if err != nil {
-		s.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	return string(raw)
 }
 
-// revision is the number of the settings in force.
-func (s *site) revision() string {
-	s.t.Helper()
-	_, out := s.run("sedgehatch", "settings", "history", "--limit", "1")
+// currentRevision returns the number of the revision of settings in force.
+func (p *pageTest) currentRevision() string {
+	p.t.Helper()
+	_, out := p.run("sedgehatch", "settings", "history", "--limit", "1")
 	fields := strings.Fields(regexp.MustCompile(`(?m)^\d+ .*$`).FindString(out))
 	if len(fields) == 0 {
-		s.t.Fatalf("no revision in %s", out)
+		p.t.Fatalf("no revision in %s", out)
 	}
 	return fields[0]
 }
 
-// arguments are those of a command of the pages, for this site.
-func (s *site) arguments(command string) []string {
-	args := words(s.t, command)
+// commandArgs returns the words of a command in the pages, with the placeholders replaced and
+// extraArgs added.
+func (p *pageTest) commandArgs(command string) []string {
+	args := splitCommand(p.t, command)
 	for i, word := range args {
-		if by, stands := s.stands[word]; stands {
-			args[i] = by
+		if value, isPlaceholder := p.placeholders[word]; isPlaceholder {
+			args[i] = value
 		}
 		if i > 0 && args[i-1] == "--base" {
-			args[i] = s.revision()
+			args[i] = p.currentRevision()
 		}
 		if i > 0 && args[i-1] == "rollback" {
 			args[i] = "1"
 		}
 	}
-	for _, a := range added {
+	for _, a := range extraArgs {
 		if strings.HasPrefix(command, a.prefix) {
 			args = append(args, a.args...)
 		}
@@ -291,31 +296,31 @@
 	return args
 }
 
-// TestPages runs every command that README and OPERATIONS show, as written there: by the
-// programs built from this checkout, in its root. What stands for a file, a session or a
-// revision is replaced, and what takes long is cut short.
+// TestPages runs every command in README and OPERATIONS as written there, with the programs
+// built from this checkout and in its root directory. Placeholders for files, sessions and
+// revisions are replaced, and commands that take long are shortened.
 func TestPages(t *testing.T) {
 	t.Chdir("..")
-	s := newSite(t)
-	commands := documented(t)
+	p := newPageTest(t)
+	commands := documentedCommands(t)
 	if len(commands) < 20 {
-		t.Fatalf("only %d commands are found: %q", len(commands), commands)
+		t.Fatalf("found only %d commands: %q", len(commands), commands)
 	}
 	for _, command := range commands {
-		if command == runsItself {
+		if command == testCommand {
 			continue
 		}
 		t.Run(command, func(t *testing.T) {
-			s.t = t
+			p.t = t
 			var code int
 			var out string
-			switch args := s.arguments(command); command {
+			switch args := p.commandArgs(command); command {
 			case "sedgehatchd platform":
-				code, out = s.serves(s.ready, args...)
+				code, out = p.runDaemon(p.platformDaemonReady, args...)
 			case "sedgehatchd --config entry.ini":
-				code, out = s.serves(s.listens, args...)
+				code, out = p.runDaemon(p.instanceListens, args...)
 			default:
-				code, out = s.run(args...)
+				code, out = p.run(args...)
 			}
 			if code != ExitComplete {
 				t.Errorf("exit %d: %s", code, out)
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -22,29 +22,29 @@
 )
 
 func settingsCommand() *cli.Command {
-	path := []cli.Flag{
+	pathFlags := []cli.Flag{
 		&cli.StringFlag{Name: "region"}, &cli.StringFlag{Name: "zone"},
 		&cli.StringFlag{Name: "service"}, &cli.StringFlag{Name: "caller-name"},
 	}
-	change := append(platformFlags(), append(callerFlags(),
-		&cli.Uint64Flag{Name: "base", Usage: "only if revision `N` is still in force"},
-		&cli.DurationFlag{Name: "wait", Usage: "wait so long until it is in force on every entry", Value: 7 * time.Second},
+	changeFlags := append(platformFlags(), append(clientFlags(),
+		&cli.Uint64Flag{Name: "base", Usage: "fail unless revision `N` is still in force"},
+		&cli.DurationFlag{Name: "wait", Usage: "how long to wait until the change is in force on all instances", Value: 7 * time.Second},
 	)...)
 	return &cli.Command{
-		Name: "settings", Usage: "read and change the tree of settings",
-		Description: "A NODE is fleet, or 'region NAME', 'zone NAME', 'service NAME' or 'caller NAME' in quotes.",
+		Name: "settings", Usage: "read and change the settings",
+		Description: "A NODE of the settings is fleet, or 'region NAME', 'zone NAME', 'service NAME' or 'caller NAME' in quotes.",
 		Commands: []*cli.Command{
-			{Name: "get", Usage: "print the value of KEY in force somewhere", ArgsUsage: "KEY", Flags: append(platformFlags(), path...), Action: settingsGet},
-			{Name: "explain", Usage: "print every value in force somewhere, and the level that it came from", Flags: append(platformFlags(), path...), Action: settingsExplain},
-			{Name: "set", Usage: "set KEY at NODE", ArgsUsage: "NODE KEY VALUE", Flags: change, Action: settingsSet},
-			{Name: "unset", Usage: "let NODE inherit KEY again", ArgsUsage: "NODE KEY", Flags: change, Action: settingsUnset},
-			{Name: "diff", Usage: "print what FILE would change", ArgsUsage: "FILE", Flags: platformFlags(), Action: settingsDiff},
-			{Name: "validate", Usage: "check FILE in full", ArgsUsage: "FILE", Action: settingsValidate},
-			{Name: "apply", Usage: "make FILE the next revision", ArgsUsage: "FILE", Flags: change, Action: settingsApply},
+			{Name: "get", Usage: "print the value of KEY in force for a region, zone, service and caller", ArgsUsage: "KEY", Flags: append(platformFlags(), pathFlags...), Action: settingsGet},
+			{Name: "explain", Usage: "print all values in force for a region, zone, service and caller, with the level that sets them", Flags: append(platformFlags(), pathFlags...), Action: settingsExplain},
+			{Name: "set", Usage: "set KEY at NODE", ArgsUsage: "NODE KEY VALUE", Flags: changeFlags, Action: settingsSet},
+			{Name: "unset", Usage: "let NODE inherit KEY again", ArgsUsage: "NODE KEY", Flags: changeFlags, Action: settingsUnset},
+			{Name: "diff", Usage: "print the changes that FILE would make", ArgsUsage: "FILE", Flags: platformFlags(), Action: settingsDiff},
+			{Name: "validate", Usage: "check FILE and print all errors in it", ArgsUsage: "FILE", Action: settingsValidate},
+			{Name: "apply", Usage: "apply FILE as the next revision", ArgsUsage: "FILE", Flags: changeFlags, Action: settingsApply},
 			{Name: "history", Usage: "list the last revisions", Flags: append(platformFlags(), &cli.IntFlag{Name: "limit", Value: 20}), Action: settingsHistory},
-			{Name: "rollback", Usage: "make the settings of an old REVISION the next one", ArgsUsage: "REVISION", Flags: change, Action: settingsRollback},
-			{Name: "watch", Usage: "print each revision as it is accepted", Flags: append(platformFlags(), &cli.DurationFlag{Name: "for", Usage: "how long; 0 is until interrupted"}), Action: settingsWatch},
-			{Name: "keys", Usage: "list every setting, with its default and what is allowed", Action: settingsKeys},
+			{Name: "rollback", Usage: "apply the settings of an earlier REVISION as the next one", ArgsUsage: "REVISION", Flags: changeFlags, Action: settingsRollback},
+			{Name: "watch", Usage: "print each revision as it is accepted", Flags: append(platformFlags(), &cli.DurationFlag{Name: "for", Usage: "how long to watch; 0 is until interrupted"}), Action: settingsWatch},
+			{Name: "keys", Usage: "list all settings with their defaults and allowed values", Action: settingsKeys},
 		},
 	}
 }
@@ -55,96 +55,96 @@
 	}}
 }
 
-func store(c *cli.Command) *settings.Store {
-	return settings.NewStore(platformOf(c), func() int64 { return time.Now().UnixMilli() })
+func settingsStore(c *cli.Command) *settings.Store {
+	return settings.NewStore(platformClient(c), func() int64 { return time.Now().UnixMilli() })
 }
 
-func platformOf(c *cli.Command) *kv.Client {
+func platformClient(c *cli.Command) *kv.Client {
 	return kv.NewClient(c.String("platform"), nil, nil)
 }
 
-func pathOf(c *cli.Command) settings.Path {
+func settingsPath(c *cli.Command) settings.Path {
 	return settings.Path{Region: c.String("region"), Zone: c.String("zone"), Service: c.String("service"), Caller: c.String("caller-name")}
 }
 
-// arguments returns exactly n arguments.
-func arguments(c *cli.Command, names ...string) ([]string, error) {
+// exactArgs returns the arguments of a command, or an error unless there is one for each name.
+func exactArgs(c *cli.Command, names ...string) ([]string, error) {
 	if c.Args().Len() != len(names) {
-		return nil, failure.Field(failure.InvalidInput, "arguments", "%s takes %s", c.Name, strings.Join(names, " "))
+		return nil, failure.Field(failure.InvalidInput, "arguments", "%s requires the arguments %s", c.Name, strings.Join(names, " "))
 	}
 	return c.Args().Slice(), nil
 }
 
 func settingsGet(_ context.Context, c *cli.Command) error {
-	args, err := arguments(c, "KEY")
+	args, err := exactArgs(c, "KEY")
 	if err != nil {
 		return err
 	}
 	if !lo.ContainsBy(settings.Schema(), func(d settings.Definition) bool { return d.Key == args[0] }) {
-		return failure.Field(failure.InvalidInput, args[0], "is no setting; see sedgehatch settings keys")
+		return failure.Field(failure.InvalidInput, args[0], "is not a setting; see sedgehatch settings keys")
 	}
-	_, tree, _, err := store(c).Load()
+	_, tree, _, err := settingsStore(c).Load()
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(c.Root().Writer, tree.Get(pathOf(c), args[0]).Text)
+	fmt.Fprintln(c.Root().Writer, tree.Get(settingsPath(c), args[0]).Text)
 	return nil
 }
 
 func settingsExplain(_ context.Context, c *cli.Command) error {
-	head, tree, _, err := store(c).Load()
+	revision, tree, _, err := settingsStore(c).Load()
 	if err != nil {
 		return err
 	}
 	out := c.Root().Writer
-	fmt.Fprintf(out, "revision %d\n", head.Number)
+	fmt.Fprintf(out, "revision %d\n", revision.Number)
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer func() { _ = t.Flush() }()
 	for _, d := range settings.Schema() {
-		v := tree.Get(pathOf(c), d.Key)
+		v := tree.Get(settingsPath(c), d.Key)
 		fmt.Fprintf(t, "%s\t%s %s\tfrom %s\n", d.Key, v.Text, d.Unit, v.From)
 	}
 	return nil
 }
 
 func settingsSet(ctx context.Context, c *cli.Command) error {
-	args, err := arguments(c, "NODE", "KEY", "VALUE")
+	args, err := exactArgs(c, "NODE", "KEY", "VALUE")
 	if err != nil {
 		return err
 	}
-	return changeKey(ctx, c, args[0], args[1], &args[2])
+	return updateKey(ctx, c, args[0], args[1], &args[2])
 }
 
 func settingsUnset(ctx context.Context, c *cli.Command) error {
-	args, err := arguments(c, "NODE", "KEY")
+	args, err := exactArgs(c, "NODE", "KEY")
 	if err != nil {
 		return err
 	}
-	return changeKey(ctx, c, args[0], args[1], nil)
+	return updateKey(ctx, c, args[0], args[1], nil)
 }
 
-func changeKey(ctx context.Context, c *cli.Command, nodeText, key string, value *string) error {
+func updateKey(ctx context.Context, c *cli.Command, nodeText, key string, value *string) error {
 	node, err := settings.ParseNode(nodeText)
 	if err != nil {
 		return err
 	}
-	return change(ctx, c, func(t *settings.Tree) (*settings.Tree, []error) { return t.With(node, key, value) })
+	return updateSettings(ctx, c, func(t *settings.Tree) (*settings.Tree, []error) { return t.With(node, key, value) })
 }
 
-// change makes the next revision, prints what it changed, and waits until it
-// is in force everywhere.
-func change(ctx context.Context, c *cli.Command, edit func(*settings.Tree) (*settings.Tree, []error)) error {
-	head, diff, err := store(c).Update(c.Uint64("base"), author(), edit)
+// updateSettings stores the next revision, which edit derives from the current settings. It
+// prints the changes and waits until the revision is in force on all instances.
+func updateSettings(ctx context.Context, c *cli.Command, edit func(*settings.Tree) (*settings.Tree, []error)) error {
+	revision, diff, err := settingsStore(c).Update(c.Uint64("base"), currentUser(), edit)
 	if err != nil {
 		return err
 	}
 	out := c.Root().Writer
-	fmt.Fprintf(out, "revision %d accepted\n", head.Number)
+	fmt.Fprintf(out, "revision %d accepted\n", revision.Number)
 	printDiff(out, diff)
-	return inForce(ctx, c, head.Number)
+	return waitInForce(ctx, c, revision.Number)
 }
 
-func author() string {
+func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
@@ -156,12 +156,12 @@
 		fmt.Fprintln(w, "nothing changes")
 	}
 	for _, d := range diff {
-		fmt.Fprintf(w, "[%s] %s: %s -> %s%s\n", d.Node, d.Key, lo.CoalesceOrEmpty(d.Before, "(inherited)"), lo.CoalesceOrEmpty(d.After, "(inherited)"), reach(d.Node))
+		fmt.Fprintf(w, "[%s] %s: %s -> %s%s\n", d.Node, d.Key, lo.CoalesceOrEmpty(d.Before, "(inherited)"), lo.CoalesceOrEmpty(d.After, "(inherited)"), affectedServices(d.Node))
 	}
 }
 
-// reach says what a change at a node reaches.
-func reach(n settings.Node) string {
+// affectedServices describes to which services a change at a node applies.
+func affectedServices(n settings.Node) string {
 	switch n.Level {
 	case settings.LevelFleet:
 		return "  (every service, where no lower level overrides it)"
@@ -172,39 +172,39 @@
 	}
 }
 
-// pollForce is how often the entries are asked for their revision.
-const pollForce = 100 * time.Millisecond
+// revisionPollInterval is the interval at which the revisions of the instances are polled.
+const revisionPollInterval = 100 * time.Millisecond
 
-// inForce waits until every entry that is alive has a revision, and says when
-// that was or who is behind.
-func inForce(ctx context.Context, c *cli.Command, revision uint64) error {
+// waitInForce waits until a revision is in force on all running instances, for at most the time
+// of the flag wait. It prints how long that took, or the instances with an older revision.
+func waitInForce(ctx context.Context, c *cli.Command, revision uint64) error {
 	wait := c.Duration("wait")
 	cl, err := newClient(c)
 	if err != nil || wait == 0 {
 		return err
 	}
 	defer cl.Close()
-	began := time.Now()
-	behind := []string{"no entry answers"}
-	for time.Since(began) < wait {
-		if behind = behindAt(ctx, cl, revision); len(behind) == 0 {
-			fmt.Fprintf(c.Root().Writer, "in force on every entry after %v\n", time.Since(began).Round(time.Millisecond))
+	start := time.Now()
+	outdated := []string{"no entry answers"}
+	for time.Since(start) < wait {
+		if outdated = outdatedInstances(ctx, cl, revision); len(outdated) == 0 {
+			fmt.Fprintf(c.Root().Writer, "in force on every entry after %v\n", time.Since(start).Round(time.Millisecond))
 			return nil
 		}
-		time.Sleep(pollForce)
+		time.Sleep(revisionPollInterval)
 	}
-	fmt.Fprintf(c.Root().Writer, "not yet in force after %v on: %s\n", wait, strings.Join(behind, ", "))
-	return exit{ExitPending}
+	fmt.Fprintf(c.Root().Writer, "not yet in force after %v on: %s\n", wait, strings.Join(outdated, ", "))
+	return exitError{ExitPending}
 }
 
-func behindAt(ctx context.Context, cl *client.Client, revision uint64) []string {
+func outdatedInstances(ctx context.Context, cl *client.Client, revision uint64) []string {
 	list, err := cl.Instances(ctx)
 	if err != nil {
 		return []string{"no entry answers"}
 	}
 	return lo.FilterMap(list, func(i api.InstanceStatus, _ int) (string, bool) {
-		up := i.State == "alive" || i.State == "suspect" || i.State == "leaving"
-		return i.Instance, up && i.Revision < revision
+		running := i.State == "alive" || i.State == "suspect" || i.State == "leaving"
+		return i.Instance, running && i.Revision < revision
 	})
 }
 
@@ -215,13 +215,13 @@
 	}
 	tree, problems := settings.Parse(string(raw))
 	if len(problems) > 0 {
-		return nil, failure.Field(failure.InvalidInput, name, "%s", strings.Join(lo.Map(problems, func(p error, _ int) string { return wordError(p) }), "\n  "))
+		return nil, failure.Field(failure.InvalidInput, name, "%s", strings.Join(lo.Map(problems, func(p error, _ int) string { return formatError(p) }), "\n  "))
 	}
 	return tree, nil
 }
 
 func settingsDiff(_ context.Context, c *cli.Command) error {
-	args, err := arguments(c, "FILE")
+	args, err := exactArgs(c, "FILE")
 	if err != nil {
 		return err
 	}
@@ -229,7 +229,7 @@
 	if err != nil {
 		return err
 	}
-	_, before, _, err := store(c).Load()
+	_, before, _, err := settingsStore(c).Load()
 	if err != nil {
 		return err
 	}
@@ -238,7 +238,7 @@
 }
 
 func settingsValidate(_ context.Context, c *cli.Command) error {
-	args, err := arguments(c, "FILE")
+	args, err := exactArgs(c, "FILE")
 	if err != nil {
 		return err
 	}
@@ -250,7 +250,7 @@
 }
 
 func settingsApply(ctx context.Context, c *cli.Command) error {
-	args, err := arguments(c, "FILE")
+	args, err := exactArgs(c, "FILE")
 	if err != nil {
 		return err
 	}
@@ -258,27 +258,27 @@
 	if err != nil {
 		return err
 	}
-	return change(ctx, c, func(*settings.Tree) (*settings.Tree, []error) { return tree, nil })
+	return updateSettings(ctx, c, func(*settings.Tree) (*settings.Tree, []error) { return tree, nil })
 }
 
 func settingsRollback(ctx context.Context, c *cli.Command) error {
-	args, err := arguments(c, "REVISION")
+	args, err := exactArgs(c, "REVISION")
 	if err != nil {
 		return err
 	}
 	revision, err := strconv.ParseUint(args[0], 10, 64)
 	if err != nil {
-		return failure.Field(failure.InvalidInput, "REVISION", "is a number")
+		return failure.Field(failure.InvalidInput, "REVISION", "must be a number")
 	}
-	old, err := store(c).Revision(revision)
+	old, err := settingsStore(c).Revision(revision)
 	if err != nil {
 		return err
 	}
-	return change(ctx, c, func(*settings.Tree) (*settings.Tree, []error) { return settings.Parse(old.INI) })
+	return updateSettings(ctx, c, func(*settings.Tree) (*settings.Tree, []error) { return settings.Parse(old.INI) })
 }
 
 func settingsHistory(_ context.Context, c *cli.Command) error {
-	list, err := store(c).History(c.Int("limit"))
+	list, err := settingsStore(c).History(c.Int("limit"))
 	if err != nil {
 		return err
 	}
@@ -291,8 +291,8 @@
 	return nil
 }
 
-// watchStep is how long one watch at the platform waits.
-const watchStep = 10 * time.Second
+// watchTimeout is the maximum duration of one watch request to the platform.
+const watchTimeout = 10 * time.Second
 
 func settingsWatch(ctx context.Context, c *cli.Command) error {
 	if d := c.Duration("for"); d > 0 {
@@ -300,14 +300,14 @@
 		ctx, cancel = context.WithTimeout(ctx, d)
 		defer cancel()
 	}
-	p, version := platformOf(c), uint64(0)
-	before := settings.Empty()
+	platform, version := platformClient(c), uint64(0)
+	previous := settings.Empty()
 	for ctx.Err() == nil {
-		step := watchStep
-		if until, bounded := ctx.Deadline(); bounded {
-			step = min(step, time.Until(until))
+		timeout := watchTimeout
+		if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
+			timeout = min(timeout, time.Until(deadline))
 		}
-		entry, err := p.Watch(settings.HeadKey, version, max(step, time.Millisecond))
+		entry, err := platform.Watch(settings.HeadKey, version, max(timeout, time.Millisecond))
 		if err != nil {
 			return err
 		}
@@ -315,13 +315,13 @@
 			continue
 		}
 		version = entry.Version
-		head, tree, err := settings.DecodeRevision(entry.Value)
+		revision, tree, err := settings.DecodeRevision(entry.Value)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.Root().Writer, "revision %d by %s\n", head.Number, head.Author)
-		printDiff(c.Root().Writer, before.Diff(tree))
-		before = tree
+		fmt.Fprintf(c.Root().Writer, "revision %d by %s\n", revision.Number, revision.Author)
+		printDiff(c.Root().Writer, previous.Diff(tree))
+		previous = tree
 	}
 	return nil
 }
--- a/cli/submit.go
+++ b/cli/submit.go
@@ -17,7 +17,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// jobFile is the JSON that submit reads.
+// jobFile is the JSON input of the command submit.
 type jobFile struct {
 	Service    string     `json:"service"`
 	Repeatable bool       `json:"repeatable"`
@@ -27,10 +27,10 @@
 
 func submitCommand() *cli.Command {
 	return &cli.Command{
-		Name: "submit", Usage: "submit a job and wait for its fate",
+		Name: "submit", Usage: "submit a job and wait for its final outcome (fate)",
 		ArgsUsage:   "FILE (JSON; - is standard input)",
 		Description: `A job: {"service":"desk","deadline_ms":5000,"tasks":[{"cpu":1,"run_ms":200,"payload":{}}]}`,
-		Flags:       append(callerFlags(), jsonFlag()),
+		Flags:       append(clientFlags(), jsonFlag()),
 		Action:      submit,
 	}
 }
@@ -49,10 +49,10 @@
 	if err != nil {
 		return err
 	}
-	if terminal(c.Root().ErrWriter) {
-		watching, stop := context.WithCancel(ctx)
+	if isTerminal(c.Root().ErrWriter) {
+		progressCtx, stop := context.WithCancel(ctx)
 		defer stop()
-		go progress(watching, c.Root().ErrWriter, cl, sub.Key())
+		go showProgress(progressCtx, c.Root().ErrWriter, cl, sub.Key())
 	}
 	answer, err := sub.Submit(ctx)
 	if client.HomeEnded(&answer) || failure.Is(err, failure.SessionEnded) || failure.Is(err, failure.Stopping) {
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	return tell(c, answer)
+	return outputAnswer(c, answer)
 }
 
 func readJob(name string, stdin io.Reader) (client.Job, error) {
@@ -70,7 +70,7 @@
 	var err error
 	switch name {
 	case "":
-		return client.Job{}, failure.Field(failure.InvalidInput, "FILE", "names no job; - is standard input")
+		return client.Job{}, failure.Field(failure.InvalidInput, "FILE", "is missing: name a file, or - for standard input")
 	case "-":
 		raw, err = io.ReadAll(io.LimitReader(stdin, api.MaxBody))
 	default:
@@ -89,7 +89,7 @@
 	}, nil
 }
 
-func terminal(w io.Writer) bool {
+func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok {
 		return false
@@ -98,17 +98,17 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// progressEvery is how often the progress of a job is asked for.
-const progressEvery = 200 * time.Millisecond
+// progressInterval is the interval at which the progress of a job is polled.
+const progressInterval = 200 * time.Millisecond
 
-// progress shows how many tasks are over until ctx ends.
-func progress(ctx context.Context, w io.Writer, cl *client.Client, key fate.Key) {
+// showProgress displays how many tasks of a job have ended, until ctx is cancelled.
+func showProgress(ctx context.Context, w io.Writer, cl *client.Client, key fate.Key) {
 	for {
 		select {
 		case <-ctx.Done():
 			fmt.Fprint(w, "\r\033[K")
 			return
-		case <-time.After(progressEvery):
+		case <-time.After(progressInterval):
 		}
 		if a, err := cl.State(ctx, key, 0); err == nil && a.Total > 0 {
 			fmt.Fprintf(w, "\r%d of %d tasks", a.Done, a.Total)
@@ -116,8 +116,9 @@
 	}
 }
 
-// tell prints an answer, and ends with the exit code of its fate.
-func tell(c *cli.Command, a api.Answer) error {
+// outputAnswer prints an answer and returns an exitError with the exit code of its fate, or nil
+// if the job is complete.
+func outputAnswer(c *cli.Command, a api.Answer) error {
 	out := c.Root().Writer
 	if c.Bool("json") {
 		if err := printJSON(out, a); err != nil {
@@ -126,8 +127,8 @@
 	} else {
 		printAnswer(out, &a)
 	}
-	if code := exitOf[a.Fate]; code != ExitComplete {
-		return exit{code}
+	if code := exitCodes[a.Fate]; code != ExitComplete {
+		return exitError{code}
 	}
 	return nil
 }
@@ -151,56 +152,56 @@
 }
 
 func jobCommand() *cli.Command {
-	key := []cli.Flag{
+	keyFlags := []cli.Flag{
 		&cli.StringFlag{Name: "session", Usage: "the `TOKEN` of the session", Required: true},
 		&cli.Uint64Flag{Name: "sequence", Usage: "the `NUMBER` of the job in its session", Required: true},
 		&cli.Uint32Flag{Name: "generation", Usage: "the `NUMBER` of the job's generation"},
 		jsonFlag(),
 	}
 	return &cli.Command{
-		Name: "job", Usage: "ask after a job, or cancel it",
+		Name: "job", Usage: "query or cancel a job",
 		Commands: []*cli.Command{
 			{
-				Name: "state", Usage: "print what is known of a job",
-				Flags: append(append(callerFlags(), key...), &cli.DurationFlag{Name: "wait", Usage: "how long to wait for its fate"}),
+				Name: "state", Usage: "print the state of a job",
+				Flags: append(append(clientFlags(), keyFlags...), &cli.DurationFlag{Name: "wait", Usage: "how long to wait for the fate of the job"}),
 				Action: func(ctx context.Context, c *cli.Command) error {
 					return withClient(c, func(cl *client.Client) (api.Answer, error) {
-						return cl.State(ctx, keyOf(c), c.Duration("wait"))
+						return cl.State(ctx, jobKey(c), c.Duration("wait"))
 					})
 				},
 			},
 			{
-				Name: "cancel", Usage: "end a job early and print its fate",
-				Flags: append(callerFlags(), key...),
+				Name: "cancel", Usage: "cancel a job and print its fate",
+				Flags: append(clientFlags(), keyFlags...),
 				Action: func(ctx context.Context, c *cli.Command) error {
-					return withClient(c, func(cl *client.Client) (api.Answer, error) { return cl.Cancel(ctx, keyOf(c)) })
+					return withClient(c, func(cl *client.Client) (api.Answer, error) { return cl.Cancel(ctx, jobKey(c)) })
 				},
 			},
 		},
 	}
 }
 
-func keyOf(c *cli.Command) fate.Key {
+func jobKey(c *cli.Command) fate.Key {
 	return fate.Key{Session: fate.Session(c.String("session")), Sequence: c.Uint64("sequence"), Generation: c.Uint32("generation")}
 }
 
-func withClient(c *cli.Command, ask func(*client.Client) (api.Answer, error)) error {
+func withClient(c *cli.Command, request func(*client.Client) (api.Answer, error)) error {
 	cl, err := newClient(c)
 	if err != nil {
 		return err
 	}
 	defer cl.Close()
-	answer, err := ask(cl)
+	answer, err := request(cl)
 	if err != nil {
 		return err
 	}
-	return tell(c, answer)
+	return outputAnswer(c, answer)
 }
 
 func instancesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "instances", Usage: "list the entries as one of them sees them",
-		Flags: append(callerFlags(), jsonFlag()),
+		Name: "instances", Usage: "list all instances as seen by one of them",
+		Flags: append(clientFlags(), jsonFlag()),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			cl, err := newClient(c)
 			if err != nil {
--- a/cmd/sedgehatch/main.go
+++ b/cmd/sedgehatch/main.go
@@ -1,4 +1,4 @@
-// Command sedgehatch is the command line of operators and callers.
+// Command sedgehatch is the command-line tool for operators and callers.
 package main
 
 import (
--- a/cmd/sedgehatchd/main.go
+++ b/cmd/sedgehatchd/main.go
@@ -1,4 +1,4 @@
-// Command sedgehatchd is one entry instance.
+// Command sedgehatchd is the daemon: each process is one instance of sedgehatch.
 package main
 
 import (
--- a/fixedseed/fixedseed.go
+++ b/fixedseed/fixedseed.go
@@ -1,4 +1,5 @@
-// Package fixedseed makes tests that draw their inputs draw the same ones each time.
+// Package fixedseed runs property-based tests with a fixed random seed, so that they check
+// the same inputs each time.
 package fixedseed
 
 import (
@@ -7,9 +8,9 @@
 	"testing"
 )
 
-// Run runs the tests of a package whose properties rapid checks, with a seed of its own;
-// -rapid.seed on the command line goes first. The package has to import rapid. It returns
-// the exit code.
+// Run runs the tests of a package that uses rapid and returns the exit code. Rapid uses the
+// given seed unless -rapid.seed is set on the command line. The package must import rapid,
+// which registers that flag.
 func Run(m *testing.M, seed uint64) int {
 	if err := flag.Set("rapid.seed", strconv.FormatUint(seed, 10)); err != nil {
 		panic(err)
