--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -22,7 +22,7 @@
 
 func startFleet(t *testing.T) *experiment.Cluster {
 	t.Helper()
-	c, err := experiment.StartCluster(experiment.Spec{Zones: []experiment.ZoneSpec{{Name: "a", Entries: 2, Upstreams: 2}}})
+	c, err := experiment.StartCluster(experiment.ClusterSpec{Zones: []experiment.ZoneSpec{{Name: "a", Entries: 2, Upstreams: 2}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 // instance.
 func TestExitCodes(t *testing.T) {
 	c := startFleet(t)
-	entry := "--entry=" + c.Addresses()[0]
+	entry := "--entry=" + c.CallerAddresses()[0]
 	for _, test := range []struct {
 		text string
 		code int
@@ -78,7 +78,7 @@
 func TestSettingsCommands(t *testing.T) {
 	c := startFleet(t)
 	platformFlag := []string{"--platform=" + c.Platform.Address()}
-	changeFlags := append(platformFlag, "--entry="+c.Addresses()[0])
+	changeFlags := append(platformFlag, "--entry="+c.CallerAddresses()[0])
 	expect := func(want int, contains string, args ...string) {
 		t.Helper()
 		code, out, errOut := run(args...)
--- a/cli/pages_test.go
+++ b/cli/pages_test.go
@@ -113,7 +113,7 @@
 	}
 	p.env = append(os.Environ(),
 		"PATH="+p.binDir+string(os.PathListSeparator)+os.Getenv("PATH"),
-		"SEDGEHATCH_ENTRY="+p.cluster.Addresses()[0], "SEDGEHATCH_PLATFORM="+p.cluster.Platform.Address(),
+		"SEDGEHATCH_ENTRY="+p.cluster.CallerAddresses()[0], "SEDGEHATCH_PLATFORM="+p.cluster.Platform.Address(),
 		"SEDGEHATCH_CONFIG="+p.write("settings.json", p.platformSettings()),
 	)
 	job := p.write("job.json", `{"service":"desk","deadline_ms":5000,"tasks":[{"cpu":1,"run_ms":20,"payload":{}}]}`)
--- a/experiment/throughput_test.go
+++ b/experiment/throughput_test.go
@@ -20,7 +20,7 @@
 // idle is a fleet of one entry, or two, whose upstreams answer at once.
 func idle(b *testing.B, entries int) *Cluster {
 	b.Helper()
-	c, err := StartCluster(Spec{Zones: []ZoneSpec{{"a", entries, 8}}, Slots: 64})
+	c, err := StartCluster(ClusterSpec{Zones: []ZoneSpec{{"a", entries, 8}}, Slots: 64})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 func BenchmarkDirect(b *testing.B) {
 	c := idle(b, 1)
 	cl := upstream.NewClient("u", c.Upstreams[0].Address(), 64, nil)
-	defer cl.CloseIdleConnections()
+	defer cl.Close()
 	task := &fate.Task{}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
@@ -89,7 +89,7 @@
 		b.Run(name, func(b *testing.B) {
 			c := idle(b, entries)
 			direct := upstream.NewClient("u", c.Upstreams[0].Address(), 4, nil)
-			defer direct.CloseIdleConnections()
+			defer direct.Close()
 			cl, err := c.Client("desk")
 			if err != nil {
 				b.Fatal(err)
@@ -144,10 +144,10 @@
 // TestBounds holds the allocations and messages of a task, callers and
 // upstreams included, in jobs of 50 on two entries.
 func TestBounds(t *testing.T) {
-	c := small(t, func(s *Spec) {
+	c := small(t, func(s *ClusterSpec) {
 		s.Zones = []ZoneSpec{{"a", 2, 8}}
 		s.Slots = 64
-		s.Heartbeat = 500 * time.Millisecond
+		s.HeartbeatInterval = 500 * time.Millisecond
 	})
 	cl := callers(t, c)
 	const perJob, jobs = 50, 40
