--- a/cli/bench.go
+++ b/cli/bench.go
@@ -71,7 +71,7 @@
 
 func bench(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return failure.Field(failure.InvalidInput, "SCENARIO.ini", "is missing: name at least one scenario")
+		return failure.Field(failure.InvalidInput, "SCENARIO.ini", "is missing; name at least one scenario")
 	}
 	variants := experiment.Variants{
 		QueueOrders: c.StringSlice("policy"), Placements: c.StringSlice("placing"), Witnesses: c.StringSlice("witness"),
--- a/cli/submit.go
+++ b/cli/submit.go
@@ -56,6 +56,8 @@
 	}
 	answer, err := sub.Submit(ctx)
 	if client.HomeEnded(&answer) || failure.Is(err, failure.SessionEnded) || failure.Is(err, failure.Stopping) {
+		// The instance or the session ended without running the job, so it is submitted
+		// again in another session.
 		cl.Leave(sub)
 		answer, err = cl.Do(ctx, job)
 	}
@@ -70,7 +72,7 @@
 	var err error
 	switch name {
 	case "":
-		return client.Job{}, failure.Field(failure.InvalidInput, "FILE", "is missing: name a file, or - for standard input")
+		return client.Job{}, failure.Field(failure.InvalidInput, "FILE", "is missing; name a file, or - for standard input")
 	case "-":
 		raw, err = io.ReadAll(io.LimitReader(stdin, api.MaxBody))
 	default:
--- a/lab/bound.go
+++ b/lab/bound.go
@@ -12,11 +12,11 @@
 	// simulated time.
 	boundPeriod  = 250 * time.Millisecond
 	boundPeriods = int((workloadLength + customerTimeout) / boundPeriod)
-	// The search first tries the same price for all periods from the start of the peak
-	// until at most maxTail after its end, and 0 otherwise: all multiples of priceStep up
-	// to maxPrice. It then changes the price of each single period by refinementStep where
-	// that lowers the bound, refinementRounds times. The unit of maxPrice, priceStep and
-	// refinementStep is worthPerCoreSecond.
+	// The search for prices in worthBound has two stages. The first stage uses one price
+	// from the start of the peak period until some time after its end, and 0 otherwise. It
+	// tries all multiples of priceStep up to maxPrice, and times up to maxTail. The second
+	// stage changes the prices of single periods by refinementStep where that lowers the
+	// bound, refinementRounds times. Prices are in units of worthPerCoreSecond.
 	maxPrice         = 2.0
 	priceStep        = 0.25
 	maxTail          = 4 * time.Second
@@ -60,8 +60,9 @@
 	return min(1, bound/total)
 }
 
-// refinePrices changes the price of each period, one after the other, if that lowers the
-// bound. It returns the new bound.
+// refinePrices raises or lowers the price of each period, one after the other, where that
+// lowers the bound. Bound is the current bound, and scale the unit of refinementStep. It
+// returns the new bound.
 func (d *deployment) refinePrices(prices, capacity []float64, bound, scale float64) float64 {
 	for t := range prices {
 		for _, change := range []float64{-refinementStep, refinementStep} {
--- a/lab/deployment.go
+++ b/lab/deployment.go
@@ -53,7 +53,8 @@
 	MaxResubmissions int
 	// CoordinatorsPerZone is the number of coordinators in each zone; 0 means 1. The first
 	// coordinator runs on the same instance as the owner of the zone's group and always
-	// knows its current load. The others know the last load that was reported to them.
+	// knows the current load of that owner. All other loads are known to coordinators only
+	// from reports.
 	CoordinatorsPerZone int
 	// LoadReportInterval is the interval at which owners report their load to
 	// coordinators; 0 means the intervals of the product, zoneReportInterval within a zone
--- a/lab/simulation.go
+++ b/lab/simulation.go
@@ -81,8 +81,9 @@
 	Ingress  ingress.Policy
 }
 
-// simulate simulates a deployment until the last response has been received. The workload
-// starts after one second.
+// simulate simulates a deployment with its workload, which starts after one second. The
+// simulation also covers the time in which customers wait for the last responses and resubmit
+// refused jobs.
 func simulate(d *deployment, seed uint64, p Policies) *simulation {
 	start := time.Unix(1_000_000, 0)
 	sim := &simulation{Simulation: standin.NewSimulation(start, seed), deployment: d, startTime: start, upstreams: map[string]*standin.SimulatedUpstream{}}
@@ -102,8 +103,8 @@
 	sim.reportLoads(true, cmp.Or(d.setup.LoadReportInterval, zoneReportInterval))
 	sim.reportLoads(false, cmp.Or(d.setup.LoadReportInterval, remoteReportInterval))
 	for i, j := range d.jobs {
-		at := sim.instances[j.zone][i%len(sim.instances[j.zone])]
-		sim.AfterFunc(time.Second+j.sentAt, func() { sim.submit(j, at) })
+		to := sim.instances[j.zone][i%len(sim.instances[j.zone])]
+		sim.AfterFunc(time.Second+j.sentAt, func() { sim.submit(j, to) })
 	}
 	sim.AfterFunc(time.Second+faultStart, func() { sim.setFault(true) })
 	sim.AfterFunc(time.Second+faultStart, sim.addUpstreams)
@@ -274,7 +275,7 @@
 		})
 	}
 	for _, id := range e.Polls {
-		if _, o, known := g.pool.PollOrder(g.sim.Now(), id); known {
+		if _, o, found := g.pool.PollOrder(g.sim.Now(), id); found {
 			g.sendHoldOrder(id, o, func(bool) {})
 		}
 	}
@@ -284,12 +285,12 @@
 // deliverResults calls the callbacks of the offers that have returned tasks or have ended.
 func (g *group) deliverResults(e schedule.Effects) {
 	for _, r := range e.Returns {
-		if callbacks, known := g.callbacks[r.Key]; known {
+		if callbacks, found := g.callbacks[r.Key]; found {
 			callbacks.TasksReturned(r, g.pool.Load(g.sim.Now()))
 		}
 	}
 	for _, r := range e.Results {
-		if callbacks, known := g.callbacks[r.Key]; known {
+		if callbacks, found := g.callbacks[r.Key]; found {
 			delete(g.callbacks, r.Key)
 			callbacks.OfferEnded(r, g.pool.Load(g.sim.Now()))
 		}
@@ -323,8 +324,8 @@
 // pollReports requests reports from an upstream, one after the other, as long as it belongs
 // to the pool.
 func (g *group) pollReports(id string) {
-	_, o, known := g.pool.HoldOrder(g.sim.Now(), id)
-	if !known {
+	_, o, found := g.pool.HoldOrder(g.sim.Now(), id)
+	if !found {
 		return
 	}
 	g.sendHoldOrder(id, o, func(ok bool) {
--- a/soak/customer.go
+++ b/soak/customer.go
@@ -146,8 +146,7 @@
 	}
 }
 
-// recordRefusal records that a job was refused without having run. None of its tasks may
-// start after that.
+// recordRefusal records that a job was refused. None of its tasks may start after that.
 func (r *results) recordRefusal(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/soak/unread_test.go
+++ b/soak/unread_test.go
@@ -75,10 +75,10 @@
 			t.Fatal(err)
 		}
 	}
-	var answered sync.WaitGroup
+	var responses sync.WaitGroup
 	for _, j := range jobs {
 		conn := sendJob(t, other, j)
-		answered.Go(func() {
+		responses.Go(func() {
 			defer func() { _ = conn.Close() }()
 			res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || res.StatusCode != http.StatusOK {
@@ -90,7 +90,7 @@
 		waitUntil(t, j.ID+" runs", func() bool { return in.tracker.IsRunning(j.ID) })
 	}
 	paused.signal(syscall.SIGCONT)
-	answered.Wait()
+	responses.Wait()
 	for _, j := range jobs {
 		waitUntil(t, j.ID+" has ended", func() bool { return !in.tracker.IsRunning(j.ID) })
 		if done := in.tracker.DoneTasks(j.ID); done != j.Tasks {
