--- a/cli/settings.go
+++ b/cli/settings.go
@@ -67,7 +67,8 @@
 	return settings.Path{Region: c.String("region"), Zone: c.String("zone"), Service: c.String("service"), Caller: c.String("caller-name")}
 }
 
-// exactArgs returns the arguments of a command, or an error unless there is one for each name.
+// exactArgs returns the arguments of a command. It returns an error unless there is exactly one
+// argument for each name.
 func exactArgs(c *cli.Command, names ...string) ([]string, error) {
 	if c.Args().Len() != len(names) {
 		return nil, failure.Field(failure.InvalidInput, "arguments", "%s requires the arguments %s", c.Name, strings.Join(names, " "))
--- a/lab/deployment.go
+++ b/lab/deployment.go
@@ -24,13 +24,13 @@
 	FailingUpstreams     Fault = "failing"    // all tasks on some upstreams fail
 	SlowUpstreams        Fault = "slow"       // tasks on some upstreams take several times as long
 	StalledUpstreams     Fault = "stalled"    // tasks on some upstreams make no progress
-	LostCalls            Fault = "unanswered" // some calls to all upstreams are executed late and get no response
+	UnansweredCalls      Fault = "unanswered" // some calls to all upstreams are executed late and get no response
 	PartitionedUpstreams Fault = "cut"        // some upstreams are unreachable
 	MixedFaults          Fault = "mixed"
 )
 
 // Faults lists all kinds of faults.
-var Faults = []Fault{NoFault, FailingUpstreams, SlowUpstreams, StalledUpstreams, LostCalls, PartitionedUpstreams, MixedFaults}
+var Faults = []Fault{NoFault, FailingUpstreams, SlowUpstreams, StalledUpstreams, UnansweredCalls, PartitionedUpstreams, MixedFaults}
 
 // Setup holds the parameters with which deployments are generated.
 type Setup struct {
@@ -38,7 +38,7 @@
 	// 0, a random value between 0.5 and 2 is used.
 	Load  float64
 	Fault Fault
-	// FaultShare is the share of upstreams that the fault affects. LostCalls affects a
+	// FaultShare is the share of upstreams that the fault affects. UnansweredCalls affects a
 	// share of FaultShare/2 of the calls to all upstreams instead. If FaultShare is 0, a
 	// random value is used.
 	FaultShare float64
@@ -79,8 +79,8 @@
 	faultEnd       = 10 * time.Second
 	minLoad        = 0.5
 	maxLoad        = 2.0
-	taskSigma      = 0.15 // of the durations of tasks of one job, lognormal
-	jobSigma       = 0.4  // of the sizes of jobs of one kind, and of declared durations, lognormal
+	taskSigma      = 0.15 // sigma of the lognormal distribution of task durations within a job
+	jobSigma       = 0.4  // sigma of the lognormal distributions of job sizes within a kind, and of declared durations
 	// alwaysFailingShare is the share of jobs whose tasks fail on all upstreams.
 	alwaysFailingShare = 0.002
 )
@@ -147,7 +147,7 @@
 		d.load = minLoad + (maxLoad-minLoad)*rng.Float64()
 	}
 	if d.fault == MixedFaults || d.fault == "" {
-		d.fault = []Fault{NoFault, NoFault, FailingUpstreams, SlowUpstreams, StalledUpstreams, LostCalls, PartitionedUpstreams}[rng.IntN(7)]
+		d.fault = []Fault{NoFault, NoFault, FailingUpstreams, SlowUpstreams, StalledUpstreams, UnansweredCalls, PartitionedUpstreams}[rng.IntN(7)]
 	}
 	if d.faultShare == 0 {
 		d.faultShare = []float64{0.05, 0.1, 0.25, 0.4}[rng.IntN(4)]
--- a/lab/simulation.go
+++ b/lab/simulation.go
@@ -152,7 +152,7 @@
 			s.Stalled = faulty
 		case PartitionedUpstreams:
 			s.Partitioned = faulty
-		case LostCalls:
+		case UnansweredCalls:
 			s.LateShare = 0
 			if on {
 				s.LateShare = sim.deployment.faultShare / 2
@@ -162,10 +162,10 @@
 }
 
 // isFaulty reports whether the fault affects the upstream of the given index. Affected
-// upstreams are spread evenly over the zones. LostCalls affects calls to all upstreams and
+// upstreams are spread evenly over the zones. UnansweredCalls affects calls to all upstreams and
 // makes no single one faulty.
 func (d *deployment) isFaulty(i int) bool {
-	if d.fault == NoFault || d.fault == LostCalls {
+	if d.fault == NoFault || d.fault == UnansweredCalls {
 		return false
 	}
 	return int(float64(i+1)*d.faultShare) > int(float64(i)*d.faultShare)
--- a/soak/unread_test.go
+++ b/soak/unread_test.go
@@ -45,7 +45,7 @@
 		t.Fatalf("the installation is not ready after %v", readyTimeout)
 	}
 	rng := rand.New(rand.NewPCG(unreadSeed, 1))
-	sent := map[string]int{} // number of requests that were sent while paused, by name of the instance
+	sent := map[string]int{} // number of requests sent to each instance while it was paused, by its name
 	for round := range unreadRounds {
 		paused := rng.IntN(len(in.processes))
 		sent[in.processes[paused].name] += jobsPerRound
