--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -9,28 +9,31 @@
 )
 
 // A task may crash every upstream that starts it. A single crash does not show whether the
-// upstream or one of the tasks that ran on it was the cause; repeated crashes do. After a
-// crash all tasks that ran on the upstream become suspects, except that if some of them had
-// been running in earlier crashes, only those with the most crashes do. A suspect is started
-// on the upstream where another crash would do the least harm. Its job fails once enough
-// upstreams have crashed while they ran it.
+// upstream itself or one of the tasks on it was the cause; repeated crashes do. After a crash
+// all tasks that ran on the upstream become suspects. But if some of them had been running in
+// earlier crashes too, the suspects are only those that were running in the most crashes.
+//
+// A suspect is started on the upstream where another crash would do the least harm. Its job
+// ends as Crashed once too many upstreams have crashed while they ran the task.
 
 const (
-	// maxCrashes is the number of upstreams that crashed while they ran a task after which
-	// the task is not started again.
+	// maxCrashes is how many upstreams must have crashed while they ran a task for the task
+	// not to be started again.
 	maxCrashes = 3
-	// maxCrashesIfRepeating is the same limit while recent crashes often repeat under the
-	// same tasks, which shows that upstreams do not crash for reasons of their own.
+	// maxCrashesIfRepeating replaces maxCrashes while many of the recent crashes happened
+	// under tasks that had crashed an upstream before. Then tasks are the cause, and not
+	// the upstreams themselves.
 	maxCrashesIfRepeating = 2
-	// minRepeatedShare is the share of recent crashes that must be repeated for that: one
-	// task that crashes two upstreams makes it one half, while upstreams that end and restart
-	// independently of their tasks make it about a tenth.
+	// minRepeatedShare is the share of the recent crashes that must be repeated ones for
+	// maxCrashesIfRepeating to apply. If one task crashes two upstreams, the share is one
+	// half; if upstreams end and restart for reasons of their own, it is about a tenth.
 	minRepeatedShare = 0.4
-	// crashWindow is how long a crash counts as recent: several times as long as an upstream
-	// needs to restart and to be given the same task again.
+	// crashWindow is how long a crash counts as recent. It is several times as long as an
+	// upstream takes to restart and to be given the same task again.
 	crashWindow = 10 * time.Second
-	// crashRetention is how long the crashes of a task are remembered: longer than customers
-	// keep resubmitting a job.
+	// crashRetention is how long the crashes of a task are remembered. It is longer than
+	// customers keep resubmitting a job; otherwise a resubmitted task could go on crashing
+	// upstreams.
 	crashRetention = time.Minute
 )
 
@@ -43,10 +46,10 @@
 // crash is one crash of an upstream that ran tasks.
 type crash struct {
 	at       time.Time
-	repeated bool // one of the suspects had been running in an earlier crash
+	repeated bool // one of the suspects had been running in an earlier crash too
 }
 
-// crashHistory holds the crashes of a pool's upstreams.
+// crashHistory holds the crashes of a pool's upstreams, by task and by time.
 type crashHistory struct {
 	tasks  map[fleet.TaskRef]crashRecord
 	recent []crash // within crashWindow, oldest first
@@ -55,15 +58,15 @@
 // count returns how many upstreams have crashed while they ran a task.
 func (c *crashHistory) count(ref fleet.TaskRef) int { return c.tasks[ref].count }
 
-// importCount raises the count of a task to the one that another pool has recorded.
+// importCount raises the count of a task to that recorded by the pool that returned the task.
 func (c *crashHistory) importCount(now time.Time, ref fleet.TaskRef, count int) {
 	if count > c.count(ref) {
 		c.tasks[ref] = crashRecord{count, now}
 	}
 }
 
-// selectSuspects returns the suspects among the tasks that were running in a crash: those
-// with the most crashes so far.
+// selectSuspects returns the suspects among the tasks that were running in a crash: those that
+// were running in the most crashes before.
 func (c *crashHistory) selectSuspects(tasks []fleet.TaskRef) []fleet.TaskRef {
 	most := 0
 	for _, ref := range tasks {
@@ -85,8 +88,8 @@
 	return suspects
 }
 
-// retract lowers the counts of the suspects of an upstream that turned out not to have
-// crashed.
+// retract lowers the counts of tasks that became suspects when an upstream was assumed to have
+// crashed, because it turned out that it had not.
 func (c *crashHistory) retract(tasks []fleet.TaskRef) {
 	for _, ref := range tasks {
 		if r, found := c.tasks[ref]; found {
@@ -106,8 +109,8 @@
 	}
 }
 
-// reachedLimit reports whether so many upstreams have crashed while they ran a task that it
-// must not be started again.
+// reachedLimit reports whether so many upstreams have crashed while they ran a task that the
+// task must not be started again.
 func (c *crashHistory) reachedLimit(ref fleet.TaskRef) bool {
 	count := c.count(ref)
 	return count >= maxCrashes || count >= maxCrashesIfRepeating && c.oftenRepeated()
@@ -124,8 +127,8 @@
 	return float64(repeated) >= minRepeatedShare*float64(len(c.recent))
 }
 
-// recordCrash records that an upstream ended while it had runs, and returns the suspects. An
-// upstream that drains ends as planned, which is no crash.
+// recordCrash records that an upstream ended while it had runs, and returns the suspects. If
+// the upstream was draining, it ended as planned, which does not count as a crash.
 func (p *Pool) recordCrash(u *upstream, runs []*run) []fleet.TaskRef {
 	if u.Draining || len(runs) == 0 {
 		return nil
@@ -146,7 +149,8 @@
 	return suspects
 }
 
-// endCrashingJobs ends the jobs of those suspects that have reached the limit of crashes.
+// endCrashingJobs ends the jobs of those suspects that have reached the limit of crashes, with
+// the outcome Crashed.
 func (p *Pool) endCrashingJobs(suspects []fleet.TaskRef) {
 	for _, ref := range suspects {
 		if !p.crashHistory.reachedLimit(ref) {
@@ -165,11 +169,12 @@
 	return slices.ContainsFunc(j.taskList, func(t *task) bool { return p.crashHistory.reachedLimit(p.taskRef(j, t)) })
 }
 
-// isSuspect reports whether an upstream has crashed while it ran a task.
-func (p *Pool) isSuspect(ref fleet.TaskRef) bool { return p.crashHistory.count(ref) > 0 }
+// isSuspectTask reports whether a task is a suspect: an upstream has crashed while running it.
+func (p *Pool) isSuspectTask(ref fleet.TaskRef) bool { return p.crashHistory.count(ref) > 0 }
 
-// chooseForSuspect returns the upstream on which a suspect of a job is to start, or nil:
-// the one with the fewest suspects, and among those the one with the fewest runs.
+// chooseForSuspect returns the upstream on which a suspect of a job is to start, or nil if it
+// may start on none. It is the one that runs the fewest suspects, and among equal ones the one
+// with the fewest runs: if it crashes, the fewest other tasks lose their runs.
 func (p *Pool) chooseForSuspect(j *job) *upstream {
 	var best *upstream
 	var fewestSuspects, fewestRuns int
@@ -177,7 +182,7 @@
 		if u.Service != j.Service || !p.usable(u, p.now) || !j.Demand.Within(u.Capacity.Minus(u.used)) || remainingPerUpstream(j, u, 1) == 0 {
 			continue
 		}
-		suspects := p.countSuspects(u)
+		suspects := p.countSuspectRuns(u)
 		if best == nil || suspects < fewestSuspects || suspects == fewestSuspects && len(u.runs) < fewestRuns {
 			best, fewestSuspects, fewestRuns = u, suspects, len(u.runs)
 		}
@@ -185,11 +190,11 @@
 	return best
 }
 
-// countSuspects returns how many runs of suspects an upstream has.
-func (p *Pool) countSuspects(u *upstream) int {
+// countSuspectRuns returns how many of an upstream's runs are of suspects.
+func (p *Pool) countSuspectRuns(u *upstream) int {
 	n := 0
 	for _, r := range u.runs {
-		if p.isSuspect(r.id.Task) {
+		if p.isSuspectTask(r.id.Task) {
 			n++
 		}
 	}
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -10,26 +10,28 @@
 )
 
 const (
-	// minFailuresIfOnly is how many jobs in a row must fail on an upstream before it is
-	// ejected if no other upstream could run them.
+	// minFailuresIfOnly is how many runs in a row must fail on an upstream before it is
+	// ejected, if no other upstream could run the tasks. Otherwise one failure suffices.
 	minFailuresIfOnly = 2
-	// minEjection and maxEjection bound how long an ejected upstream gets no work before
-	// a trial task. Each failed trial doubles the time.
+	// minEjection and maxEjection bound the length of an ejection, the time in which an
+	// upstream gets no work. Then it gets a trial task; if that fails, the next ejection
+	// is twice as long.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 2 * time.Second
 )
 
-// health holds the failures of an upstream, and whether it is ejected: no task starts on
-// it until ejectedUntil, and a trial task then shows whether it works again.
+// health holds the failures of an upstream, and whether it is ejected. No task starts on an
+// ejected upstream until ejectedUntil. After that a trial task shows whether the upstream
+// works again.
 type health struct {
-	failures       int // jobs that failed on it first, since its last success
+	failures       int // failed runs that are charged to it since a task last succeeded there
 	ejected        bool
 	ejectionLength time.Duration // length of the last ejection
 	ejectedUntil   time.Time
 }
 
-// eject stops giving work to an upstream for some time. It has no effect while an
-// ejection lasts.
+// eject ejects an upstream: it gets no work for some time. While an ejection lasts, a further
+// call has no effect.
 func (p *Pool) eject(u *upstream, reason string) {
 	h := &u.health
 	if h.ejected && p.now.Before(h.ejectedUntil) {
@@ -41,9 +43,10 @@
 	p.addDecision(Decision{Kind: DecidedEject, Upstream: u.ID, Reason: reason, Task: h.failures, Age: h.ejectionLength})
 }
 
-// chargeFailure counts a failed run against its upstream and ejects the upstream at once,
-// because few jobs fail through their own fault. If a task of the job fails on a second
-// upstream, the failure of the first is not counted any more.
+// chargeFailure charges a failed run to its upstream and ejects the upstream at once, because
+// few jobs fail through their own fault. If a task of the same job has failed on another
+// upstream before, the fault is probably in the job: the failure is charged to neither of
+// the two upstreams.
 func (p *Pool) chargeFailure(r *run) {
 	j, u := r.job, r.upstream
 	if len(j.failedOn) == 0 {
@@ -61,8 +64,8 @@
 	}
 }
 
-// undoCharge takes back the failure that a job counted against an upstream, and readmits
-// the upstream if it has no other failures.
+// undoCharge cancels the failure of a job that was charged to an upstream, and readmits the
+// upstream if no other failures are charged to it.
 func (p *Pool) undoCharge(j *job) {
 	u := j.failureChargedTo
 	j.failureChargedTo = nil
@@ -83,35 +86,36 @@
 }
 
 const (
-	// minPercentRise is by how many percentage points the progress of a run must rise
-	// between two reports to count as an advance.
+	// minPercentRise is by how many percentage points the progress of a run must rise from
+	// one report to the next, or the run counts as making no progress.
 	minPercentRise = 1
-	// paceCheckShare is the age from which on the pace of a run is checked, as a share of
-	// its expected duration, and minPaceCheckAge is the least such age.
+	// The pace of a run is checked once its age has reached paceCheckShare of its expected
+	// duration, but not before minPaceCheckAge.
 	paceCheckShare  = 0.5
 	minPaceCheckAge = 60 * time.Millisecond
-	// slowFactor is how many times longer than expected a run must be projected to take
-	// before it is moved to another upstream.
+	// slowFactor is the ratio of projected to expected duration from which on a run is slow
+	// enough to be moved to another upstream.
 	slowFactor = 3
-	// minMoveTime is the least time that a move is assumed to cost, and answersPerMove is
-	// how many answers it waits for: to the stop, to the poll that shows that the run is
-	// gone, and to the next start.
-	minMoveTime    = 60 * time.Millisecond
-	answersPerMove = 3
-	// minStall is the least time without progress after which a run counts as stalled.
-	// It must also be stallAnswerFactor times as long as an answer may take, since two
-	// reports may arrive that far apart although they were made at the same moment.
-	minStall          = 100 * time.Millisecond
-	stallAnswerFactor = 3
+	// A move is assumed to cost responsesPerMove times the response timeout, but at least
+	// minMoveTime: the responses to the stop, to the poll that shows that the run is gone,
+	// and to the next start come one after the other.
+	minMoveTime      = 60 * time.Millisecond
+	responsesPerMove = 3
+	// A run counts as stalled after stallResponseFactor times the response timeout without
+	// progress, but not before minStall. Without the first limit slow responses would look
+	// like a stall: two reports that were made at the same moment may arrive far apart.
+	minStall            = 100 * time.Millisecond
+	stallResponseFactor = 3
 	// maxMoves limits how often one task is moved.
 	maxMoves = 3
-	// lossyMissRate is the share of missing reports from which on upstreams are polled
-	// for overdue ends. On a sound network the share is close to 0.
+	// lossyMissRate is the share of missing reports from which on upstreams are polled for
+	// runs that should have ended. On a network that works the share is close to 0.
 	lossyMissRate = 0.03
-	// overduePollInterval is the shortest interval of such polls to one upstream.
+	// overduePollInterval is the shortest interval between such polls of one upstream.
 	overduePollInterval = 50 * time.Millisecond
-	// minReportWait is the shortest time that an upstream may hold back a report; it
-	// limits how often reports are requested.
+	// minReportWait is the smallest result of reportWait, the time by which an upstream may
+	// delay a report. It limits how often reports are requested, because the next one is
+	// requested as soon as a report has come.
 	minReportWait = 40 * time.Millisecond
 )
 
@@ -132,8 +136,8 @@
 	}
 }
 
-// checkProgress stops a run that is stalled or very slow, so that its task moves to
-// another upstream, if the task is expected to finish sooner there.
+// checkProgress stops a run that is stalled or very slow if its task is expected to finish
+// sooner on another upstream. The task then starts there.
 func (p *Pool) checkProgress(r *run) {
 	j := r.job
 	if j == nil || !p.cfg.Policy.MoveSlow {
@@ -150,7 +154,7 @@
 	if !stalled && age+remaining < slowFactor*expected {
 		return
 	}
-	if remaining < expected*3/2+max(minMoveTime, answersPerMove*p.answerTimeout) {
+	if remaining < expected*3/2+max(minMoveTime, responsesPerMove*p.responseTimeout) {
 		return
 	}
 	if !stalled && p.chooseExcept(j, r.upstream.ID) == nil {
@@ -164,7 +168,7 @@
 }
 
 // learnSlowdownFromPace updates the slowdown of an upstream from the projected duration of a
-// run that has not ended. It does so once per run.
+// run that is still executing. It does so only once for each run.
 func (p *Pool) learnSlowdownFromPace(r *run, age, remaining time.Duration) {
 	if r.slowdownLearned || remaining == forever {
 		return
@@ -173,7 +177,8 @@
 	p.learnSlowdown(r, age+remaining-r.startedAt().Sub(r.orderedAt))
 }
 
-// paceCheckAge returns the age from which on the pace of a run is checked.
+// paceCheckAge returns the age from which on the pace of a run with the given expected
+// duration is checked.
 func paceCheckAge(expected time.Duration) time.Duration {
 	return max(time.Duration(paceCheckShare*float64(expected)), minPaceCheckAge)
 }
@@ -181,12 +186,13 @@
 // forever is the projected duration of a run without progress.
 const forever = time.Duration(math.MaxInt64 / 4)
 
-// isStalled reports whether a run has made no progress for too long.
+// isStalled reports whether a run has made no progress for so long that it counts as stalled.
 func (p *Pool) isStalled(r *run) bool {
-	return r.percentAt.Sub(r.percentRoseAt) >= max(minStall, stallAnswerFactor*p.answerTimeout)
+	return r.percentAt.Sub(r.percentRoseAt) >= max(minStall, stallResponseFactor*p.responseTimeout)
 }
 
-// remainingTime returns how much longer a run takes at its pace so far.
+// remainingTime returns how much longer a run of the given age takes if it keeps its pace. It
+// returns forever for a run that has made no progress or is stalled.
 func (p *Pool) remainingTime(r *run, age time.Duration) time.Duration {
 	if r.percent <= 0 || p.isStalled(r) {
 		return forever
@@ -194,8 +200,9 @@
 	return age * time.Duration(100-min(r.percent, 100)) / time.Duration(r.percent)
 }
 
-// reportWait returns how long an upstream may hold back its next report until a run ends:
-// at most until the pace of one of its runs is to be checked.
+// reportWait returns how long an upstream may delay its next report until a run ends. The
+// report must come in time for the next check of the pace of a run, and soon if a run is
+// being stopped.
 func (p *Pool) reportWait(u *upstream) time.Duration {
 	wait := p.cfg.ReportWait
 	for _, r := range u.runs {
@@ -213,13 +220,14 @@
 	return max(wait, minReportWait)
 }
 
-// taskDurations is a moving average of how long the tasks of one route take.
+// taskDurations holds the moving average of the measured durations of one route's tasks.
 type taskDurations struct {
 	meanLog float64 // mean of the logarithms of the durations in seconds
-	n       int     // durations so far
+	n       int     // number of durations measured so far
 }
 
-// durationWeight is the weight of a new duration in the moving average.
+// durationWeight is the weight of a new duration in the moving average. The first durations
+// have a larger weight, so that the average starts as that of all of them.
 const durationWeight = 0.02
 
 func (p *Pool) durationsOf(route string) *taskDurations {
@@ -237,11 +245,11 @@
 	t.meanLog += (value - t.meanLog) * max(durationWeight, 1/float64(t.n))
 }
 
-// minDurations is the number of durations from which on their average is used.
+// minDurations is how many durations must have been measured before their average is used.
 const minDurations = 10
 
 // defaultTaskDuration is the expected duration of a task if the customer has declared none
-// and there are too few measured ones.
+// and fewer than minDurations have been measured.
 const defaultTaskDuration = 200 * time.Millisecond
 
 // estimate returns how long a task with the declared duration is expected to take. The
@@ -260,8 +268,8 @@
 	return time.Duration(math.Exp(value) * float64(time.Second))
 }
 
-// learnDuration sets the expected duration of a job's tasks to that of a completed one: the
-// tasks of a job are much alike.
+// learnDuration sets the expected duration of a job's tasks to that of a completed task,
+// because the tasks of a job are much alike.
 func (j *job) learnDuration(took time.Duration) {
 	j.expectedTaskDuration = max(took, time.Millisecond)
 }
--- a/schedule/incarnations.go
+++ b/schedule/incarnations.go
@@ -8,15 +8,16 @@
 )
 
 // An upstream may restart under the same ID. The new incarnation keeps no state of the
-// former one: its clock, the sequence numbers of ends and the highest fencing token that it
-// has seen start afresh. A restart is noticed from the upstream's entry in the store or from
-// an answer, whichever comes first, and the state of the former incarnation is then dropped.
-// Later answers of the former incarnation are ignored.
+// former one: its clock starts afresh, and so do the sequence numbers of the ends that it
+// reports and the highest fencing token that it has seen. The pool notices a restart from
+// the upstream's entry in the store or from a response, whichever comes first. It then drops
+// what it knew of the former incarnation and ignores later responses from it.
 
-// currentUpstream returns the upstream whose incarnation answered a call, or nil if that
-// incarnation has ended. The incarnation is the one that was called, or a newer one whose
-// start time the answer reports, possibly before its entry is in the store. reportedStart is
-// 0 if the answer does not come from the process itself.
+// currentUpstream returns the upstream that responded to a call. The response comes from the
+// incarnation called or from a newer one, whose start time it contains as reportedStart (0 if
+// it contains none). If the pool does not know of the newer one yet, currentUpstream replaces
+// the upstream by it, possibly before the store has an entry of it. It returns nil if the
+// incarnation that responded has been replaced or removed.
 func (p *Pool) currentUpstream(called fleet.UpstreamIncarnation, reportedStart int64) *upstream {
 	u := p.upstreams[called.ID]
 	if u == nil {
@@ -36,15 +37,16 @@
 }
 
 // hasRecentReport reports whether the last report of an upstream is so recent that the
-// upstream cannot have restarted since: a restart takes at least a second, and a lease is
-// shorter. It is always true for an upstream that does not restart under the same ID.
+// upstream cannot have restarted since. A restart takes at least a second, and the limit is
+// the length of a lease, which is shorter. Upstreams without a start time do not restart under
+// the same ID, so that for them it always returns true.
 func (p *Pool) hasRecentReport(u *upstream) bool {
 	return u.StartedUnixMs == 0 || p.now.Sub(u.clockReadAt) <= p.cfg.Lease
 }
 
-// replaceRestarted replaces an upstream by its next incarnation, the successor. The runs of
-// the former incarnation are over, except that a run that may have started in the successor,
-// or may still start there, is first stopped there.
+// replaceRestarted replaces an upstream by its next incarnation, the successor. The runs in
+// the former incarnation are over, and their tasks wait again. A run that may have started in
+// the successor instead, or may still start there, is stopped there first.
 func (p *Pool) replaceRestarted(u *upstream, next fleet.Upstream) *upstream {
 	p.addDecision(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: "it has started again"})
 	runs := sortedRuns(u)
@@ -68,12 +70,13 @@
 }
 
 // mayRunInSuccessor reports whether a run may be executing in the next incarnation of its
-// upstream, or may still start there. That is so if no report of this incarnation has listed
-// the run: the order may still be in transit, or the next incarnation may have answered it.
-// A stop that this incarnation has acknowledged does not bind the next one.
-func (r *run) mayRunInSuccessor() bool { return !r.foreign && !r.reported }
+// upstream, or may still start there. That is possible unless a report of this incarnation
+// has listed the run: the order may still be in transit, or the next incarnation may have
+// received it. It is possible even if this incarnation has acknowledged a stop, because the
+// next one does not know of that stop.
+func (r *run) mayRunInSuccessor() bool { return !r.fromFormerOwner && !r.reported }
 
-// moveToSuccessor tracks a run on the next incarnation of its upstream and stops it there.
+// moveToSuccessor moves a run to the next incarnation of its upstream and stops it there.
 func (p *Pool) moveToSuccessor(r *run, successor *upstream) {
 	delete(r.upstream.runs, r.id)
 	successor.runs[r.id] = r
@@ -82,14 +85,15 @@
 	p.stopRun(r, "its upstream has started again, and may run it")
 }
 
-// maxUnresolvedStarts is how many runs are remembered per upstream of which it is not known
-// whether they started. It is enough for the runs that are lost when an upstream fails once.
+// maxUnresolvedStarts limits the unresolvedStarts of an upstream; beyond it the oldest are
+// forgotten. It is enough for the runs that are lost when an upstream fails once.
 const maxUnresolvedStarts = 64
 
-// addUnresolvedStart remembers a run that is no longer tracked, because its lease has lapsed
-// or its stop was acknowledged, while its start may still be in transit. The next incarnation
-// of the upstream might carry out the start, because it has another clock and has not
-// received the stop.
+// addUnresolvedStart remembers a run that the pool stops tracking because its lease has lapsed
+// or its stop was acknowledged, if the order to start it may still be in transit. The next
+// incarnation of the upstream might carry out that order: on its clock the lease may not have
+// lapsed, and it has not received the stop. When the pool notices the next incarnation, it
+// therefore stops the run there.
 func (u *upstream) addUnresolvedStart(r *run) {
 	if !r.mayRunInSuccessor() {
 		return
@@ -100,7 +104,8 @@
 	}
 }
 
-// insertUpstream starts tracking an upstream.
+// insertUpstream adds the upstream of an entry to the pool. It gets no work until its first
+// report.
 func (p *Pool) insertUpstream(entry fleet.Upstream) *upstream {
 	u := &upstream{Upstream: entry, listed: true, runs: map[fleet.Run]*run{}}
 	p.upstreams[u.ID] = u
--- a/schedule/input.go
+++ b/schedule/input.go
@@ -8,8 +8,8 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// HandleStartResponse handles the answer to a start that was sent to an incarnation of an
-// upstream.
+// HandleStartResponse handles the response to a start, or the error if there was none. The
+// start was sent to the incarnation called.
 func (p *Pool) HandleStartResponse(now time.Time, called fleet.UpstreamIncarnation, id fleet.Run, refusal fleet.Refusal, err error) Effects {
 	return p.handle(now, func() {
 		u := p.upstreams[called.ID]
@@ -19,8 +19,8 @@
 		r := u.runs[id]
 		switch {
 		case err != nil && called.StartedUnixMs < u.StartedUnixMs:
-			// The error says nothing about this incarnation, in which the run is being
-			// stopped already.
+			// The call went to a former incarnation. Its failure says nothing about the
+			// present one, where the run is being stopped already.
 		case failure.Is(err, failure.Gone):
 			p.handleGone(u, "another life answers")
 		case err != nil:
@@ -38,7 +38,7 @@
 	})
 }
 
-// handleRefusal handles the refusal of a start: the run has certainly not started.
+// handleRefusal handles the refusal of a start. The run has certainly not started.
 func (p *Pool) handleRefusal(r *run, refusal fleet.Refusal) {
 	u := r.upstream
 	p.untrackRun(r)
@@ -61,16 +61,16 @@
 	p.requeue(r, "refused: "+string(refusal))
 }
 
-// endAsUnknown ends the job of a run whose end this pool cannot learn of, with the outcome
-// Unknown.
+// endAsUnknown ends the job of a run with the outcome Unknown, because this pool cannot learn
+// how the run ends.
 func (p *Pool) endAsUnknown(r *run) {
 	if r.job != nil && p.jobs[r.job.Key] == r.job {
 		p.endJob(r.job, Unknown)
 	}
 }
 
-// endBlockedAsUnknown ends the jobs with tasks that are blocked by a run whose end this pool
-// cannot learn of, with the outcome Unknown.
+// endBlockedAsUnknown ends the offers in which the task ref is blocked with the outcome
+// Unknown, because this pool cannot learn when the run that blocks the task ends.
 func (p *Pool) endBlockedAsUnknown(ref fleet.TaskRef) {
 	for _, j := range slices.Clone(p.jobsByID[ref.Job]) {
 		if t := j.tasks[ref.Index]; t != nil && t.state == blocked {
@@ -79,8 +79,8 @@
 	}
 }
 
-// HandleStopResponse handles the answer to a stop that was sent to an incarnation of an
-// upstream.
+// HandleStopResponse handles the response to a stop, or the error if there was none. The stop
+// was sent to the incarnation called.
 func (p *Pool) HandleStopResponse(now time.Time, called fleet.UpstreamIncarnation, id fleet.Run, err error) Effects {
 	return p.handle(now, func() {
 		u := p.currentUpstream(called, 0)
@@ -102,9 +102,10 @@
 	})
 }
 
-// HoldOrder returns the next order that renews the leases of an upstream and requests a
-// report, and whether the upstream still belongs to the pool. The order for a silent
-// upstream only requests a report, because its leases must lapse.
+// HoldOrder returns an order that renews the leases of an upstream and requests its next
+// report. The caller sends one such order after the other. HoldOrder also reports whether the
+// upstream still belongs to the pool. The order for a silent upstream renews nothing, because
+// its leases must lapse before its tasks can start elsewhere.
 func (p *Pool) HoldOrder(now time.Time, upstreamID string) (fleet.Upstream, fleet.HoldOrder, bool) {
 	u := p.upstreams[upstreamID]
 	if u == nil {
@@ -112,9 +113,9 @@
 	}
 	p.now = now
 	o := fleet.HoldOrder{Token: p.token, AckedSequence: p.ackedSequence(u)}
-	// Without renewal, runs of a former owner end at the latest when the leases that it
-	// granted lapse.
-	if u.accepted && !u.silent && u.foreignRuns == 0 && p.mayRenewLeases(u) {
+	// Leases are not renewed for runs that a former owner ordered, so that these end at
+	// the latest when the leases that it granted lapse.
+	if u.accepted && !u.silent && u.formerOwnerRuns == 0 && p.mayRenewLeases(u) {
 		o.LeaseUntilMs = p.grantLease(u)
 	}
 	if u.accepted && u.missedReports == 0 {
@@ -124,10 +125,12 @@
 }
 
 // ackedSequence returns the sequence number up to which an upstream may forget the ends of
-// its runs. It returns 0 while a new incarnation may answer instead: that one numbers its
-// ends from 1 again, and would forget ends that it has not reported yet. An upstream that
-// restarts leaves a call unanswered. Only while this process is paused can that go unnoticed,
-// and then the last report is not recent.
+// its runs. It returns 0, so that nothing is forgotten, if a new incarnation may receive the
+// order: that one numbers its ends from 1 again, and would forget ends that it has not
+// reported yet.
+//
+// A restart leaves a call without a response, which shows as a missed report. A restart during
+// a pause of this process may go unnoticed, but then the last report is not recent.
 func (p *Pool) ackedSequence(u *upstream) uint64 {
 	if u.missedReports > 0 || !p.hasRecentReport(u) {
 		return 0
@@ -135,8 +138,9 @@
 	return u.lastEndSequence
 }
 
-// PollOrder returns an order that requests a report at once and renews no lease, and whether
-// the upstream still belongs to the pool.
+// PollOrder returns an order that requests a report at once, in addition to those that
+// HoldOrder requests, and renews no leases. It also reports whether the upstream still
+// belongs to the pool.
 func (p *Pool) PollOrder(now time.Time, upstreamID string) (fleet.Upstream, fleet.HoldOrder, bool) {
 	u := p.upstreams[upstreamID]
 	if u == nil {
@@ -146,8 +150,9 @@
 	return u.Upstream, fleet.HoldOrder{Token: p.token, AckedSequence: p.ackedSequence(u)}, true
 }
 
-// HandleHoldResponse handles the answer to an order of HoldOrder or PollOrder that was sent
-// to an incarnation of an upstream at the given time.
+// HandleHoldResponse handles the report that was requested by an order of HoldOrder or
+// PollOrder, or the error if none came. The order was sent to the incarnation called, at the
+// time sent.
 func (p *Pool) HandleHoldResponse(now time.Time, called fleet.UpstreamIncarnation, sent time.Time, report fleet.Report, err error) Effects {
 	return p.handle(now, func() {
 		u := p.currentUpstream(called, report.StartedUnixMs)
@@ -165,7 +170,7 @@
 	})
 }
 
-// recordMiss counts a report that did not come; the upstream may become silent.
+// recordMiss counts a missing report. After several in a row the upstream becomes silent.
 func (p *Pool) recordMiss(u *upstream) {
 	u.missedReports++
 	p.missRate.record(true)
@@ -176,8 +181,8 @@
 	p.addDecision(Decision{Kind: DecidedSilent, Upstream: u.ID, Task: len(u.runs), Age: p.now.Sub(u.clockReadAt)})
 }
 
-// maxMissedReports returns the number of consecutive missing reports after which an upstream
-// counts as silent.
+// maxMissedReports returns the number of reports in a row that must be missing for an upstream
+// to become silent.
 func (p *Pool) maxMissedReports() int {
 	if !p.cfg.Policy.ComparePeers {
 		return minMisses
@@ -201,7 +206,7 @@
 		}
 	}
 	if sent.Before(u.reportRequestedAt) {
-		return // the reports came out of order, and a newer one has been processed
+		return // the reports came out of order, and one that was requested later has been processed
 	}
 	u.reportRequestedAt = sent
 	p.reconcileRuns(u, sent, report.Running)
@@ -209,15 +214,17 @@
 	p.everAccepted = true
 }
 
-// reconcileRuns compares the runs that an upstream reports with those that are tracked. It
-// stops unknown ones and requeues the tasks of those that are gone.
+// reconcileRuns compares the runs that an upstream reports as running, in response to a request
+// sent at the time sent, with those that are tracked. It stops runs that are not tracked. It
+// requeues the tasks of tracked runs that are not reported, if the start or stop of the run had
+// been acknowledged before the request was sent.
 func (p *Pool) reconcileRuns(u *upstream, sent time.Time, list []fleet.RunningTask) {
 	isListed := make(map[fleet.Run]bool, len(list))
 	for _, t := range list {
 		isListed[t.Run] = true
 		r := u.runs[t.Run]
 		if r == nil {
-			p.stopForeign(u, t.Run)
+			p.stopFormerOwnerRun(u, t.Run)
 			continue
 		}
 		p.recordProgress(r, t.Percent)
@@ -238,7 +245,7 @@
 	}
 }
 
-// sortedRuns returns the tracked runs of an upstream in a fixed order.
+// sortedRuns returns the tracked runs of an upstream in the order of compareRuns.
 func sortedRuns(u *upstream) []*run {
 	list := make([]*run, 0, len(u.runs))
 	for _, r := range u.runs {
@@ -248,18 +255,19 @@
 	return list
 }
 
-// stopForeign tracks and stops a run that this pool has not ordered: a former owner has.
-// Nothing starts on the upstream until the run is gone.
-func (p *Pool) stopForeign(u *upstream, id fleet.Run) {
+// stopFormerOwnerRun tracks and stops a run that an upstream reports and this pool has not
+// ordered, so that a former owner must have. Nothing starts on the upstream until the run is
+// gone.
+func (p *Pool) stopFormerOwnerRun(u *upstream, id fleet.Run) {
 	if slices.Contains(u.recentEnds, id) {
 		return
 	}
-	r := &run{id: id, upstream: u, foreign: true, state: running, orderedAt: p.now, startAckedAt: p.now, percentRoseAt: p.now, percentAt: p.now}
+	r := &run{id: id, upstream: u, fromFormerOwner: true, state: running, orderedAt: p.now, startAckedAt: p.now, percentRoseAt: p.now, percentAt: p.now}
 	p.trackRun(r)
 	p.stopRun(r, "started by a former owner")
 }
 
-// handleEnd handles the reported end of a run.
+// handleEnd handles the end of a run that an upstream has reported.
 func (p *Pool) handleEnd(u *upstream, e fleet.EndedRun) {
 	u.recentEnds = append(u.recentEnds, e.Run)
 	if len(u.recentEnds) > maxRecentEnds {
@@ -316,7 +324,8 @@
 	p.requeue(r, "failed")
 }
 
-// handleGone removes an upstream whose incarnation has ended: its runs are over.
+// handleGone removes an upstream whose incarnation has ended. Its runs are over, and their
+// tasks wait again.
 func (p *Pool) handleGone(u *upstream, reason string) {
 	p.addDecision(Decision{Kind: DecidedGone, Upstream: u.ID, Task: len(u.runs), Reason: reason})
 	runs := sortedRuns(u)
@@ -329,8 +338,8 @@
 	p.endCrashingJobs(suspects)
 }
 
-// handleFenced removes an upstream that has seen the fencing token of another owner. This
-// pool does not learn the ends of the runs there, so their jobs end with Unknown.
+// handleFenced removes an upstream that has seen the higher fencing token of another owner.
+// This pool cannot learn any more how the runs there end, so that their jobs end with Unknown.
 func (p *Pool) handleFenced(u *upstream) {
 	if p.upstreams[u.ID] != u {
 		return
--- a/schedule/link.go
+++ b/schedule/link.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// link models the owner's network link as far as starts use it. A start order contains the
-// job's whole specification, and the link of a small instance may be too slow for the
-// orders that its upstreams have capacity for. Orders that are queued on a full link arrive
-// late, and so does everything behind them: reports, stops, heartbeats. Therefore orders are
-// counted against the rate of the link, and a job that would finish late because of it is
-// rejected before any of its tasks start.
+// link models how start orders use the owner's network link. A start order contains the job's
+// whole specification, and the link of a small instance may be too slow for as many orders as
+// its upstreams have capacity for. Orders that are queued on a full link arrive late, and so
+// does everything behind them: reports, stops, heartbeats. Therefore the model keeps track of
+// the queue on the link, and a job that would finish late because of that queue is rejected
+// before any of its tasks start.
 type link struct {
 	rate           float64   // bytes per second that starts may use; 0 means unlimited
-	freeAt         time.Time // when everything that is queued on it has been transmitted
+	freeAt         time.Time // when all queued orders will have been transmitted
 	meanOrderBytes float64   // moving average of the size of an order
 }
 
 const (
-	// orderOverheadBytes is the size of an order on the wire beyond the job's
-	// specification: names, token, lease and headers.
+	// orderOverheadBytes is the size on the wire of everything in a start order except
+	// the job's specification: names, token, lease and headers.
 	orderOverheadBytes = 260
-	// linkShare is the part of the link that starts may use: reports, heartbeats and reads
-	// from the store take about a third of it (docs/CAPACITY.md).
+	// linkShare is the fraction of the link that start orders may use. Reports, heartbeats
+	// and reads from the store take about a third of the link (docs/CAPACITY.md).
 	linkShare = 0.7
 	// orderBytesWeight is the weight of one order in the moving average of sizes.
 	orderBytesWeight = 0.05
-	// negligibleQueue is the delay up to which a queue on the link is ignored: one or two
-	// round trips.
+	// negligibleQueue is the queueing delay up to which no job is rejected because of the
+	// link. It is as long as one or two round trips.
 	negligibleQueue = 5 * time.Millisecond
-	// linkHorizon is the period of transmission on the link that limits the free capacity
-	// in the pool's Load. The shortest jobs have a slack of 60 to 100 ms, so orders that
-	// are queued for longer make their jobs late.
+	// linkHorizon limits the free capacity that Load reports to the number of orders that
+	// the link can transmit within this time. The shortest jobs have a slack of 60 to
+	// 100 ms, so orders that are queued for longer make their jobs late.
 	linkHorizon = 75 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 	return time.Duration(bytes / l.rate * float64(time.Second))
 }
 
-// queueDelay returns how long the link takes to transmit what is queued on it.
+// queueDelay returns how long the link takes to transmit the orders that are queued on it.
 func (l *link) queueDelay(now time.Time) time.Duration { return max(l.freeAt.Sub(now), 0) }
 
 // enqueue adds an order to the queue of the link, and returns how long it takes until the
@@ -57,19 +57,19 @@
 	return l.queueDelay(now)
 }
 
-// orderCapacity returns how many orders of average size the link can still transmit within
-// linkHorizon, limited to most.
-func (l *link) orderCapacity(now time.Time, most int) int {
+// orderCapacity returns how many more orders of average size the link can transmit within
+// linkHorizon, but at most limit.
+func (l *link) orderCapacity(now time.Time, limit int) int {
 	if l.rate <= 0 || l.meanOrderBytes == 0 {
-		return most
+		return limit
 	}
 	left := (linkHorizon - l.queueDelay(now)).Seconds() * l.rate
-	return min(max(int(left/l.meanOrderBytes), 0), most)
+	return min(max(int(left/l.meanOrderBytes), 0), limit)
 }
 
-// arrivesInTime reports whether the link would transmit the orders of a job that has not
-// started early enough for the job to finish in time. It reports true if the queue on the
-// link is negligible.
+// arrivesInTime reports whether the link can transmit the orders of a job that has not begun
+// soon enough for the job to finish in time. It returns true if the queue on the link is
+// negligible.
 func (p *Pool) arrivesInTime(j *job) bool {
 	if p.link.queueDelay(p.now) < negligibleQueue || !p.cfg.Policy.RejectEarly {
 		return true
@@ -82,11 +82,13 @@
 // queued on it.
 func (p *Pool) LinkDelay(now time.Time) time.Duration { return p.link.queueDelay(now) }
 
-// SetAnswerTimeout sets how long an answer may take before it is overdue, as derived from
-// recent answers. Orders are not sent again before that time has passed.
-func (p *Pool) SetAnswerTimeout(d time.Duration) { p.answerTimeout = d }
+// SetAnswerTimeout sets how long the response to a call may take before it is overdue. The
+// caller derives d from recent response times. Stops and polls are not sent again before that
+// time has passed.
+func (p *Pool) SetAnswerTimeout(d time.Duration) { p.responseTimeout = d }
 
-// resendInterval returns the time after which an unanswered order is sent again.
+// resendInterval returns the time after which a stop without a response is sent again, and
+// after which an upstream that has acknowledged a stop is polled again.
 func (p *Pool) resendInterval() time.Duration {
-	return max(minResendInterval, p.answerTimeout+p.link.queueDelay(p.now))
+	return max(minResendInterval, p.responseTimeout+p.link.queueDelay(p.now))
 }
--- a/schedule/load.go
+++ b/schedule/load.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Waiting returns the number of waiting tasks.
+// Waiting returns the number of tasks that wait for capacity. Blocked tasks do not count.
 func (p *Pool) Waiting() int { return p.waitingTasks }
 
 // Load is the load of a pool, as reported to coordinators.
 type Load struct {
 	Free     int   // how many tasks of average size could start now
-	Waiting  int   // waiting tasks
-	Capacity int64 // of all usable upstreams, thousandths of a core
-	// Closed is set if no upstream accepts new tasks. It is not set for a pool that
-	// is draining, because the pool of another owner takes its place.
+	Waiting  int   // tasks that wait for capacity
+	Capacity int64 // total CPU capacity of the upstreams on which tasks may start, in thousandths of a core
+	// Closed is set if no upstream accepts new tasks. It is not set while the pool is
+	// draining, because the pool of another owner takes over its upstreams.
 	Closed bool
 }
 
-// Load returns the load of the pool. The capacity of slow upstreams counts only if
-// all upstreams are slow.
+// Load returns the load of the pool. Slow upstreams count only if all upstreams on
+// which tasks may start are slow.
 func (p *Pool) Load(now time.Time) Load {
 	p.now = now
 	l := Load{Waiting: p.Waiting(), Closed: !p.draining && p.closed()}
@@ -40,8 +40,8 @@
 	return l
 }
 
-// defaultTaskMilliCPU is the assumed CPU demand of a task, in thousandths of a core,
-// while the pool has no task.
+// defaultTaskMilliCPU is the CPU demand of a task, in thousandths of a core, that is
+// assumed while the pool has neither runs nor queued jobs.
 const defaultTaskMilliCPU = 1000
 
 // meanTaskMilliCPU returns the mean CPU demand, in thousandths of a core, of the tracked
@@ -49,7 +49,7 @@
 func (p *Pool) meanTaskMilliCPU() int64 {
 	total, n := int64(0), int64(0)
 	for _, r := range p.runByTask {
-		if !r.foreign {
+		if !r.fromFormerOwner {
 			total += r.demand.MilliCPU
 			n++
 		}
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -8,12 +8,13 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// maxForecastsPerPlacement limits how many forecasts placeWaiting makes for jobs that have not
-// started, and so the cost of an input: a forecast goes through all runs.
+// maxForecastsPerPlacement limits how many forecasts one call of placeWaiting makes. A forecast
+// goes through all runs, so that without a limit the cost of every input would grow with the
+// number of queued jobs. A job that would need a further forecast does not start in this call.
 const maxForecastsPerPlacement = 16
 
-// placeWaiting starts waiting tasks while there is capacity. If there is none, it goes through
-// the upstreams and the queue only once.
+// placeWaiting starts waiting tasks while there is capacity. It goes through the queue once, or
+// not at all if no upstream has free CPU capacity.
 func (p *Pool) placeWaiting() {
 	if p.draining || len(p.queue) == 0 {
 		return
@@ -58,12 +59,13 @@
 	return slices.ContainsFunc(j.taskList, func(t *task) bool { return t.state == waiting })
 }
 
-// longestTaskFactor is how many times longer than expected the longest task of a job takes:
-// the durations of a job's tasks differ by about 15%.
+// longestTaskFactor is the assumed ratio of the duration of a job's longest task to the
+// expected duration of its tasks. Task durations within a job differ by about 15%, and the
+// longest one is assumed to exceed the expected duration by 10%.
 const longestTaskFactor = 1.1
 
-// expiryFactor is how many times its latency objective a job may take before its result is
-// of no use.
+// expiryFactor is the multiple of a job's latency objective after which its result is of no
+// use.
 const expiryFactor = 3
 
 // objective returns the latency objective of a job, counted from its first submission.
@@ -73,13 +75,14 @@
 
 func (j *job) submittedAt() time.Time { return j.offeredAt.Add(-j.Age) }
 
-// latestStart returns the latest time at which a task can start for its job to meet its
+// latestStart returns the time by which the tasks of a job must start for the job to meet its
 // latency objective.
 func (j *job) latestStart() time.Time {
 	return j.submittedAt().Add(j.objective() - j.expectedTaskDuration)
 }
 
-// expiry returns when a job is ended if tasks of it still wait for capacity.
+// expiry returns the time from which on the result of a job is of no use: when expiryFactor
+// times its objective has passed or its customer stops waiting, whichever comes first.
 func (j *job) expiry() time.Time {
 	expiry := j.submittedAt().Add(expiryFactor * j.objective())
 	if timeoutAt := j.offeredAt.Add(j.Timeout); timeoutAt.Before(expiry) {
@@ -88,10 +91,10 @@
 	return expiry
 }
 
-// sortQueue puts jobs that have started first, so that the work that was done for them is not
-// lost. The others follow in the order of their latest start times. Priorities only break
-// ties: urgent jobs have the shortest objectives and go first because of those, and strict
-// priorities would starve the jobs with the most work.
+// sortQueue puts jobs that have begun first, so that the work that was done for them is not
+// lost. The others follow in the order of their latest start times. Priorities only break ties,
+// because strict priorities would starve the jobs with the most work. Urgent jobs go first
+// even so, because their objectives are the shortest.
 func (p *Pool) sortQueue() {
 	policy := p.cfg.Policy
 	slices.SortStableFunc(p.queue, func(a, b *job) int {
@@ -108,11 +111,12 @@
 	})
 }
 
-// hasBegun reports whether a task of a job has started, here or elsewhere, or may have.
+// hasBegun reports whether a run of one of the job's tasks has been ordered, in this pool or
+// another, or may have been: a blocked task may have a run from an earlier submission.
 func (j *job) hasBegun() bool { return j.begun || j.Begun || j.blockedTasks > 0 }
 
-// placeJob starts the waiting tasks of a job for which there is capacity, and reports whether
-// it has started any.
+// placeJob starts waiting tasks of a job until one of them fits on no upstream, and reports
+// whether it has started any.
 func (p *Pool) placeJob(j *job) bool {
 	started := false
 	for _, t := range j.taskList {
@@ -129,10 +133,10 @@
 	return started
 }
 
-// canStartNow reports whether tasks of a job may start now, because the job has started
-// already or all of its tasks are expected to start in time. This prevents work that would be
-// lost when the rest of the job cannot follow; the capacity is left to the jobs behind it in
-// the queue. canStartNow counts the forecasts that it makes in *forecasts.
+// canStartNow reports whether tasks of a job may start now: either the job has begun, or all of
+// its tasks are expected to start in time. Otherwise the first tasks could run for nothing,
+// because the rest of the job cannot follow, and would take capacity from the jobs behind it
+// in the queue. canStartNow adds the number of forecasts that it makes to *forecasts.
 func (p *Pool) canStartNow(j *job, forecasts *int) bool {
 	if j.hasBegun() {
 		return true
@@ -165,16 +169,17 @@
 	return !hasCapacity || !start.After(limit)
 }
 
-// countFitting returns how many tasks of a job could start now, limited to most. Slow
-// upstreams count only if the job would still finish in time on them, or if no other upstream
-// is large enough.
-func (p *Pool) countFitting(j *job, most int) int {
+// countFitting returns how many tasks of a job could start now, but at most limit. An upstream
+// on which tasks take longer, because it is slow or not in the rack of their data, counts only
+// in two cases: the job would still finish in time there, or all upstreams that are large
+// enough are of this kind.
+func (p *Pool) countFitting(j *job, limit int) int {
 	n, slow, fast := 0, 0, false
 	for _, u := range p.sortedUpstreams {
 		if u.Service != j.Service || !p.usable(u, p.now) {
 			continue
 		}
-		fitting := p.countFittingOn(j, u, most)
+		fitting := p.countFittingOn(j, u, limit)
 		factor := p.slowdownFactorFor(j, u)
 		if factor > 1 && !p.finishesInTime(j, factor) {
 			slow += fitting
@@ -186,15 +191,15 @@
 	if !fast {
 		n += slow
 	}
-	return min(n, most)
+	return min(n, limit)
 }
 
-// countFittingOn returns how many tasks of a job could start on an upstream now, limited to
-// most.
-func (p *Pool) countFittingOn(j *job, u *upstream, most int) int {
+// countFittingOn returns how many tasks of a job could start on an upstream now, but at most
+// limit.
+func (p *Pool) countFittingOn(j *job, u *upstream, limit int) int {
 	left := u.Capacity.Minus(u.used)
 	n := 0
-	for n < most && j.Demand.Within(left) {
+	for n < limit && j.Demand.Within(left) {
 		left = left.Minus(j.Demand)
 		n++
 	}
@@ -204,8 +209,8 @@
 	return remainingPerUpstream(j, u, n)
 }
 
-// hasAlternative reports whether any usable upstream except the given one is large enough for
-// a task of j.
+// hasAlternative reports whether any usable upstream other than except is large enough for a
+// task of j.
 func (p *Pool) hasAlternative(j *job, except string) bool {
 	return slices.ContainsFunc(p.sortedUpstreams, func(u *upstream) bool {
 		return u.ID != except && u.Service == j.Service && j.Demand.Within(u.Capacity) && p.usable(u, p.now)
@@ -214,18 +219,20 @@
 
 // chooseFor returns the upstream on which a task is to start now, or nil if there is none.
 func (p *Pool) chooseFor(j *job, t *task) *upstream {
-	if p.isSuspect(p.taskRef(j, t)) {
+	if p.isSuspectTask(p.taskRef(j, t)) {
 		return p.chooseForSuspect(j)
 	}
 	return p.choose(j)
 }
 
-// choose returns the upstream on which a task of j would leave the least capacity free, or nil
-// if it fits on none. A slow upstream is chosen only if the task fits on no other, and the job
-// would still finish in time there or all upstreams that are large enough are slow.
+// choose returns the upstream on which a task of j would leave the least CPU capacity free, or
+// nil if it may start on none. Upstreams on which tasks take longer, because they are slow or
+// not in the rack of the data, are the last choice: among them choose takes the fastest, and
+// only if the job would still finish in time there, or if all upstreams that are large enough
+// are of this kind.
 func (p *Pool) choose(j *job) *upstream { return p.chooseExcept(j, "") }
 
-// chooseExcept is like choose, but leaves out one upstream.
+// chooseExcept is like choose, but does not choose the upstream except.
 func (p *Pool) chooseExcept(j *job, except string) *upstream {
 	var best, slow *upstream
 	var leastLeft int64
@@ -256,17 +263,16 @@
 }
 
 // finishesInTime reports whether a job would meet its objective if a task of it started now on
-// an upstream that takes the given factor longer than expected.
+// an upstream where tasks take factor times as long as expected.
 func (p *Pool) finishesInTime(j *job, factor float64) bool {
 	end := p.now.Add(time.Duration(factor * longestTaskFactor * float64(j.expectedTaskDuration)))
 	return end.Before(j.submittedAt().Add(j.objective()))
 }
 
-// usable reports whether a task may start on an upstream now, apart from the upstream's free
-// capacity.
+// usable reports whether a task may start on an upstream now, ignoring its free capacity.
 func (p *Pool) usable(u *upstream, now time.Time) bool {
 	switch {
-	case !u.accepted, u.silent, u.foreignRuns > 0, !p.acceptsStarts(u), u.renewalBlocked, !p.hasRecentReport(u):
+	case !u.accepted, u.silent, u.formerOwnerRuns > 0, !p.acceptsStarts(u), u.renewalBlocked, !p.hasRecentReport(u):
 		return false
 	case u.health.ejected:
 		return now.After(u.health.ejectedUntil) && (len(u.runs) == 0 || !p.cfg.Policy.SingleTrial)
@@ -275,7 +281,7 @@
 	}
 }
 
-// startTask orders a run of a task on an upstream.
+// startTask orders an upstream to start a run of a task.
 func (p *Pool) startTask(j *job, t *task, u *upstream) {
 	t.lastRun++
 	p.setTaskState(j, t, placed)
@@ -300,18 +306,20 @@
 	})
 }
 
-// trackRun adds a run to those of its upstream. A foreign run blocks its task.
+// trackRun adds a run to those of its upstream. If a former owner ordered the run, its task is
+// blocked until that run is over.
 func (p *Pool) trackRun(r *run) {
 	r.upstream.runs[r.id] = r
 	p.runByTask[r.id.Task] = r
 	r.upstream.used = r.upstream.used.Plus(r.demand)
-	if r.foreign {
-		r.upstream.foreignRuns++
+	if r.fromFormerOwner {
+		r.upstream.formerOwnerRuns++
 		p.blockTasks(r.id.Task)
 	}
 }
 
-// untrackRun removes a run that is certainly not executing and cannot start any more.
+// untrackRun removes a run that is certainly not executing and cannot start any more. A task
+// that it blocked waits for an upstream again.
 func (p *Pool) untrackRun(r *run) {
 	if r.upstream.runs[r.id] != r {
 		return
@@ -322,31 +330,33 @@
 		p.unblockTasks(r.id.Task)
 	}
 	r.upstream.used = r.upstream.used.Minus(r.demand)
-	if r.foreign {
-		r.upstream.foreignRuns--
+	if r.fromFormerOwner {
+		r.upstream.formerOwnerRuns--
 	}
 }
 
-// clockMsAt returns the estimated time on an upstream's clock.
+// clockMsAt returns the estimated reading of an upstream's clock at the time now.
 func (u *upstream) clockMsAt(now time.Time) int64 {
 	return u.clockMs + now.Sub(u.clockReadAt).Milliseconds()
 }
 
-// grantLease returns the end of a lease that starts now, on the upstream's clock.
+// grantLease records that an upstream is granted a lease that starts now, and returns the end
+// of that lease on the upstream's clock.
 func (p *Pool) grantLease(u *upstream) int64 {
 	until := u.clockMsAt(p.now) + p.cfg.Lease.Milliseconds()
 	u.maxLeaseUntilMs = max(u.maxLeaseUntilMs, until)
 	return until
 }
 
-// leasesLapseAt returns when every lease that was granted to an upstream has certainly lapsed,
-// even if its clock is as slow as minClockRate.
+// leasesLapseAt returns the time at which all leases granted to an upstream have certainly
+// lapsed, even if its clock runs as slowly as minClockRate allows.
 func (u *upstream) leasesLapseAt() time.Time {
 	left := time.Duration(float64(u.maxLeaseUntilMs-u.clockMs)/minClockRate) * time.Millisecond
 	return u.clockReadAt.Add(max(left, 0) + leaseLapseMargin)
 }
 
-// requeue puts the task of a run that is over back into the queue.
+// requeue puts the task of a run back into the queue after the run ended without success or
+// turned out never to have started.
 func (p *Pool) requeue(r *run, reason string) {
 	j := r.job
 	if j == nil {
@@ -357,7 +367,7 @@
 		return
 	}
 	if p.runByTask[p.taskRef(j, t)] != nil {
-		p.setTaskState(j, t, blocked) // meanwhile a run of a former owner was reported
+		p.setTaskState(j, t, blocked) // a run that a former owner ordered has been reported meanwhile
 	} else {
 		p.setTaskState(j, t, waiting)
 		p.enqueue(j)
@@ -368,7 +378,7 @@
 	})
 }
 
-// stopRun orders a run to stop, unless that has been done already.
+// stopRun orders the upstream of a run to stop it, unless a stop was ordered before.
 func (p *Pool) stopRun(r *run, reason string) {
 	if r.state == stopping || r.state == stopped {
 		return
--- a/schedule/pool.go
+++ b/schedule/pool.go
@@ -9,8 +9,8 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// Pool schedules jobs on a group of upstreams, which it owns under one fencing
-// token. It is not safe for concurrent use.
+// Pool schedules jobs on a group of upstreams on behalf of the group's owner, under
+// the owner's fencing token. It is not safe for concurrent use.
 type Pool struct {
 	cfg             Config
 	token           uint64
@@ -23,17 +23,17 @@
 	// coordinatorLeases has an entry for each coordinator that needs a lease and has
 	// jobs in the pool.
 	coordinatorLeases map[string]*coordinatorLease
-	renewalsCheckedAt time.Time // when renewalBlocked of the upstreams was last updated
+	renewalsCheckedAt time.Time // when checkRenewals was last called
 	queue             []*job    // jobs with waiting tasks
 	waitingTasks      int
 	durationsByRoute  map[string]*taskDurations
 	crashHistory      crashHistory
 	missRate          missRate // over all upstreams
-	meanSlowdown      float64  // mean over all upstreams of the logarithm of actual to expected duration
+	meanSlowdown      float64  // moving average, over the runs on all upstreams, of log(actual duration / expected duration)
 	link              link
-	answerTimeout     time.Duration   // after which an answer is overdue
+	responseTimeout   time.Duration   // after which the response to a call is overdue
 	fencedIDs         map[string]bool // upstreams that have seen a higher fencing token
-	fencedAt          time.Time       // when the first of them was lost
+	fencedAt          time.Time       // when the first of these was noticed
 	everAccepted      bool            // some upstream has accepted the fencing token
 	upstreamsListed   bool            // SetUpstreams has been called
 	draining          bool
@@ -52,7 +52,7 @@
 
 func (p *Pool) Token() uint64 { return p.token }
 
-// handle runs one input, starts waiting tasks that fit now, and returns the effects.
+// handle applies one input, starts the waiting tasks that fit now, and returns the effects.
 func (p *Pool) handle(now time.Time, input func()) Effects {
 	var effects Effects
 	p.effects, p.now = &effects, now
@@ -62,9 +62,9 @@
 	return effects
 }
 
-// SetUpstreams replaces the list of the group's upstreams by the entries in the
-// store. It returns the IDs of those that are new: the caller must request the
-// first report of each.
+// SetUpstreams updates the group's upstreams to the given list, which contains the
+// entries in the store. It returns the IDs of the upstreams that are new: the caller
+// must request the first report of each.
 func (p *Pool) SetUpstreams(now time.Time, list []fleet.Upstream) ([]string, Effects) {
 	var added []string
 	effects := p.handle(now, func() {
@@ -88,8 +88,8 @@
 	return added, effects
 }
 
-// upsert adds or updates the upstream of an entry, and reports whether it is new. An
-// upstream that drains does so until its incarnation ends.
+// upsert adds or updates the upstream of an entry, and reports whether the upstream is
+// new. Once an incarnation is known to be draining, that stays so until it ends.
 func (p *Pool) upsert(entry fleet.Upstream) bool {
 	u := p.upstreams[entry.ID]
 	switch {
@@ -102,19 +102,20 @@
 		entry.Draining = entry.Draining || u.Draining
 		u.Upstream = entry
 	}
-	u.listed = true // also if the entry is of a former incarnation, and is out of date otherwise
+	u.listed = true // even an outdated entry, of a former incarnation, shows that the ID is listed
 	return false
 }
 
-// FencedAt returns when the pool lost its first upstream to another owner, which is
-// noticed when the upstream has seen a higher fencing token. It returns the zero time
-// if the pool has lost none.
+// FencedAt returns when the pool first noticed that it had lost an upstream to another
+// owner, or the zero time if it has lost none. It notices that by a response which shows
+// that the upstream has seen a higher fencing token.
 func (p *Pool) FencedAt() time.Time { return p.fencedAt }
 
 // EverAccepted reports whether any upstream has accepted the pool's fencing token.
 func (p *Pool) EverAccepted() bool { return p.everAccepted }
 
-// Drain stops the pool from starting tasks. Waiting tasks are returned.
+// Drain makes the pool start no more tasks, and returns the waiting ones to their
+// coordinators. Tasks that are running go on.
 func (p *Pool) Drain(now time.Time) Effects {
 	return p.handle(now, func() {
 		p.draining = true
@@ -124,7 +125,7 @@
 	})
 }
 
-// Release removes the upstreams of a draining pool that run nothing, and returns
+// Release removes those upstreams of a draining pool that run nothing, and returns
 // their IDs: another owner may take them over.
 func (p *Pool) Release() []string {
 	if !p.draining {
@@ -140,8 +141,7 @@
 	return released
 }
 
-// Idle reports whether the pool has no jobs and no runs. Runs on silent upstreams do
-// not count.
+// Idle reports whether the pool has no jobs, and no runs except on silent upstreams.
 func (p *Pool) Idle() bool {
 	if len(p.jobs) > 0 {
 		return false
@@ -202,9 +202,9 @@
 	}
 }
 
-// blockTasks blocks the waiting tasks that ref names, because a run of them is tracked
-// that was not ordered for their jobs. They must not get a second run beside it, and
-// must not be returned as never started before that run is certain to be over.
+// blockTasks blocks the task ref, if it is waiting, in each offer of its job: a run of
+// it is now tracked that was not ordered for these offers. Until that run is certainly
+// over, the task must not get a second run, and must not be returned as never started.
 func (p *Pool) blockTasks(ref fleet.TaskRef) {
 	for _, j := range p.jobsByID[ref.Job] {
 		if t := j.tasks[ref.Index]; t != nil && t.state == waiting {
@@ -213,7 +213,7 @@
 	}
 }
 
-// unblockTasks lets the tasks that ref names wait for an upstream again.
+// unblockTasks undoes blockTasks: the task ref waits for an upstream again.
 func (p *Pool) unblockTasks(ref fleet.TaskRef) {
 	for _, j := range p.jobsByID[ref.Job] {
 		if t := j.tasks[ref.Index]; t != nil && t.state == blocked {
@@ -223,15 +223,15 @@
 	}
 }
 
-// enqueue adds a job with waiting tasks to the queue, unless the queue has it already.
+// enqueue adds a job with waiting tasks to the queue, unless it is there already.
 func (p *Pool) enqueue(j *job) {
 	if !slices.Contains(p.queue, j) {
 		p.queue = append(p.queue, j)
 	}
 }
 
-// supersede ends the offers that other coordinators made of the same job: its customer
-// has disconnected from them and submitted the job again.
+// supersede ends the offers of the same job by coordinators other than that of the key
+// by: the customer has disconnected from those and submitted the job again.
 func (p *Pool) supersede(by JobKey) {
 	for _, j := range slices.Clone(p.jobsByID[by.ID]) {
 		if j.Key.Coordinator != by.Coordinator {
@@ -240,8 +240,8 @@
 	}
 }
 
-// mayEverFit reports whether any upstream is large enough for a task of j. It also
-// reports true while the pool has no upstream of the job's service.
+// mayEverFit reports whether any upstream is or was large enough for a task of j. It
+// returns true as well while the pool has no upstream of the job's service.
 func (p *Pool) mayEverFit(j *job) bool {
 	hasService := slices.ContainsFunc(p.sortedUpstreams, func(u *upstream) bool { return u.Service == j.Service })
 	return !hasService || p.fitsAnyUpstream(j, func(*upstream) bool { return true })
@@ -286,7 +286,7 @@
 	p.stopRuns(j, reason)
 }
 
-// removeJob stops tracking a job. Its runs stay tracked until they have ended.
+// removeJob removes a job from the pool. Its runs stay tracked until they have ended.
 func (p *Pool) removeJob(j *job) {
 	if p.jobs[j.Key] == j {
 		delete(p.jobs, j.Key)
@@ -338,8 +338,8 @@
 	return fleet.TaskRef{Job: j.Key.ID, Index: t.index}
 }
 
-// endJob ends a job with an outcome and stops its runs. Its tasks are returned if none of
-// them has started.
+// endJob ends a job with an outcome and stops its runs. If none of its tasks can have
+// started, all of them are returned.
 func (p *Pool) endJob(j *job, outcome Outcome) {
 	j.begun = j.begun || j.blockedTasks > 0
 	p.removeJob(j)
--- a/schedule/rack.go
+++ b/schedule/rack.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// The data of a job's tasks may be in one rack; the tasks take longer on upstreams in other
-// racks. The number of a job's tasks that run on the same upstream may be limited.
+// A job may name the rack that holds the data of its tasks; on upstreams in other racks the
+// tasks take longer. It may also limit how many of its tasks run on the same upstream.
 
 // remoteFactor returns how many times longer a task of a job takes on an upstream because
-// its data is in another rack.
+// its data is in another rack. It returns 1 if the data is in the same rack.
 func (p *Pool) remoteFactor(j *job, u *upstream) float64 {
 	if j.Rack == "" || u.Rack == j.Rack {
 		return 1
@@ -20,22 +20,23 @@
 	return p.slowdownFactor(u) * p.remoteFactor(j, u)
 }
 
-// remoteDuration converts a duration in the rack of the data to one on the upstream of the run.
+// remoteDuration converts the duration that a task takes in the rack of its data to the one
+// that it takes on the upstream of the run.
 func (r *run) remoteDuration(local time.Duration) time.Duration {
 	return time.Duration(max(r.remoteFactor, 1) * float64(local))
 }
 
-// localDuration converts a duration on the upstream of the run to one in the rack of the data.
+// localDuration is the inverse of remoteDuration.
 func (r *run) localDuration(took time.Duration) time.Duration {
 	return time.Duration(float64(took) / max(r.remoteFactor, 1))
 }
 
-// remainingPerUpstream returns how many more tasks of a job may run on an upstream under the
-// job's MaxPerUpstream, limited to most. Runs that are being stopped count, and so do those
-// of other submissions of the job.
-func remainingPerUpstream(j *job, u *upstream, most int) int {
+// remainingPerUpstream returns how many more tasks of a job may start on an upstream without
+// exceeding the job's MaxPerUpstream, but at most limit. Runs that are being stopped and runs
+// of other submissions of the job count as running.
+func remainingPerUpstream(j *job, u *upstream, limit int) int {
 	if j.MaxPerUpstream == 0 {
-		return most
+		return limit
 	}
 	running := 0
 	for id := range u.runs {
@@ -43,5 +44,5 @@
 			running++
 		}
 	}
-	return min(max(j.MaxPerUpstream-running, 0), most)
+	return min(max(j.MaxPerUpstream-running, 0), limit)
 }
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -1,8 +1,29 @@
 // Package schedule decides what runs where in one group of upstreams: which
-// task starts next and on which upstream, when a run is stopped and started
-// again elsewhere, and when a job is rejected. It does no I/O and reads no
-// clock: events and the current time are passed in, and the calls to make and
-// the results to deliver are returned.
+// task starts next and on which upstream, when a run is stopped and its task
+// started again elsewhere, and when a job is rejected. It does no I/O and reads
+// no clock: the caller passes in events and the current time, and then makes
+// the calls and delivers the results that the package returns.
+//
+// The terms of this package are:
+//   - An upstream is a process that runs tasks. One execution of the process is
+//     an incarnation of the upstream.
+//   - The owner of a group of upstreams is the instance that alone gives them
+//     work, by means of a Pool. Each owner has a higher fencing token than the
+//     former one. An upstream refuses the orders of an owner once it has seen a
+//     higher token.
+//   - A coordinator is the instance that accepted a job from a customer. It hands
+//     the job, or parts of it, to pools as offers. It may withdraw an offer, and
+//     a pool may return tasks that it does not start.
+//   - A run is one execution of a task. A task has at most one run at a time.
+//   - A lease limits how long an upstream runs tasks without hearing from the
+//     owner: when the lease lapses, the upstream stops its runs by itself.
+//   - A report lists the runs that an upstream is executing and those that have
+//     ended. The order that requests it also renews the leases.
+//   - An upstream is silent if several reports in a row are missing. It is
+//     ejected if it gets no work for some time because tasks fail or are slow
+//     there.
+//   - A job has begun once a run of one of its tasks has been ordered, or may have
+//     been, in any pool.
 package schedule
 
 import (
@@ -13,15 +34,16 @@
 
 // Config holds the limits of a Pool.
 type Config struct {
-	// Lease is the length of the leases that are granted to upstreams. The tasks
-	// of a silent upstream start again elsewhere only after its leases have
-	// lapsed, so it is short; but it must be longer than two report intervals.
+	// Lease is the length of the leases that are granted to upstreams. It is
+	// short, because the tasks of a silent upstream start again elsewhere only
+	// after its leases have lapsed. It must be longer than two report intervals,
+	// because the requests for reports renew the leases, and one of them may fail.
 	Lease time.Duration
-	// ReportWait is how long an upstream may hold back a report until a run ends.
+	// ReportWait is how long an upstream may delay a report until a run ends.
 	ReportWait time.Duration
-	// RemovalGrace is how long an upstream whose entry has vanished from the
-	// store still gets work while it answers: during an outage of the store,
-	// entries vanish although their upstreams are healthy.
+	// RemovalGrace is how long an upstream that responds still gets work after
+	// its entry has vanished from the store: during an outage of the store,
+	// entries of healthy upstreams vanish too.
 	RemovalGrace time.Duration
 	// LinkRate is the capacity of the owner's network link in bytes per second; 0
 	// means unlimited.
@@ -29,41 +51,42 @@
 	// RemoteFactor is how many times longer a task takes on an upstream outside
 	// the rack of its data. Values below 1 count as 1.
 	RemoteFactor float64
-	// CoordinatorStaleAfter is the time since a coordinator was last known to be
-	// alive after which its tasks no longer start, and the leases of upstreams
-	// that run them are no longer renewed.
+	// CoordinatorStaleAfter is how long the tasks of a coordinator may still start
+	// after it was last known to be alive. Once this time has passed, the leases of
+	// upstreams that run its tasks are not renewed either.
 	CoordinatorStaleAfter time.Duration
-	// CoordinatorExpiresAfter is the time since a coordinator was last known to
-	// be alive after which its runs are stopped.
+	// If a coordinator has not been known to be alive for CoordinatorExpiresAfter,
+	// the runs of its tasks are stopped.
 	CoordinatorExpiresAfter time.Duration
 	// Policy switches the scheduling rules on and off.
 	Policy Policy
 }
 
-// DefaultConfig suits upstreams that grant leases of up to one second.
+// DefaultConfig suits upstreams that accept leases of up to one second.
 var DefaultConfig = Config{
 	Lease:        700 * time.Millisecond,
 	ReportWait:   250 * time.Millisecond,
 	RemovalGrace: 2500 * time.Millisecond,
 	// Customers resubmit a job 1.3 s after their connection broke; by then no run
-	// of the first submission may be left. A lease that is granted
-	// CoordinatorStaleAfter after the coordinator was last alive lapses at most
-	// 734 ms later, on the slowest clock allowed: 1.23 s in all.
+	// of the first submission may be left. The last lease is granted at most 500 ms
+	// after the coordinator was last known to be alive. On the slowest clock allowed
+	// it lapses 734 ms later: after 1.23 s in all.
 	//
-	// A stop that is sent after CoordinatorExpiresAfter takes effect within 100 ms
-	// if the upstream answers. The leases of the other runs on that upstream, which
-	// are not renewed meanwhile, last until then.
+	// The stop that is sent after 900 ms takes effect within 100 ms if the upstream
+	// responds. Until then none of the upstream's leases is renewed, but those of
+	// the other runs there do not lapse before the stop has taken effect.
 	CoordinatorStaleAfter:   500 * time.Millisecond,
 	CoordinatorExpiresAfter: 900 * time.Millisecond,
 	Policy:                  DefaultPolicy,
 }
 
-// maxLeaseShare is the largest part of the longest lease that an upstream grants
-// that is used.
+// maxLeaseShare limits the length of leases, as a fraction of the longest lease
+// that upstreams accept.
 const maxLeaseShare = 0.7
 
-// ConfigForMaxLease returns a Config for upstreams that grant leases of at most
-// the given length.
+// ConfigForMaxLease returns a Config for upstreams that accept leases of at most
+// the given length. If its leases are shorter than those of DefaultConfig, its
+// report intervals are too, since requests for reports renew the leases.
 func ConfigForMaxLease(longest time.Duration) Config {
 	c := DefaultConfig
 	if lease := time.Duration(maxLeaseShare * float64(longest)); lease < c.Lease {
@@ -75,27 +98,29 @@
 
 const (
 	// minClockRate is the slowest rate at which the clock of an upstream may run,
-	// relative to real time.
+	// relative to real time. A lease lasts longer on a slow clock.
 	minClockRate = 0.98
-	// leaseLapseMargin is how long after its computed end a lease is taken to
-	// have lapsed.
+	// leaseLapseMargin is a safety margin: a lease is assumed to have lapsed this
+	// long after its computed end.
 	leaseLapseMargin = 20 * time.Millisecond
-	// minResendInterval is the shortest time after which an unanswered stop is sent
-	// again, and after which an upstream is polled again for a report without a
-	// stopped run: about ten round trips, since the task cannot start elsewhere
-	// before both have been answered. The interval is longer where answers take
-	// longer.
+	// minResendInterval is the shortest time after which a stop without a response
+	// is sent again. It is also the shortest time after which an upstream that has
+	// acknowledged a stop is polled again, until its report no longer lists the
+	// run. It is only about ten round trips long, because the task starts elsewhere
+	// only after both steps. See resendInterval for slow responses.
 	minResendInterval = 25 * time.Millisecond
-	// maxRecentEnds is how many ended runs are remembered per upstream: a report
-	// that is delivered out of order may still list them as running.
+	// maxRecentEnds is how many ended runs are remembered per upstream. A report
+	// that is delivered out of order may still list them as running, and without
+	// this memory they would be taken for runs of a former owner.
 	maxRecentEnds = 32
-	// runNumberStep is by how much the run number of a task is raised after an
-	// upstream refused a start because it has seen a higher number.
+	// runNumberStep is added to the run number of a task after an upstream refused
+	// a start because it had already seen that number or a higher one. With a
+	// smaller step, more starts could be refused before one is accepted.
 	runNumberStep = 8
 )
 
-// JobKey identifies a part of a job as one instance coordinates it. A customer
-// may submit a job with the same ID to another instance as well.
+// JobKey identifies a part of a job. It includes the coordinator, because a
+// customer may submit the same job to another instance as well.
 type JobKey struct {
 	Coordinator string
 	ID          string
@@ -112,27 +137,30 @@
 	Estimate    time.Duration   // duration of one task, as declared by the customer
 	Priority    int             // 0 is the most urgent
 	MaxAttempts int             // failed runs of one task after which the job has failed
-	Tasks       []int           // indexes within the step
-	// History holds the earlier runs, in other pools, of those tasks that had any.
-	// All of these runs have ended, and none can start any more.
+	Tasks       []int           // indexes within their step, a set of identical tasks
+	// History describes, by task index, the runs that tasks have had in other pools.
+	// Tasks without such runs have no entry. All of these runs are over: none is
+	// executing, and none can start late.
 	History map[int]TaskHistory
-	// The latency objective of the job is Stretch times its work plus Slack,
-	// counted from its first submission, which was Age ago.
+	// The latency objective of the job is Stretch times the expected duration of its
+	// longest task, plus Slack. It is counted from the job's first submission, which
+	// was Age ago.
 	Stretch float64
 	Slack   time.Duration
 	Age     time.Duration
 	// Timeout is how long the customer still waits for the response.
 	Timeout time.Duration
-	// AliveAt is a time at which the coordinator was certainly alive and the
-	// customer connected, on the clock of the process that holds the offer. It is
-	// zero for a coordinator in the same process as the pool, which needs no lease.
+	// AliveAt is a time, on the pool's clock, at which the coordinator was certainly
+	// alive and the customer connected. It is zero if the coordinator needs no lease
+	// with the pool (see coordinatorLease), as in a simulation in which coordinators
+	// do not fail.
 	AliveAt time.Time
-	// Begun is set if other tasks of the job have started elsewhere.
+	// Begun is set if other tasks of the job have been started by other pools.
 	Begun bool
 	// MayQueue allows tasks to wait in the pool if no upstream has capacity for
-	// them. Without it, they are returned at once.
+	// them. If it is not set, they are returned at once.
 	MayQueue bool
-	// AllOrNothing starts either all tasks at once or none.
+	// AllOrNothing starts the tasks only when all of them can start at once.
 	AllOrNothing bool
 	// Rack is the rack with the data of the tasks; "" if they have none.
 	Rack string
@@ -141,16 +169,16 @@
 	MaxPerUpstream int
 }
 
-// TaskHistory describes the runs that a task has behind it when it moves from one
-// pool to another: run numbers keep rising, and the limits on failures and crashes
-// hold wherever the task runs.
+// TaskHistory describes the earlier runs of a task that moves from one pool to
+// another. With it the next pool continues the run numbers, and applies the limits
+// on failures and crashes to the runs in all pools.
 type TaskHistory struct {
 	LastRun    uint32 // number of the last run
 	FailedRuns int
 	Crashes    int // upstreams that crashed while they ran the task
 }
 
-// Outcome is how a pool's part of a job ended.
+// Outcome is how an offer ended in its pool.
 type Outcome string
 
 // The outcomes of an offer.
@@ -158,9 +186,9 @@
 	Completed Outcome = "completed"  // every task that was not returned is done
 	Failed    Outcome = "failed"     // a task reached its limit of failed runs
 	Crashed   Outcome = "crashed"    // a task reached its limit of crashed upstreams
-	Expired   Outcome = "expired"    // the job cannot finish in time any more
+	Expired   Outcome = "expired"    // the job cannot finish in time
 	NeverFits Outcome = "never_fits" // no upstream is large enough for a task
-	Unknown   Outcome = "unknown"    // the pool lost track of runs, or the job was resubmitted elsewhere
+	Unknown   Outcome = "unknown"    // the pool cannot learn how runs end, or the customer resubmitted the job to another coordinator
 )
 
 // Result tells the coordinator that tasks of an offer are returned, or that the
@@ -169,23 +197,23 @@
 	Key     JobKey
 	Outcome Outcome // empty while the offer goes on
 	Done    []int
-	// Returned are tasks that are not running in this pool and will not be started
-	// by it. Those without an entry in History have never started.
+	// Returned are tasks that are not running in this pool and that it will not
+	// start. Those without an entry in History have never started.
 	Returned []int
 	History  map[int]TaskHistory // of the tasks that have been returned so far
-	Begun    bool                // some task may have started
+	Begun    bool                // a task of the offer has started in this pool, or may have
 }
 
 // Start is an order to start a run on an upstream.
 type Start struct {
 	Upstream fleet.Upstream
 	Order    fleet.StartOrder
-	// LinkDelay is how long the owner's network link takes until it has
-	// transmitted the order, including everything that is queued before it.
+	// LinkDelay is how long the owner's network link takes to transmit everything
+	// that is queued ahead of the order, and then the order itself.
 	LinkDelay time.Duration
 	// SendBy is when the lease that the order grants ends. The order must not be
-	// sent later: this incarnation of the upstream would refuse it, but the next
-	// one would not.
+	// sent later. The incarnation that it is meant for would refuse it as too late,
+	// but the next incarnation, whose clock starts afresh, would carry it out.
 	SendBy time.Time
 }
 
@@ -195,13 +223,14 @@
 	Run      fleet.Run
 }
 
-// Effects are the actions that the caller must carry out after an input.
+// Effects are what the caller must do after an input: send the orders and polls,
+// deliver the results and log the decisions.
 type Effects struct {
 	Starts    []Start
 	Stops     []Stop
 	Polls     []string // upstreams to ask for a report at once
-	Returns   []Result // tasks to be placed elsewhere, of offers that go on
-	Results   []Result // of offers that have ended
+	Returns   []Result // returned tasks of offers that go on; their coordinators offer them to other pools
+	Results   []Result // results of offers that have ended
 	Decisions []Decision
 }
 
@@ -209,21 +238,21 @@
 type Decision struct {
 	Kind DecisionKind
 	Job  string // "" where the decision is about an upstream
-	// Coordinator is the coordinator of the offer. Two coordinators of one job
-	// mean that its customer has submitted it twice.
+	// Coordinator is the coordinator of the offer. If a log shows two coordinators
+	// for one job, its customer has submitted it twice.
 	Coordinator string
-	// Task is the index of the task, or a count where the decision is not about one
-	// task: of the tasks done or returned, of the failures of an ejected upstream,
-	// of the runs on an upstream that is silent, gone or fenced.
+	// Task is the index of the task. In decisions that are not about one task it is a
+	// count: of the tasks that are done (result) or returned, of the failures of an
+	// ejected upstream, or of the runs on an upstream that is silent, gone or fenced.
 	Task         int
 	Run          uint32
 	Upstream     string
 	Reason       string
 	FreeMilliCPU int64 // thousandths of a core that a start leaves free on the upstream
 	Queued       int   // tasks that wait in the pool
-	// Age is the time since the job was offered. For a stop it is the age of the
-	// run, for an ejection its length, and for an upstream that is silent or
-	// responds again the time since its last report.
+	// Age is the time since the job was offered, with these exceptions: for a stop it
+	// is the age of the run, for an ejection the length of the ejection, and for an
+	// upstream that is silent or responds again the time since its last report.
 	Age  time.Duration
 	Late bool // the result comes after the job's latency objective
 }
@@ -233,17 +262,17 @@
 
 // The kinds of decisions.
 const (
-	DecidedStart      DecisionKind = iota // a task starts
-	DecidedRetry                          // a run is over, and its task waits again
+	DecidedStart      DecisionKind = iota // a run of a task is ordered
+	DecidedRetry                          // a run ended without success or never started, and its task waits again
 	DecidedStop                           // a run is stopped
-	DecidedReturn                         // tasks go back to their coordinator
+	DecidedReturn                         // tasks are returned to their coordinator
 	DecidedResult                         // an offer has ended
 	DecidedEject                          // an upstream gets no work for some time
 	DecidedReadmit                        // an ejected upstream gets work again
-	DecidedSilent                         // an upstream does not answer
-	DecidedResponding                     // a silent upstream answers again
-	DecidedGone                           // an upstream is removed: it has ended, restarted or lost its entry
-	DecidedFenced                         // an upstream has seen a higher fencing token
+	DecidedSilent                         // several reports of an upstream in a row are missing
+	DecidedResponding                     // a silent upstream responds again
+	DecidedGone                           // an upstream is removed: it has ended, restarted or lost its entry in the store
+	DecidedFenced                         // an upstream has seen a higher fencing token: another instance owns it
 	DecidedSuspect                        // a task is suspected of crashing upstreams
 )
 
@@ -252,31 +281,31 @@
 const (
 	starting runState = iota
 	running
-	stopping // a stop was ordered and has not been answered
-	stopped  // the stop was answered; the next report must show that the run is gone
+	stopping // a stop was ordered and has not been acknowledged
+	stopped  // the stop was acknowledged; the task waits again once a report no longer lists the run
 )
 
-// run is one run that may be executing, or may still start.
+// run is a run that may be executing or may still start.
 type run struct {
 	id               fleet.Run
 	job              *job // nil once the run is no longer wanted
 	upstream         *upstream
-	demand           fleet.Resources // zero for a foreign run, whose demand is not known
-	foreign          bool            // reported by the upstream, but ordered by a former owner
+	demand           fleet.Resources // zero if fromFormerOwner is set, since the demand is not known then
+	fromFormerOwner  bool            // reported by the upstream, but ordered by a former owner of the group
 	state            runState
-	orderedAt        time.Time // when its start leaves this instance, after the delay of the link
-	startAckedAt     time.Time // when the answer to the start, or the first report of the run, came
-	unwantedSince    time.Time // when its job ended or was withdrawn
+	orderedAt        time.Time // when the network link has transmitted the order to start it
+	startAckedAt     time.Time // when its start was acknowledged or a report first listed it; zero before
+	unwantedSince    time.Time // when its job ended or was withdrawn; zero while the run is wanted
 	stopSentAt       time.Time
 	stopAckedAt      time.Time
-	expectedDuration time.Duration // as of when the run was ordered
-	remoteFactor     float64       // how many times longer the task takes on this upstream, outside the rack of its data
-	slowdownLearned  bool          // its progress has been used to estimate the upstream's speed
+	expectedDuration time.Duration // as estimated when the run was ordered
+	remoteFactor     float64       // how many times longer the task takes because its data is in another rack; 1 in the same rack
+	slowdownLearned  bool          // its pace has been used to estimate the upstream's speed
 	polledAt         time.Time     // when the upstream was last polled because of this run
 	reported         bool          // a report has listed the run
-	percent          int           // of its work that is done, as last reported
-	percentRoseAt    time.Time
-	percentAt        time.Time // when percent was last reported
+	percent          int           // share of its work that is done, as last reported
+	percentRoseAt    time.Time     // when a report last showed progress
+	percentAt        time.Time     // when percent was last reported
 }
 
 type taskState int
@@ -285,9 +314,9 @@
 	waiting taskState = iota
 	placed            // a run was ordered
 	ended
-	// blocked is the state of a task that must not start because a run of it may be
-	// executing that was not ordered for this job: one of an earlier submission, or
-	// of a former owner. That run is being stopped.
+	// blocked means that the task must not start yet, because a run of it that was
+	// not ordered for this offer may still be executing. That run was ordered for an
+	// earlier submission of the job or by a former owner, and is being stopped.
 	blocked
 )
 
@@ -296,10 +325,11 @@
 	state      taskState
 	lastRun    uint32 // number of the last run
 	failedRuns int
-	moves      int // runs that were stopped because they were slow
+	moves      int // runs that were stopped because they were slow or stalled
 }
 
-// history returns the earlier runs of a task, and whether it had any.
+// history returns the history of a task, without its crashes, and whether the task has had
+// a run.
 func (t *task) history() (TaskHistory, bool) {
 	return TaskHistory{LastRun: t.lastRun, FailedRuns: t.failedRuns}, t.lastRun > 0
 }
@@ -313,36 +343,37 @@
 	taskList             []*task       // in the order of the offer
 	unfinished           int           // tasks that are neither done nor returned
 	blockedTasks         int
-	begun                bool                // this pool has ordered a run of it
+	begun                bool                // this pool has ordered a run of one of its tasks
 	failedOn             map[string]bool     // upstreams on which a task of it failed
-	failureChargedTo     *upstream           // where a task failed first; nil once one failed on another upstream too
+	failureChargedTo     *upstream           // where a task failed first; nil before that, and once a task failed on another upstream too
 	history              map[int]TaskHistory // of tasks that were returned after they had runs
 	done                 []int
 }
 
 type upstream struct {
 	fleet.Upstream
-	accepted        bool // it has accepted the fencing token: its first report has come
-	listed          bool // the store has an entry of it
-	unlistedAt      time.Time
+	accepted        bool      // it has sent a report, and so has accepted the fencing token
+	listed          bool      // the store has an entry of it
+	unlistedAt      time.Time // when its entry was found to be missing
 	used            fleet.Resources
 	runs            map[fleet.Run]*run
-	foreignRuns     int
+	formerOwnerRuns int
 	clockMs         int64       // its clock, as of the last report
 	clockReadAt     time.Time   // when the last report came
-	maxLeaseUntilMs int64       // the latest end of a lease that was ordered, on its clock
-	lastEndSequence uint64      // sequence number of the last end of a run that was processed
+	maxLeaseUntilMs int64       // the latest end, on its clock, of the leases granted to it
+	lastEndSequence uint64      // sequence number of the last reported end of a run that was processed
 	recentEnds      []fleet.Run // the last runs that ended, newest last
-	// unresolvedStarts are runs that are no longer tracked although it is not known
-	// whether they ever started.
+	// unresolvedStarts are runs that are no longer tracked although the orders to
+	// start them may still be in transit.
 	unresolvedStarts []fleet.Run
-	// suspectedTasks are the tasks that are suspected because the upstream was taken
-	// to have crashed when its leases lapsed.
+	// suspectedTasks are the tasks that became suspects when the leases of the upstream
+	// lapsed and it was assumed to have crashed. If it responds again, it had not crashed,
+	// and this crash no longer counts against them.
 	suspectedTasks    []fleet.TaskRef
-	reportRequestedAt time.Time // when the newest report that was processed was requested
-	missedReports     int       // consecutive reports that did not come, with no other answer in between
+	reportRequestedAt time.Time // when the newest processed report was requested
+	missedReports     int       // reports missing in a row; a report, or a start or stop that succeeds, resets it to 0
 	silent            bool
-	renewalBlocked    bool // its leases must not be renewed, as of the pool's last check
+	renewalBlocked    bool // its leases must not be renewed, according to the last call of checkRenewals
 	health            health
 	slowdown          slowdown
 }
--- a/schedule/tick.go
+++ b/schedule/tick.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Tick does everything that depends on time alone. It must be called regularly.
+// Tick does the work that is due because time has passed, such as handling leases that have
+// lapsed and ending jobs that have expired. It must be called regularly.
 func (p *Pool) Tick(now time.Time) Effects {
 	return p.handle(now, func() {
 		for _, u := range slices.Clone(p.sortedUpstreams) {
@@ -46,8 +47,8 @@
 	}
 }
 
-// handleLapse requeues the tasks of a silent upstream whose leases have lapsed: its runs are
-// over, whether it has crashed or is only unreachable.
+// handleLapse requeues the tasks of a silent upstream whose leases have lapsed. Its runs are
+// over: either the upstream has crashed, or it is unreachable and has stopped them itself.
 func (p *Pool) handleLapse(u *upstream) {
 	runs := sortedRuns(u)
 	suspects := p.recordCrash(u, runs)
@@ -60,9 +61,13 @@
 	p.endCrashingJobs(suspects)
 }
 
-// pollIfOverdue polls the upstream of a run that should have ended, if reports are being
-// lost: otherwise the end may become known only after the next report has timed out, up to
-// 400 ms later. On a sound network it does not poll.
+// pollIfOverdue polls the upstream of a run for a report if the run should have ended and
+// reports are being lost. Without the poll, the pool might learn of the end only after the
+// outstanding request for a report has timed out, up to 400 ms later. On a network that loses
+// few reports it does not poll.
+//
+// A run should have ended if its expected duration has passed, or if the end that expectedEnd
+// extrapolates from its progress has.
 func (p *Pool) pollIfOverdue(r *run) {
 	u := r.upstream
 	if !p.cfg.Policy.LookOverdue || p.missRate.share < lossyMissRate || u.silent || p.now.Before(r.expectedEnd(p.now)) && !p.now.After(r.orderedAt.Add(r.expectedTotal())) {
@@ -75,10 +80,12 @@
 	p.effects.Polls = append(p.effects.Polls, u.ID)
 }
 
-// endIfExpired ends a job that can no longer finish while its result is of use, because
-// tasks of it wait for capacity. It does not end a job whose tasks are only blocked by runs
-// that may still be executing. A job that has started goes on while any upstream could run
-// its waiting tasks: finishing late is better than having run the other tasks for nothing.
+// endIfExpired ends a job whose result would come too late to be of use, because some of its
+// tasks still wait for capacity. There are two exceptions:
+//   - A job that has begun goes on while any upstream could run its waiting tasks, because
+//     finishing late is better than having run the other tasks for nothing.
+//   - A job without waiting tasks goes on, even if tasks of it are blocked by runs that may
+//     still be executing.
 func (p *Pool) endIfExpired(j *job) {
 	if !p.cfg.Policy.GiveUp || p.jobs[j.Key] != j || p.now.Add(j.expectedTaskDuration/2).Before(j.expiry()) {
 		return
@@ -94,8 +101,8 @@
 	}
 }
 
-// hasRunnableUpstream reports whether any upstream that answers could run a task of j, now or
-// after its ejection.
+// hasRunnableUpstream reports whether any upstream that responds could run a task of j, now or
+// later, for example when its ejection ends.
 func (p *Pool) hasRunnableUpstream(j *job) bool {
 	return p.fitsAnyUpstream(j, func(u *upstream) bool { return u.accepted && !u.silent && p.acceptsStarts(u) })
 }
