--- a/schedule/closed.go
+++ b/schedule/closed.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// A pool is closed for a job when none of its upstreams accepts tasks of the job any
-// more, because they drain, their availability zone is evacuated, or their entries have
-// been removed from the store. The waiting tasks then go back to the coordinator at once,
-// which offers them to other pools.
+// A pool is closed for a job when none of its upstreams that are large enough accepts new
+// tasks. An upstream accepts none while it is draining, while its availability zone is
+// evacuated or its entry in the store is invalid, and after its entry has been removed.
+// The waiting tasks of the job are then returned to the coordinator at once, which offers
+// them to other pools.
 
-// acceptsStarts reports whether an upstream accepts new tasks: it does not drain, is not
-// closed by the operators, and its entry in the store has not been missing for too long.
-// It ignores health and free capacity.
+// acceptsStarts reports whether an upstream accepts new tasks: it is not draining, it is
+// not closed (see fleet.Upstream), and its entry in the store has not been missing for
+// longer than RemovalGrace. Whether it is silent, ejected or full does not matter here.
 func (p *Pool) acceptsStarts(u *upstream) bool {
 	removed := !u.listed && p.now.Sub(u.unlistedAt) > p.cfg.RemovalGrace
 	return !u.Draining && !u.Closed && !removed
@@ -35,9 +36,10 @@
 	})
 }
 
-// fitsCurrentCapacity reports false if a task of a job fits on no empty upstream now but
-// would fit if the capacity of one had not shrunk. Such a job may fit again, but it is
-// not known when. Only upstreams of the job's service that accept new tasks count.
+// fitsCurrentCapacity returns false if a task of a job is too large for every upstream at
+// its current capacity, but would fit if the capacity of one had not shrunk. That capacity
+// may grow again, but it is not known when. Only upstreams of the job's service that accept
+// new tasks count.
 func (p *Pool) fitsCurrentCapacity(j *job) bool {
 	shrunk := false
 	for _, u := range p.sortedUpstreams {
--- a/schedule/forecast.go
+++ b/schedule/forecast.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// admissionShare is the part of its latency objective within which a job that has not
-// started must be expected to finish. Forecasts are off by about 30% of a task's duration,
-// and a job that finishes late has taken capacity from others for nothing.
+// admissionShare is the fraction of its latency objective within which a job that has not
+// begun must be expected to finish, or it is rejected. It is below 1 because forecasts are off
+// by about 30% of a task's duration, and a job that finishes late has taken capacity from
+// others for nothing.
 const admissionShare = 0.9
 
-// forecast predicts when capacity becomes free, from the current runs: each run that ends
-// makes room for one task. Waiting tasks reserve capacity in the order in which they would
+// forecast predicts from the current runs when tasks can start: each run that ends frees
+// capacity for one task. Waiting tasks reserve that capacity in the order in which they would
 // start.
 type forecast struct {
 	now    time.Time
-	freeAt timeHeap
-	// linkDelay is how long the owner's network link takes to transmit what is queued on
-	// it and the orders of the tasks that have reserved capacity.
+	freeAt timeHeap // has an element per task that can run at a time: when its capacity becomes free
+	// linkDelay is how long the owner's network link takes to transmit the orders that are
+	// queued on it, and then those of the tasks that have reserved capacity.
 	linkDelay time.Duration
 }
 
@@ -35,8 +36,9 @@
 	return v
 }
 
-// overdueExtraShare is how much longer a run is expected to take that is overdue already,
-// as a share of its expected duration: durations differ by about 40%.
+// overdueExtraShare is how much longer a run is expected to take if its expected duration has
+// passed already, as a share of that duration. Durations differ by about 40%, so many runs do
+// take longer than expected.
 const overdueExtraShare = 0.25
 
 // newForecast returns the forecast for the tasks of one service.
@@ -44,7 +46,7 @@
 	f := &forecast{now: p.now, linkDelay: p.link.queueDelay(p.now)}
 	for _, u := range p.sortedUpstreams {
 		if u.Service != service || !p.usable(u, p.now) || !u.used.Within(u.Capacity) {
-			continue // if its capacity has shrunk below its use, an end makes no room yet
+			continue // the last condition: after its capacity shrank below its use, the end of one run frees nothing yet
 		}
 		for _, r := range u.runs {
 			f.freeAt = append(f.freeAt, r.expectedEnd(p.now))
@@ -54,8 +56,8 @@
 	return f
 }
 
-// expectedEnd returns when a run is expected to free its capacity, extrapolated from its
-// progress if that is known.
+// expectedEnd returns when a run is expected to end. It extrapolates from the progress of the
+// run, if that is known.
 func (r *run) expectedEnd(now time.Time) time.Time {
 	if r.job == nil {
 		return now.Add(minResendInterval) // it is being stopped
@@ -72,8 +74,8 @@
 	return end
 }
 
-// expectedTotal returns how long a run is expected to take in all; 0 for a run that is no
-// longer wanted.
+// expectedTotal returns how long a run is expected to take from start to end. It returns 0 for
+// a run that is no longer wanted.
 func (r *run) expectedTotal() time.Duration {
 	if r.job == nil {
 		return 0
@@ -81,15 +83,15 @@
 	return r.remoteDuration(r.job.expectedTaskDuration)
 }
 
-// addFree adds slots that are free now, each for one task.
+// addFree adds capacity for a number of tasks that is free now.
 func (f *forecast) addFree(slots int) {
 	for range slots {
 		heap.Push(&f.freeAt, f.now)
 	}
 }
 
-// reserveBegun reserves capacity for the jobs in the queue that have started, because they
-// go first. It leaves out the job except.
+// reserveBegun reserves capacity for the waiting tasks of the jobs in the queue that have
+// begun, because these go first. It leaves out the job except.
 func (f *forecast) reserveBegun(queue []*job, except *job) {
 	for _, j := range queue {
 		if j != except && j.hasBegun() {
@@ -99,8 +101,8 @@
 }
 
 // reserve reserves capacity for a number of tasks of the given duration, and returns when
-// the last of them is expected to start. It reports false if the forecast has no capacity
-// at all.
+// the last of them is expected to start. It returns false if the forecast has no capacity,
+// neither now nor later.
 func (f *forecast) reserve(tasks int, duration time.Duration) (time.Time, bool) {
 	last := f.now
 	for range tasks {
@@ -137,10 +139,10 @@
 	return start.Add(time.Duration(longestTaskFactor * float64(j.expectedTaskDuration)))
 }
 
-// rejectLate rejects the jobs that have not started and are expected to finish late. It
-// goes through the queue in the order in which jobs would start, and a rejected job makes
-// room for those behind it. Its coordinator tries other groups, or its customer is told
-// early enough to go elsewhere.
+// rejectLate rejects the jobs that have not begun and are expected to finish late. It goes
+// through the queue in the order in which jobs would start. A rejected job reserves no
+// capacity, which leaves more for those behind it. Its coordinator can still offer it to other
+// groups, or refuse it early enough for the customer to go elsewhere.
 func (p *Pool) rejectLate() {
 	if !p.cfg.Policy.RejectEarly || len(p.queue) == 0 {
 		return
@@ -164,20 +166,21 @@
 	}
 }
 
-// minForecastInterval is the shortest time after which an arriving job causes another
-// forecast for the whole queue: its cost grows with the queue, and the next tick makes one
-// in any case.
+// minForecastInterval is the shortest time after a forecast for the whole queue after which an
+// arriving job causes another one. The cost of such a forecast grows with the queue, and the
+// next tick makes one in any case.
 const minForecastInterval = 5 * time.Millisecond
 
-// rejectLateOnArrival calls rejectLate unless it has just been called.
+// rejectLateOnArrival calls rejectLate when a job has arrived, unless rejectLate was called
+// less than minForecastInterval ago.
 func (p *Pool) rejectLateOnArrival() {
 	if p.now.Sub(p.forecastAt) >= minForecastInterval {
 		p.rejectLate()
 	}
 }
 
-// reserveUnlessLate reports whether a job that has not started is expected to finish late.
-// For any other job it reserves capacity in the forecast.
+// reserveUnlessLate returns true if a job has not begun and is expected to finish late.
+// Otherwise it reserves capacity for the job's waiting tasks in the forecast.
 func (p *Pool) reserveUnlessLate(j *job, f *forecast) bool {
 	if !j.hasBegun() && !p.fitsCurrentCapacity(j) {
 		return true
@@ -202,8 +205,8 @@
 	return true
 }
 
-// admissionDeadline returns the time by which a job that has not started must be expected
-// to finish in order not to be rejected.
+// admissionDeadline returns the time by which a job that has not begun must be expected to
+// finish, or it is rejected.
 func (j *job) admissionDeadline() time.Time {
 	latestEnd := j.submittedAt().Add(time.Duration(admissionShare * float64(j.objective())))
 	if timeoutAt := j.offeredAt.Add(j.Timeout); timeoutAt.Before(latestEnd) {
--- a/schedule/missrate.go
+++ b/schedule/missrate.go
@@ -2,26 +2,28 @@
 
 import "math"
 
-// missRate is the moving average of the share of reports that did not come, over all
-// upstreams of a pool. If reports of many upstreams are missing at the same time, the cause
-// is not one of them: the network or this instance may be slow or dropping messages.
+// missRate is the moving average of the share of reports that are missing, over all upstreams
+// of a pool. If reports of many upstreams are missing at the same time, no single upstream is
+// the cause: the network or this instance may be slow or may drop messages.
 type missRate struct{ share float64 }
 
 const (
 	// reportWeight is the weight of one report in the moving average.
 	reportWeight = 0.02
-	// minMisses and maxMisses bound the number of consecutive missing reports after
-	// which an upstream counts as silent.
+	// minMisses and maxMisses bound how many reports in a row must be missing for an
+	// upstream to become silent.
 	minMisses = 2
 	maxMisses = 6
-	// maxMissShare bounds the share from above, so that its logarithm is not 0.
+	// maxMissShare is the highest share that missesToSilent calculates with, so that it
+	// does not divide by the logarithm of 1.
 	maxMissShare = 0.99
-	// maxChanceProbability is how probable it may be, at the share of missing reports of
-	// all upstreams, that an upstream counts as silent by chance.
+	// maxChanceProbability is the accepted probability that an upstream becomes silent only
+	// because reports are lost at random, at the present miss rate. With a lower one it would
+	// take longer to notice an upstream that has failed.
 	maxChanceProbability = 0.01
 )
 
-// record updates the share with one report, which came or was missed.
+// record updates the share with one report, which came or is missing.
 func (m *missRate) record(missed bool) {
 	value := 0.0
 	if missed {
@@ -30,8 +32,8 @@
 	m.share += reportWeight * (value - m.share)
 }
 
-// missesToSilent returns the number of consecutive missing reports after which an upstream
-// counts as silent.
+// missesToSilent returns how many reports in a row must be missing for an upstream to become
+// silent. The number rises with the miss rate, as more of them are missing by chance.
 func (m *missRate) missesToSilent() int {
 	if m.share <= 0 {
 		return minMisses
--- a/schedule/policy.go
+++ b/schedule/policy.go
@@ -1,45 +1,48 @@
 package schedule
 
-// Policy switches the rules by which a pool decides. Package lab measures the effect
-// of each rule; in production all of them are on, as in DefaultPolicy.
+// Policy switches single rules of a pool's decisions on or off. Package lab measures the
+// effect of each rule by switching it off; in production all are on, as in DefaultPolicy.
 type Policy struct {
-	// EarliestFirst starts jobs in the order of the latest start with which they
-	// still meet their objective. Without it, they start in the order of their
-	// offers.
+	// EarliestFirst starts jobs in the order of their latest start times, the times by
+	// which they must start to meet their latency objectives. Without this rule they
+	// start in the order in which they were offered.
 	EarliestFirst bool
-	// BegunFirst puts jobs with tasks that have started before all others.
+	// BegunFirst starts the waiting tasks of jobs that have begun before those of other
+	// jobs. A job has begun once any of its tasks has started.
 	BegunFirst bool
-	// GiveUp ends jobs that can no longer finish while their result is of use, also
-	// if tasks of them have started.
+	// GiveUp ends jobs whose results would come too late to be of use, even if some of
+	// their tasks have started.
 	GiveUp bool
 	// MoveSlow stops runs that are stalled or far slower than expected, and starts
 	// their tasks on other upstreams.
 	MoveSlow bool
-	// DoubtFailing, DoubtRefusing and DoubtSlow eject upstreams on which tasks fail,
-	// that refuse starts, and on which runs are slow: they get no work for some time.
+	// DoubtFailing ejects upstreams on which tasks fail: they get no work for some time.
+	// DoubtRefusing does the same with upstreams that refuse starts because of their
+	// state, and DoubtSlow with those on which runs are slow or stalled.
 	DoubtFailing  bool
 	DoubtRefusing bool
 	DoubtSlow     bool
-	// SingleTrial limits an ejected upstream to one task at a time until a task
-	// succeeds there.
+	// SingleTrial limits an upstream whose ejection is over to one task at a time until a
+	// task succeeds there.
 	SingleTrial bool
-	// LearnTimes corrects the declared duration of tasks by the durations measured on
-	// the same route, and LearnJob by those of other tasks of the same job.
+	// LearnTimes corrects the declared duration of tasks by the measured durations of
+	// tasks on the same route. LearnJob replaces it by the measured duration of a task of
+	// the same job.
 	LearnTimes bool
 	LearnJob   bool
-	// RejectEarly ends jobs that have not started as soon as they are expected to
-	// finish late.
+	// RejectEarly ends jobs that have not begun as soon as they are expected to finish
+	// late.
 	RejectEarly bool
-	// WholeJobs starts the tasks of a job only once all of them are expected to
+	// WholeJobs starts the first task of a job only once all of its tasks are expected to
 	// start in time.
 	WholeJobs bool
-	// ComparePeers raises the number of missing reports after which an upstream
-	// counts as silent while reports of its peers are missing as well.
+	// ComparePeers raises the number of missing reports after which an upstream counts as
+	// silent, while reports of other upstreams are missing as well.
 	ComparePeers bool
-	// LookOverdue polls an upstream where the end of a run is overdue while reports
-	// are being lost.
+	// LookOverdue polls upstreams for reports on runs that should have ended, while
+	// reports are being lost.
 	LookOverdue bool
-	// LearnSpeed avoids upstreams on which tasks take longer than on their peers.
+	// LearnSpeed avoids upstreams on which tasks take longer than on the others.
 	LearnSpeed bool
 }
 
--- a/schedule/return.go
+++ b/schedule/return.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Waiting tasks are returned to their coordinator if there is no capacity for them and
-// they may not queue, or if the pool will not start them any more.
+// Waiting tasks are returned to their coordinator in two cases: there is no capacity for
+// them and they may not queue, or the pool will not start them at all.
 
-// returnUnstarted returns the waiting tasks of a job that have never started to the
-// coordinator.
+// returnUnstarted returns to the coordinator those waiting tasks of a job that have never
+// started.
 func (p *Pool) returnUnstarted(j *job, reason string) {
 	p.returnTasks(j, reason, func(t *task) bool { return t.lastRun == 0 })
 }
 
-// returnAllWaiting returns all waiting tasks of a job to the coordinator, also those with
-// earlier runs: the job can then be completed elsewhere instead of failing because the
-// upstreams of this pool accept no new tasks.
+// returnAllWaiting returns all waiting tasks of a job to the coordinator, including those
+// with earlier runs. Since this pool will not start them, the job can only be completed by
+// another pool.
 func (p *Pool) returnAllWaiting(j *job, reason string) {
 	p.returnTasks(j, reason, func(*task) bool { return true })
 }
 
-// returnTasks returns the eligible waiting tasks of a job to the coordinator. The job ends
-// if no other tasks of it are left.
+// returnTasks returns the eligible waiting tasks of a job to the coordinator. If that leaves
+// no unfinished task in the offer, the offer ends as completed.
 func (p *Pool) returnTasks(j *job, reason string, eligible func(*task) bool) {
 	var returned []int
 	for _, t := range j.taskList {
@@ -49,9 +49,9 @@
 	p.effects.Returns = append(p.effects.Returns, Result{Key: j.Key, Returned: returned, History: maps.Clone(j.history), Begun: j.begun})
 }
 
-// returnUnblocked returns the tasks that were blocked when their job was offered, and would
-// otherwise have been returned then: all tasks of a pool that drains, and those of jobs
-// that may not queue.
+// returnUnblocked returns waiting tasks that would have been returned when their job was
+// offered, had they not been blocked then: in a draining pool all waiting tasks, and
+// otherwise the tasks without runs of jobs that may not queue.
 func (p *Pool) returnUnblocked() {
 	for _, j := range slices.Clone(p.queue) {
 		switch {
@@ -63,7 +63,7 @@
 	}
 }
 
-// returnClosed returns the waiting tasks of jobs for which the pool is closed.
+// returnClosed returns the waiting tasks of jobs for which the pool is closed, see closedFor.
 func (p *Pool) returnClosed() {
 	for _, j := range slices.Clone(p.queue) {
 		if p.closedFor(j) {
--- a/schedule/slowdown.go
+++ b/schedule/slowdown.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// slowdown estimates how many times longer than expected tasks take on one upstream,
-// relative to its peers. It decays with time, because a slow upstream gets few tasks that
-// could show that it has recovered.
+// slowdown estimates how many times longer tasks take on one upstream than on the others of
+// its pool. The estimate decays with time, because a slow upstream gets few tasks that could
+// show that it has recovered.
 type slowdown struct {
-	log       float64 // logarithm of the factor at updatedAt; 0 is as fast as the peers
+	log       float64 // logarithm of the factor at updatedAt; 0 means as fast as the other upstreams
 	updatedAt time.Time
 }
 
 const (
-	// slowdownWeight is the weight of one run in the slowdown of its upstream, and
-	// meanSlowdownWeight its weight in the mean of all upstreams of a pool. Durations
-	// differ from the expected ones by about 30%, and two or three runs must suffice to
-	// show that an upstream is slow.
+	// slowdownWeight is the weight of one run in the slowdown of its upstream. It is high,
+	// because two or three runs must suffice to show that an upstream is slow, although
+	// durations differ from the expected ones by about 30%. meanSlowdownWeight is the weight
+	// of one run in the mean over all upstreams of the pool.
 	slowdownWeight     = 0.5
 	meanSlowdownWeight = 0.02
-	// slowdownHalfLife is the time in which the logarithm of a slowdown decays to half.
+	// slowdownHalfLife is the time in which the logarithm of a slowdown decays to one half.
 	slowdownHalfLife = 1500 * time.Millisecond
-	// minSlowdownFactor is how many times longer than on its peers tasks must take on
-	// an upstream for it to count as slow.
+	// minSlowdownFactor is how many times longer than on the other upstreams tasks must take
+	// on an upstream for it to count as slow.
 	minSlowdownFactor = 1.6
 )
 
-// logAt returns the logarithm of the slowdown at a time, after decay.
+// logAt returns the logarithm of the slowdown, decayed from updatedAt to the time at.
 func (s *slowdown) logAt(at time.Time) float64 {
 	if s.updatedAt.IsZero() {
 		return 0
@@ -35,8 +35,8 @@
 	return s.log * math.Exp2(-at.Sub(s.updatedAt).Seconds()/slowdownHalfLife.Seconds())
 }
 
-// startedAt returns when a run started as far as that is known: when its start was
-// acknowledged, or else when it was ordered, since the answer may be late or lost.
+// startedAt returns when a run started, as far as the pool knows: when its start was
+// acknowledged or, if no acknowledgement has come, when it was ordered.
 func (r *run) startedAt() time.Time {
 	if r.startAckedAt.IsZero() {
 		return r.orderedAt
@@ -44,8 +44,8 @@
 	return r.startAckedAt
 }
 
-// learnSlowdown updates the slowdown of an upstream from the duration of a run, measured
-// from startedAt.
+// learnSlowdown updates the slowdown of a run's upstream from the duration of the run,
+// measured from startedAt.
 func (p *Pool) learnSlowdown(r *run, duration time.Duration) {
 	u := r.upstream
 	value := math.Log(max(duration, time.Millisecond).Seconds() / max(r.expectedDuration, time.Millisecond).Seconds())
@@ -55,8 +55,8 @@
 	u.slowdown.updatedAt = p.now
 }
 
-// slowdownFactor returns how many times longer tasks take on an upstream than on its peers.
-// It returns 1 for an upstream that does not count as slow.
+// slowdownFactor returns how many times longer tasks take on an upstream than on the others of
+// the pool. It returns 1 for an upstream that does not count as slow.
 func (p *Pool) slowdownFactor(u *upstream) float64 {
 	if !p.cfg.Policy.LearnSpeed {
 		return 1
