--- a/schedule/cluster_test.go
+++ b/schedule/cluster_test.go
@@ -16,18 +16,18 @@
 	Fatalf(format string, args ...any)
 }
 
-// testCluster is a simulated installation: upstreams that follow their protocol, calls that
-// are slow, lost or carried out late, and a sequence of pools that own the upstreams. It
-// checks invariants against what the upstreams run.
+// testCluster simulates a group of upstreams, calls to them that are slow, lost or carried out
+// late, and the pools that own the group one after the other. It checks the invariants of
+// TestModel against what the upstreams run.
 type testCluster struct {
 	*standin.Simulation
 	t               failer
 	upstreams       []*standin.SimulatedUpstream
 	pool            *Pool
-	poolToken       int // fencing token of the pool; answers to former pools are dropped
+	poolToken       int // fencing token of the pool; responses to calls of former pools are dropped
 	openJobs        map[JobKey]*simJob
-	submissions     map[fleet.TaskRef]int                         // how often a task was offered
-	orderedFor      map[fleet.Run]int                             // the submission that a run was last ordered for
+	submissions     map[fleet.TaskRef]int                         // how many times a task was offered
+	orderedFor      map[fleet.Run]int                             // value of submissions when a run was last ordered
 	listedCapacity  map[string]fleet.Resources                    // of each upstream, as last passed to the pool
 	capacityAtOrder map[fleet.Run]fleet.Resources                 // listedCapacity of the upstream when a run was ordered
 	pendingStarts   map[*standin.UpstreamModel][]fleet.StartOrder // starts that may still be carried out
@@ -35,12 +35,12 @@
 	returnedTasks   map[fleet.TaskRef]bool                        // tasks that were returned and have not been offered since
 	lostJobs        []lostJob
 	results         int
-	ackedDone       map[fleet.TaskRef]bool // tasks whose end as done was acknowledged to the upstream, and that have not been offered since
+	ackedDone       map[fleet.TaskRef]bool // tasks that have been done, which the pool acknowledged to the upstream, and that have not been offered since
 	mayEvacuate     bool                   // as in modelCase
 	mayRestart      bool                   // as in modelCase
 	mayResize       bool                   // as in modelCase
 	mayCrash        bool                   // as in modelCase
-	crashesByTask   map[fleet.TaskRef]int  // for each task that crashes upstreams, how many it has crashed under the current pool
+	crashesByTask   map[fleet.TaskRef]int  // has an entry for each task that crashes upstreams: how many it has crashed under the current pool
 	evacuated       bool                   // all upstreams are closed
 }
 
@@ -58,8 +58,8 @@
 	startTimeout = 40 * time.Millisecond
 )
 
-// applyIfCurrent passes the result of a call to the pool, unless another pool has taken over
-// since the call was made.
+// applyIfCurrent applies input, which handles the response to a call, to the pool, unless
+// another pool has taken over since the call was made. The token is that of the calling pool.
 func (w *testCluster) applyIfCurrent(token int, input func(p *Pool, now time.Time) Effects) {
 	if token == w.poolToken {
 		w.applyEffects(input(w.pool, w.Now()))
@@ -79,8 +79,9 @@
 	})
 }
 
-// checkCapacity checks that an ordered run fits the capacity that the pool was given, together
-// with the runs on the upstream and the orders of the pool that may still start there.
+// checkCapacity checks that a run that is being ordered on u fits there, together with the runs
+// on u and those that may still start by earlier orders. It uses the capacity that the pool was
+// given, because the pool cannot know of a later change.
 func (w *testCluster) checkCapacity(u *standin.SimulatedUpstream, ordered fleet.Run) {
 	capacity := w.listedCapacity[u.ID]
 	w.capacityAtOrder[ordered] = capacity
@@ -98,7 +99,7 @@
 		}
 	}
 	if !used.Within(capacity) {
-		w.t.Fatalf("%v is ordered on %s, which would then use %v of the %v that the pool was given", ordered, u.ID, used, capacity)
+		w.t.Fatalf("order beyond the known capacity: %v is ordered on %s, which would then use %v of the %v that the pool was given", ordered, u.ID, used, capacity)
 	}
 }
 
@@ -154,7 +155,7 @@
 		})
 	u.ClockRate = 0.98 + 0.02*w.Rand.Float64()
 	u.StopTime = func() time.Duration { return w.RandMillis(0, maxStopMillis) }
-	startedFor := map[fleet.Run]int{} // the submission that a run was started for on this upstream
+	startedFor := map[fleet.Run]int{} // value of orderedFor when a run started on this upstream
 	u.OnEndAcknowledged = func(e fleet.EndedRun) {
 		if e.End == fleet.EndDone && startedFor[e.Run] == w.submissions[e.Run.Task] {
 			w.ackedDone[e.Run.Task] = true
@@ -177,8 +178,8 @@
 	return u
 }
 
-// maybeCrash crashes an upstream soon after it has started a run of a task that crashes
-// upstreams.
+// maybeCrash crashes an upstream shortly after it has started run r, if the task of r is one
+// that crashes upstreams. It checks that no task crashes more than maxCrashes upstreams.
 func (w *testCluster) maybeCrash(u *standin.SimulatedUpstream, r fleet.Run) {
 	if _, isCrasher := w.crashesByTask[r.Task]; !isCrasher {
 		return
@@ -194,12 +195,12 @@
 		}
 		w.crashesByTask[r.Task]++
 		if n := w.crashesByTask[r.Task]; n > maxCrashes {
-			w.t.Fatalf("%v has crashed %d upstreams", r.Task, n)
+			w.t.Fatalf("%v has crashed %d upstreams, more than maxCrashes", r.Task, n)
 		}
 	})
 }
 
-// setFaults sets the shares of calls that are lost and that are carried out late.
+// setFaults sets the shares of the calls that are lost and of those that are carried out late.
 func (w *testCluster) setFaults(lossShare, lateShare float64) {
 	for _, u := range w.upstreams {
 		u.LossShare, u.LateShare = lossShare, lateShare
--- a/schedule/cost_test.go
+++ b/schedule/cost_test.go
@@ -8,7 +8,8 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// fullPool returns a pool whose upstreams have no free capacity, with some waiting jobs.
+// fullPool returns a pool with waiting jobs, each with one task. Each upstream runs two tasks
+// and has too little free capacity for a third.
 func fullPool(upstreams, jobs int) *Pool {
 	p := NewPool(DefaultConfig, 1)
 	var list []fleet.Upstream
@@ -60,7 +61,7 @@
 	}
 }
 
-// BenchmarkOffer measures a job that is offered and withdrawn.
+// BenchmarkOffer measures offering a job and withdrawing it again.
 func BenchmarkOffer(b *testing.B) {
 	for _, size := range []struct{ upstreams, jobs int }{{16, 50}, {96, 100}, {96, 1000}} {
 		b.Run(fmt.Sprintf("%d_upstreams_%d_waiting", size.upstreams, size.jobs), func(b *testing.B) {
@@ -74,8 +75,8 @@
 	}
 }
 
-// TestInputsAreCheap checks that the allocations of an input do not grow with the number of
-// waiting tasks, as they would with one forecast per task.
+// TestInputsAreCheap checks that the number of allocations per input does not grow with the
+// number of waiting tasks, as it would if each waiting task caused a forecast.
 func TestInputsAreCheap(t *testing.T) {
 	report := func(p *Pool) float64 {
 		return testing.AllocsPerRun(20, func() {
@@ -92,7 +93,7 @@
 	for name, input := range map[string]func(*Pool) float64{"report": report, "offer": offer} {
 		few, many := input(fullPool(8, 10)), input(fullPool(8, 400))
 		if many > few+8 {
-			t.Errorf("%s: %.0f allocations with 10 tasks waiting, %.0f with 400", name, few, many)
+			t.Errorf("%s: allocations grow with the queue: %.0f with 10 waiting tasks, %.0f with 400", name, few, many)
 		}
 	}
 }
--- a/schedule/incarnations_test.go
+++ b/schedule/incarnations_test.go
@@ -8,9 +8,10 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// TestEndsAreNotForgottenUnheard checks that orders allow an upstream to forget ends only while
-// the incarnation that reported them is certain to be the one that answers. A new incarnation
-// numbers its ends from 1 again, and would forget ends that it has not reported yet.
+// TestEndsAreNotForgottenUnheard checks that orders acknowledge the ends of runs, which the
+// upstream may then forget, only while the incarnation that reported them is certain to receive
+// the order. A new incarnation numbers its ends from 1 again, and would forget ends that it has
+// not reported yet.
 func TestEndsAreNotForgottenUnheard(t *testing.T) {
 	now := startTime
 	p := NewPool(DefaultConfig, 1)
@@ -28,14 +29,14 @@
 		want  uint64
 	}{
 		{"a report contains the end with number 3", func() { p.HandleHoldResponse(now, called, now, report, nil) }, 3},
-		{"a call gets no answer", func() { p.HandleHoldResponse(now, called, now, fleet.Report{}, failure.Lost.New("x")) }, 0},
-		{"the same incarnation answers again", func() { p.HandleHoldResponse(now, called, now, report, nil) }, 3},
+		{"a call gets no response", func() { p.HandleHoldResponse(now, called, now, fleet.Report{}, failure.Lost.New("x")) }, 0},
+		{"the same incarnation responds again", func() { p.HandleHoldResponse(now, called, now, report, nil) }, 3},
 		{"this process is paused for longer than a lease", func() { now = now.Add(DefaultConfig.Lease + time.Millisecond) }, 0},
-		{"another incarnation answers", func() { p.HandleHoldResponse(now, called, now, fleet.Report{StartedUnixMs: 9}, nil) }, 0},
+		{"another incarnation responds", func() { p.HandleHoldResponse(now, called, now, fleet.Report{StartedUnixMs: 9}, nil) }, 0},
 	} {
 		step.do()
 		if got := ackedSequences(); got != [2]uint64{step.want, step.want} {
-			t.Errorf("%s: acknowledged sequence numbers %v, want %d", step.event, got, step.want)
+			t.Errorf("%s: HoldOrder and PollOrder acknowledge the sequence numbers %v, want %d in both", step.event, got, step.want)
 		}
 	}
 }
--- a/schedule/model_test.go
+++ b/schedule/model_test.go
@@ -40,8 +40,8 @@
 	return keys[w.Rand.IntN(len(keys))], true
 }
 
-// jobOfTask returns the job of a task. For a job that is not open any more, it returns one
-// with the same demand.
+// jobOfTask returns the open job that a task belongs to. If that job is not open any more, it
+// returns a stand-in with the same demand.
 func (w *testCluster) jobOfTask(t fleet.TaskRef) *simJob {
 	for _, key := range w.openKeys() {
 		if key.ID == t.Job {
@@ -55,7 +55,7 @@
 	w.checkWaiting()
 	for _, s := range e.Starts {
 		if w.evacuated {
-			w.t.Fatalf("%v starts on %s, whose zone is evacuated", s.Order.Run, s.Upstream.ID)
+			w.t.Fatalf("start during an evacuation: %v starts on %s, which is closed", s.Order.Run, s.Upstream.ID)
 		}
 		w.sendStart(s)
 	}
@@ -72,8 +72,9 @@
 	}
 }
 
-// checkResult checks that tasks that were returned are not running, and that those that were
-// returned as never started have never started.
+// checkResult checks a result of the pool: the returned tasks are not running, those that were
+// returned without a history have never started, and if the job ended as not begun, none of its
+// tasks has started.
 func (w *testCluster) checkResult(r Result) {
 	j := w.openJobs[r.Key]
 	if j == nil {
@@ -93,7 +94,7 @@
 	if r.Outcome != Completed && !r.Begun {
 		for _, index := range j.offer.Tasks {
 			if w.startedTasks[fleet.TaskRef{Job: r.Key.ID, Index: index}] {
-				w.t.Fatalf("%s ended %s as never started, but task %d had started", r.Key.ID, r.Outcome, index)
+				w.t.Fatalf("%s ended as %s and not begun, but task %d had started", r.Key.ID, r.Outcome, index)
 			}
 		}
 	}
@@ -101,7 +102,8 @@
 	w.results++
 }
 
-// requestReports requests the reports of one upstream, one after the other.
+// requestReports requests the reports of one upstream, each as soon as the one before has come,
+// until another pool takes over.
 func (w *testCluster) requestReports(id string) {
 	token := w.poolToken
 	var next func()
@@ -130,12 +132,12 @@
 	at time.Time
 }
 
-// minResubmitDelay is the time after which the customer of a lost job may resubmit it. The
-// leases that the lost owner granted have lapsed by then.
+// minResubmitDelay is the least time after which the customer of a lost job resubmits it. By
+// then the leases that the lost owner granted have lapsed.
 const minResubmitDelay = 1300 * time.Millisecond
 
-// takeResubmittable removes and returns the ID of a lost job whose customer may resubmit it
-// now.
+// takeResubmittable removes the first lost job from lostJobs and returns its ID, if its customer
+// may resubmit it by now.
 func (w *testCluster) takeResubmittable() (string, bool) {
 	if len(w.lostJobs) == 0 || w.Now().Sub(w.lostJobs[0].at) < minResubmitDelay {
 		return "", false
@@ -145,8 +147,8 @@
 	return id, true
 }
 
-// takeOver starts a new pool under a higher fencing token. The open jobs of the former pool
-// are lost with it.
+// takeOver replaces the pool by a new one with a higher fencing token. The open jobs of the former
+// pool are lost.
 func (w *testCluster) takeOver() {
 	w.poolToken++
 	for ref := range w.crashesByTask {
@@ -170,7 +172,7 @@
 	w.AfterFunc(25*time.Millisecond, func() { w.scheduleTicks(token) })
 }
 
-// drain drains the pool. Another pool takes over some time later.
+// drain drains the pool. Some time later another pool takes over.
 func (w *testCluster) drain() {
 	w.applyEffects(w.pool.Drain(w.Now()))
 	token := w.poolToken
@@ -181,7 +183,7 @@
 	})
 }
 
-// toggleEvacuation closes all upstreams, or reopens them.
+// toggleEvacuation closes all upstreams to new tasks, or reopens them if they are closed.
 func (w *testCluster) toggleEvacuation() {
 	w.evacuated = !w.evacuated
 	for _, u := range w.upstreams {
@@ -190,7 +192,8 @@
 	w.listUpstreams()
 }
 
-// restart restarts an upstream under its ID. Its entry is updated some time later.
+// restart crashes an upstream and restarts it under the same ID. Its entry is updated some time
+// after that.
 func (w *testCluster) restart(u *standin.SimulatedUpstream) {
 	downtime := w.RandMillis(1000, 3000)
 	u.Crash(downtime)
@@ -198,17 +201,17 @@
 }
 
 // maxEntryDelayMillis is the longest time from a change of an upstream's capacity to the update
-// of its entry, in milliseconds. It is long enough for orders that still rely on the former
-// capacity.
+// of its entry, in milliseconds. It is long enough for the pool to order runs in the meantime,
+// which then rely on the former capacity.
 const maxEntryDelayMillis = 800
 
-// resize changes the capacity of an upstream. Its entry is updated some time later.
+// resize changes the capacity of an upstream. Its entry is updated some time after that.
 func (w *testCluster) resize(u *standin.SimulatedUpstream) {
 	capacity := fleet.Resources{MilliCPU: int64(1000 * (1 + w.Rand.IntN(8)))}
 	u.UpstreamModel.Capacity = capacity
 	w.AfterFunc(w.RandMillis(0, maxEntryDelayMillis), func() {
 		if u.UpstreamModel.Capacity != capacity {
-			return // there has been another change since, with an update of its own
+			return // the capacity has changed again, and that change updates the entry
 		}
 		u.Upstream.Capacity = capacity
 		u.Upstream.LargestCapacity = u.Upstream.LargestCapacity.Max(capacity)
@@ -230,8 +233,8 @@
 	}
 }
 
-// offerJob offers a new job, or a job whose customer has resubmitted it to another
-// coordinator.
+// offerJob offers a job to the pool: a new one, or one that its customer has resubmitted to
+// another coordinator. A resubmitted job is still open or was lost with its owner.
 func (w *testCluster) offerJob(n int) {
 	key := JobKey{"home", fmt.Sprintf("%016x", n), 1}
 	if other, found := w.drawOpenJob(); found && w.Rand.IntN(10) == 0 {
@@ -255,7 +258,7 @@
 	effects := w.pool.Offer(w.Now(), o)
 	isForOffer := func(r Result, _ int) bool { return r.Key == o.Key }
 	for _, r := range lo.Reject(effects.Results, isForOffer) {
-		w.checkResult(r) // of an earlier submission
+		w.checkResult(r) // the offer of an earlier submission ends
 	}
 	effects.Results = lo.Filter(effects.Results, isForOffer)
 	for _, i := range o.Tasks {
@@ -268,9 +271,13 @@
 	w.applyEffects(effects)
 }
 
-// TestModel runs pools against simulated upstreams under faults. No task may have two runs at
-// once, no upstream may be loaded beyond its capacity, no task that is reported as never
-// started may have started, and once the faults end, every job must end.
+// TestModel runs pools against simulated upstreams under faults, and checks these invariants:
+//   - No task has two runs at a time.
+//   - No upstream is loaded beyond its capacity.
+//   - No task that is returned as never started has started, and no returned task is running or
+//     starts later.
+//   - No task crashes more than maxCrashes upstreams under one pool.
+//   - Every job ends within 15 s after the faults have ended.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		modelCase{
@@ -283,10 +290,11 @@
 	})
 }
 
-// TestModelSeeds replays cases of TestModel that are known to reveal faults.
+// TestModelSeeds replays cases of TestModel that have revealed faults before.
 func TestModelSeeds(t *testing.T) {
 	for _, c := range []modelCase{
-		// Jobs are resubmitted while runs of their first submission are being stopped.
+		// In both cases jobs are resubmitted while runs of their first submission are being
+		// stopped.
 		{seed: 0x196, lossShare: 0.3, lateShare: 0, steps: 20},
 		{seed: 0x935b, lossShare: 0.1, lateShare: 0.05, steps: 47},
 	} {
@@ -294,15 +302,16 @@
 	}
 }
 
-// modelCase is one execution of the model. Each kind of event beyond the basic ones has a
-// switch of its own, so that the seeds in TestModelSeeds keep their sequences of events.
+// modelCase holds the parameters of one execution of TestModel. Kinds of events that were added
+// later have a switch each. The cases of TestModelSeeds leave these off, so that their seeds
+// still lead to the same events.
 type modelCase struct {
 	seed                 uint64
 	lossShare, lateShare float64 // shares of calls that are lost, and that are carried out late
 	steps                int     // number of events
-	mayEvacuate          bool    // all upstreams are closed from time to time, and reopened
+	mayEvacuate          bool    // all upstreams are closed from time to time, and reopened later
 	mayRestart           bool    // upstreams restart under the same ID
-	// mayResize changes the capacity of upstreams, and mayCrash makes some tasks crash every
+	// mayResize lets the capacity of upstreams change. mayCrash makes some tasks crash every
 	// upstream that starts them.
 	mayResize, mayCrash bool
 }
@@ -331,11 +340,11 @@
 	}
 	w.Run(w.Now().Add(15 * time.Second))
 	if len(w.openJobs) > 0 || !w.pool.Idle() {
-		t.Fatalf("%d jobs are still open 15 s after the faults ended, idle %v", len(w.openJobs), w.pool.Idle())
+		t.Fatalf("the pool is not idle 15 s after the faults ended: %d jobs are still open, Idle returns %v", len(w.openJobs), w.pool.Idle())
 	}
 }
 
-// step makes one event happen, and some time pass.
+// step lets one randomly drawn event happen, and then some time pass.
 func (w *testCluster) step(i int) {
 	u := w.upstreams[w.Rand.IntN(len(w.upstreams))]
 	switch w.Rand.IntN(12) {
--- a/schedule/modelcheck_test.go
+++ b/schedule/modelcheck_test.go
@@ -5,25 +5,25 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// checkStart checks the invariants after the start of a run: no upstream is loaded beyond its
-// capacity, and no task has two runs.
+// checkStart checks the invariants after a run has started on u: the runs on u do not use more
+// than its capacity, and no other run of the same task is executing anywhere.
 func (w *testCluster) checkStart(u *standin.SimulatedUpstream, started fleet.Run) {
-	capacity := u.UpstreamModel.Capacity.Max(w.capacityAtOrder[started]) // it may have shrunk since the run was ordered
+	capacity := u.UpstreamModel.Capacity.Max(w.capacityAtOrder[started]) // the capacity may have shrunk since the run was ordered
 	if used := u.Used(); !used.Within(capacity) {
-		w.t.Fatalf("%s at %v: %v of %v in use after the start of %v", u.ID, w.Now().Sub(startTime), used, capacity, started)
+		w.t.Fatalf("%s is loaded beyond its capacity at %v: %v of %v in use after the start of %v", u.ID, w.Now().Sub(startTime), used, capacity, started)
 	}
 	for _, other := range w.upstreams {
 		other.Advance(w.Now())
 		for _, id := range other.Running() {
 			if id.Task == started.Task && (other != u || id != started) {
-				w.t.Fatalf("%v runs on %s while %v starts on %s at %v", id, other.ID, started, u.ID, w.Now().Sub(startTime))
+				w.t.Fatalf("a task has two runs: %v runs on %s while %v starts on %s at %v", id, other.ID, started, u.ID, w.Now().Sub(startTime))
 			}
 		}
 	}
 }
 
-// checkWaiting checks the pool's count of waiting tasks, and that no waiting task has a tracked
-// run.
+// checkWaiting checks that the pool counts its waiting tasks correctly, and that no waiting task
+// has a run that the pool tracks.
 func (w *testCluster) checkWaiting() {
 	count := 0
 	for _, j := range w.pool.queue {
@@ -43,7 +43,8 @@
 }
 
 // checkNeverStarted checks a task that was returned as never started: no run that was ordered
-// for its last submission has started, none of an earlier one is running, and none starts later.
+// for the last submission of its job has started, and no run of the task is executing. It adds
+// the task to returnedTasks, so that a start after the return fails the test too.
 func (w *testCluster) checkNeverStarted(ref fleet.TaskRef) {
 	if w.startedTasks[ref] {
 		w.t.Fatalf("task %d of %s was returned as never started, but had started", ref.Index, ref.Job)
@@ -52,7 +53,7 @@
 	w.returnedTasks[ref] = true
 }
 
-// checkNotRunning checks that no upstream runs a task that is returned.
+// checkNotRunning checks that no upstream runs a task that was returned.
 func (w *testCluster) checkNotRunning(ref fleet.TaskRef) {
 	for _, u := range w.upstreams {
 		u.Advance(w.Now())
@@ -65,7 +66,8 @@
 }
 
 // checkReturnedAfterRuns checks a task that was returned after it had runs: none of them is
-// running, and none starts later.
+// executing. It adds the task to returnedTasks, so that a start after the return fails the test
+// too.
 func (w *testCluster) checkReturnedAfterRuns(ref fleet.TaskRef) {
 	w.checkNotRunning(ref)
 	w.returnedTasks[ref] = true
--- a/schedule/scenario_test.go
+++ b/schedule/scenario_test.go
@@ -22,8 +22,8 @@
 	endSequences map[string]uint64
 }
 
-// TestScenarios runs the files in testdata/scenarios: each command is one input, and its output
-// shows the decisions of the pool. testdata/README describes the commands.
+// TestScenarios runs the files in testdata/scenarios. Each command is an input to the pool, and
+// the expected output below it shows what the pool does. testdata/README describes the commands.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
 		cfg := DefaultConfig
@@ -98,8 +98,8 @@
 	"late": fleet.RefusedLate, "unhealthy": fleet.RefusedUnhealthy,
 }
 
-// incarnation returns the incarnation of an upstream that a call was made to: the one that the
-// argument born gives, or else the one that the pool tracks.
+// incarnation returns the incarnation of an upstream that a call was made to. Its start time is
+// the argument born; without that argument it is the incarnation that the pool tracks.
 func (s *scenario) incarnation(id string, arg func(string, string) string) fleet.UpstreamIncarnation {
 	born, err := strconv.ParseInt(arg("born", "0"), 10, 64)
 	if u := s.pool.upstreams[id]; err == nil && born == 0 && u != nil {
@@ -139,8 +139,8 @@
 	return list
 }
 
-// largestCapacity returns the largest CPU capacity that an upstream has had so far, with its
-// current one.
+// largestCapacity returns the larger of an upstream's present CPU capacity, cpu, and the largest
+// one that it has had before.
 func (s *scenario) largestCapacity(id string, cpu int64) fleet.Resources {
 	now := fleet.Resources{MilliCPU: cpu}
 	if u := s.pool.upstreams[id]; u != nil {
@@ -214,7 +214,8 @@
 	return fmt.Sprintf("%s.%d#%d", r.Task.Job, r.Task.Index, r.Number)
 }
 
-// formatHistory formats the histories of returned tasks.
+// formatHistory returns the histories of returned tasks as text: the number of the last run, the
+// number of failed runs, and the number of crashes if there were any.
 func formatHistory(histories map[int]TaskHistory) string {
 	if len(histories) == 0 {
 		return ""
@@ -228,7 +229,7 @@
 	return fmt.Sprintf(", past %v", words)
 }
 
-// formatEffects formats effects, one line for each.
+// formatEffects returns the effects of an input as text, with one line per effect.
 func formatEffects(e Effects) string {
 	var b strings.Builder
 	for _, s := range e.Starts {
@@ -260,14 +261,14 @@
 	return b.String()
 }
 
-// TestLapseWaitsForSlowClocks checks that a lease is not taken to have lapsed too early: on a
-// clock that runs 2% slow, a lease of 700 ms lasts 714 ms, and its tasks must not start again
-// before.
+// TestLapseWaitsForSlowClocks checks that the pool does not assume too early that a lease has
+// lapsed. On a clock that runs 2% slow a lease of 700 ms lasts 714 ms, and until then the tasks
+// must not start on another upstream.
 func TestLapseWaitsForSlowClocks(t *testing.T) {
 	u := &upstream{clockMs: 5000, clockReadAt: startTime, maxLeaseUntilMs: 5700}
 	lease, rate := 700*time.Millisecond, 0.98
 	real := time.Duration(float64(lease) / rate)
 	if lapsed := u.leasesLapseAt(); lapsed.Sub(startTime) < real {
-		t.Errorf("the lease is taken to have lapsed after %v, but lasts %v", lapsed.Sub(startTime), real)
+		t.Errorf("the pool assumes that the lease has lapsed after %v, but it lasts %v", lapsed.Sub(startTime), real)
 	}
 }
