--- a/membership/neighbours.go
+++ b/membership/neighbours.go
@@ -8,26 +8,26 @@
 	"github.com/samber/lo"
 )
 
-// In a small availability zone every instance exchanges heartbeats with every other
-// instance. In a larger zone some instances are hubs. Only hubs may own groups. A hub
-// exchanges heartbeats with all instances of its zone and with the hubs of other zones, and
-// relays what it has received. The other instances, the spokes, exchange heartbeats only
-// with the hubs of their zone, so that the number of heartbeats does not grow with the
-// square of the number of instances.
+// In a small availability zone all instances are hubs. In a larger zone only some are, so
+// that the number of heartbeats does not grow with the square of the number of instances:
+//   - A hub exchanges heartbeats with all instances of its zone and with the hubs of other
+//     zones, and relays what it has received. Only hubs may own groups.
+//   - A spoke, which is any other instance, exchanges heartbeats only with the hubs of its
+//     zone.
 
 const (
-	// maxFullMeshZone is the largest number of instances in a zone for which all of them
+	// maxFullMeshZone is the largest size of a zone, in instances, in which all instances
 	// are hubs.
 	maxFullMeshZone = 12
-	// minHubs is the smallest number of hubs of a larger zone. Several hubs may fail at
-	// the same time.
+	// minHubs is the smallest number of hubs in a larger zone. Hubs must remain if several
+	// of them fail at the same time.
 	minHubs = 8
-	// groupsPerHub is the number of groups that a hub is expected to own: about as many
-	// as the large instances own in installations that have grown.
+	// A larger zone has one hub per groupsPerHub groups, but at least minHubs. The large
+	// instances own about so many groups each in installations that have grown.
 	groupsPerHub = 2
 )
 
-// Member is an instance that NeighboursOf considers.
+// Member describes an instance to NeighboursOf.
 type Member struct {
 	Name     string
 	Zone     string
@@ -37,20 +37,20 @@
 // Neighbours are the instances with which an instance exchanges heartbeats.
 type Neighbours struct {
 	IsHub bool            // whether the instance itself is a hub
-	Near  map[string]bool // if the instance is a hub, the other hubs of its zone
-	Far   map[string]bool // all other neighbours
-	// Spokes are the instances of a hub's zone that are not hubs. They are also in Far.
+	Near  map[string]bool // the other hubs of its zone, if the instance is a hub; empty otherwise
+	Far   map[string]bool // all other neighbours; heartbeats to them are sent less often
+	// Spokes are the spokes of its zone, if the instance is a hub. They are also in Far.
 	Spokes map[string]bool
-	// Rank is the position of a hub among the hubs of its zone, from 0; it is -1 for
-	// other instances. HubCount is the number of hubs of the zone.
+	// Rank is the position of the instance among the hubs of its zone, counted from 0. It
+	// is -1 for a spoke. HubCount is the number of hubs in the zone.
 	Rank, HubCount int
 }
 
 // Has reports whether an instance is a neighbour.
 func (n *Neighbours) Has(name string) bool { return n.Near[name] || n.Far[name] }
 
-// NeighboursOf returns the neighbours of self among others. The map groups holds the number
-// of groups of each zone.
+// NeighboursOf returns the neighbours of self, which are chosen among others. The map groups
+// holds the number of groups in each zone.
 func NeighboursOf(self Member, others []Member, groups map[string]int) Neighbours {
 	zones := lo.GroupBy(append(slices.Clone(others), self), func(m Member) string { return m.Zone })
 	n := Neighbours{Near: map[string]bool{}, Far: map[string]bool{}, Spokes: map[string]bool{}}
@@ -76,7 +76,8 @@
 	return n
 }
 
-// addOwnZone adds the instances in the zone of a hub.
+// addOwnZone adds the neighbours that the hub self has in its own zone, given the hubs and all
+// members of the zone.
 func (n *Neighbours) addOwnZone(self Member, hubs, members []Member) {
 	for _, m := range hubs {
 		if m.Name != self.Name {
@@ -91,8 +92,9 @@
 	}
 }
 
-// hubsOf returns the hubs of a zone: the instances with the largest CPU shares. Among equal
-// ones a hash of the name decides, so that few hubs change as instances join and leave.
+// hubsOf returns the hubs of a zone: the members with the largest CPU shares. Between members
+// with equal shares a hash of their names decides, so that few hubs change when instances join
+// or leave.
 func hubsOf(members []Member, groups int) []Member {
 	ranked := slices.SortedFunc(slices.Values(members), func(a, b Member) int {
 		return cmp.Or(cmp.Compare(b.CPUShare, a.CPUShare), cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name)), cmp.Compare(a.Name, b.Name))
--- a/membership/neighbours_test.go
+++ b/membership/neighbours_test.go
@@ -7,8 +7,8 @@
 	"github.com/sedgehatch/sedgehatch/fate"
 )
 
-// zoneOf returns the members of a zone. The first few of them, as many as large, have a
-// large CPU share.
+// zoneOf returns the members of a zone, as many as count. The first of them, as many as large,
+// have a large CPU share.
 func zoneOf(zone string, count, large int) []Member {
 	var list []Member
 	for i := range count {
@@ -38,19 +38,19 @@
 	for _, m := range all {
 		n := NeighboursOf(m, without(all, m.Name), nil)
 		if !n.IsHub || len(n.Near)+len(n.Far) != len(all)-1 || len(n.Spokes) > 0 {
-			t.Errorf("%s: %+v", m.Name, n)
+			t.Errorf("%s is not a hub with all other instances as neighbours and no spokes: %+v", m.Name, n)
 		}
 		for name := range n.Near {
 			if name[0] != m.Name[0] {
-				t.Errorf("%s is a near neighbour of %s in another zone", name, m.Name)
+				t.Errorf("%s is a near neighbour of %s although their zones differ", name, m.Name)
 			}
 		}
 	}
 }
 
-// TestNeighboursLarge checks in a fleet of 300 instances that the hubs are the largest
-// instances, that there are enough of them for the groups, and that being neighbours is
-// symmetric.
+// TestNeighboursLarge checks the neighbours in a fleet of 4 zones with 75 instances and 34
+// groups each. Each zone must have 17 hubs, one for two groups, all of them large instances, and
+// if one instance is a neighbour of another, that one must be its neighbour too.
 func TestNeighboursLarge(t *testing.T) {
 	var all []Member
 	groups := map[string]int{}
@@ -66,7 +66,7 @@
 	for _, m := range all {
 		n := neighbours[m.Name]
 		if n.HubCount != 17 {
-			t.Fatalf("zone %s has %d hubs", m.Zone, n.HubCount)
+			t.Fatalf("zone %s has %d hubs, want 17", m.Zone, n.HubCount)
 		}
 		if n.IsHub {
 			hubs++
@@ -74,24 +74,25 @@
 				t.Errorf("%s is a hub although it is small", m.Name)
 			}
 			if len(n.Near) != 16 || len(n.Spokes) != 75-17 || len(n.Far) != 75-17+3*17 {
-				t.Errorf("hub %s has %d near, %d far", m.Name, len(n.Near), len(n.Far))
+				t.Errorf("hub %s has %d near and %d far neighbours, want 16 and 109, of which 58 are spokes", m.Name, len(n.Near), len(n.Far))
 			}
 		} else if len(n.Near)+len(n.Far) != 17 {
-			t.Errorf("%s has %d neighbours", m.Name, len(n.Near)+len(n.Far))
+			t.Errorf("spoke %s has %d neighbours, want the 17 hubs of its zone", m.Name, len(n.Near)+len(n.Far))
 		}
 		for _, o := range all {
 			other := neighbours[o.Name]
 			if n.Has(o.Name) != other.Has(m.Name) || n.Near[o.Name] != other.Near[m.Name] {
-				t.Errorf("%s and %s disagree on being neighbours", m.Name, o.Name)
+				t.Errorf("%s and %s disagree on whether they are neighbours, or near ones", m.Name, o.Name)
 			}
 		}
 	}
 	if hubs != 4*17 {
-		t.Errorf("%d hubs", hubs)
+		t.Errorf("the fleet has %d hubs, want 17 in each of the 4 zones", hubs)
 	}
 }
 
-// TestHubLost checks that when a hub is lost, the others remain hubs and one is added.
+// TestHubLost checks that when a hub is lost, the other hubs of its zone remain hubs and one
+// instance becomes a hub in its place.
 func TestHubLost(t *testing.T) {
 	all := zoneOf("a", 40, 0)
 	before := hubsOf(all, 0)
@@ -105,13 +106,13 @@
 		}
 	}
 	if len(before) != minHubs || len(after) != minHubs || kept != minHubs-1 {
-		t.Errorf("%d hubs before, %d after, %d kept", len(before), len(after), kept)
+		t.Errorf("%d hubs before one is lost, %d after, %d of them in both; want 8, 8 and 7", len(before), len(after), kept)
 	}
 }
 
-// TestMutuallyUnneededPeers checks that a peer that stops sending heartbeats is not considered
-// dead if neither side needs the other's heartbeats, and that a dead peer that is not a
-// neighbour becomes Listed again.
+// TestMutuallyUnneededPeers lets four peers stop sending heartbeats. It checks that the peer with
+// which heartbeats are needed in neither direction becomes Listed instead of Dead, and that a dead
+// peer that is not a neighbour becomes Listed again after relistDeadMs.
 func TestMutuallyUnneededPeers(t *testing.T) {
 	table := NewTable(Config{SuspectMs: 100, DeadMs: 300, FarFactor: 2})
 	table.SetListed([]Listing{{Instance: "near"}, {Instance: "far"}, {Instance: "unneeded"}, {Instance: "needing"}})
@@ -132,7 +133,7 @@
 		table.Tick(step.at)
 		for name, want := range step.want {
 			if got := table.State(name); got != want {
-				t.Errorf("at %d ms %s is %s, not %s", step.at, name, got, want)
+				t.Errorf("at %d ms the peer %s is %s, want %s", step.at, name, got, want)
 			}
 		}
 	}
--- a/membership/table.go
+++ b/membership/table.go
@@ -1,6 +1,20 @@
 // Package membership determines which instances are alive, which of them exchange
 // heartbeats, and which own groups of upstreams. It does no I/O: its inputs are
 // heartbeats, the platform's list of instances, which may be outdated, and the time.
+//
+// The terms of this package are:
+//   - A peer is another instance. One execution of an instance's process is an
+//     incarnation.
+//   - A heartbeat is a message that an instance sends periodically, by which its
+//     peers know that it is alive.
+//   - A hub is an instance that exchanges heartbeats with all instances of its
+//     availability zone and with the hubs of other zones. The other instances of a
+//     zone are spokes; they exchange heartbeats with the hubs of their zone only.
+//   - The neighbours of an instance are the peers with which it exchanges heartbeats.
+//   - The upstreams, the processes that run tasks, are divided into groups. The owner
+//     of a group is the instance that alone gives its upstreams work.
+//   - A fencing token is a number that rises with each new owner of a group. An upstream
+//     refuses orders with a lower token than the highest one that it has seen.
 package membership
 
 import (
@@ -17,28 +31,27 @@
 
 // The states of a peer.
 const (
-	Listed  State = "listed"  // known, but not monitored: no heartbeat was received yet, or none is needed
+	Listed  State = "listed"  // known, but not monitored: it has sent no heartbeat yet, or none is needed from it
 	Alive   State = "alive"   // sent a heartbeat within SuspectMs
 	Suspect State = "suspect" // sent none for SuspectMs; gets no new work
 	Dead    State = "dead"    // sent none for DeadMs, or its incarnation has ended
 	Leaving State = "leaving" // alive, in a planned shutdown
 )
 
-// Config holds the times, in milliseconds, after which a peer that sends no heartbeats is
-// suspected or considered dead.
+// Config holds the times without a heartbeat, in milliseconds, after which a peer becomes
+// Suspect or Dead.
 type Config struct {
 	SuspectMs int64
 	DeadMs    int64
-	// FarFactor multiplies both times for peers that are not near neighbours, because
-	// they send heartbeats less often. 0 means 1.
+	// Both times are multiplied by FarFactor for peers that are not near neighbours,
+	// because these send heartbeats less often. 0 means 1.
 	FarFactor int64
 }
 
 // DefaultConfig suits heartbeats sent every half second.
 var DefaultConfig = Config{SuspectMs: 1600, DeadMs: 3000}
 
-// Listing describes an instance, as listed by the platform or as reported by the instance
-// itself.
+// Listing describes an instance, according to the platform's list or to the instance itself.
 type Listing struct {
 	Instance string
 	Address  string // address of its listener for peers
@@ -51,11 +64,11 @@
 
 // Heartbeat is the content of a heartbeat.
 type Heartbeat struct {
-	// Unwanted is set if the sender needs no heartbeats from the receiver.
+	// Unwanted tells the receiver that the sender needs no heartbeats from it.
 	Unwanted    bool
 	Leaving     bool
 	ActiveJobs  uint64
-	Revision    uint64 // of the settings or the configuration in force
+	Revision    uint64 // revision of the settings that the sender uses, or version of its configuration
 	FreeSlots   uint64
 	QueuedTasks uint64
 }
@@ -67,7 +80,7 @@
 	State           State
 	Heartbeat       Heartbeat
 	lastHeartbeatMs int64
-	selfReported    bool // Listing is from the peer itself and takes precedence over the platform's list
+	selfReported    bool // Listing comes from the peer itself, which takes precedence over the platform's list
 }
 
 // Change is a peer whose state changed.
@@ -81,8 +94,8 @@
 	cfg    Config
 	peers  map[string]*Peer
 	sorted []*Peer // the peers, sorted by name
-	// neighbours are the peers from which this instance needs heartbeats; nil means all
-	// peers, as near neighbours.
+	// neighbours are the peers from which this instance needs heartbeats. If it is nil,
+	// all peers are near neighbours.
 	neighbours *Neighbours
 }
 
@@ -91,13 +104,14 @@
 	return &Table{cfg: cfg, peers: map[string]*Peer{}}
 }
 
-// SetNeighbours sets the peers from which this instance needs heartbeats. If a peer that is
-// not among them stops sending heartbeats, it is considered dead only if it needs heartbeats
-// from this instance.
+// SetNeighbours sets the peers from which this instance needs heartbeats.
+//
+// A peer that is not among them but needs heartbeats from this instance sends heartbeats as
+// well, so that it is considered dead if they stop. If neither side needs the heartbeats of
+// the other, both stop sending them, and the peer becomes Listed.
 func (t *Table) SetNeighbours(n *Neighbours) { t.neighbours = n }
 
-// silenceFactor returns the factor by which the times of the Config are multiplied for a
-// peer.
+// silenceFactor returns the factor by which SuspectMs and DeadMs are multiplied for a peer.
 func (t *Table) silenceFactor(name string) int64 {
 	if t.neighbours == nil || t.neighbours.Near[name] {
 		return 1
@@ -116,9 +130,10 @@
 	return t.notNeighbour(p) && p.Heartbeat.Unwanted
 }
 
-// relistDeadMs is the time in milliseconds after its last heartbeat at which a dead peer
-// becomes Listed again, if it is not a neighbour. By then the platform's list shows whether
-// it is running, and there is no other source, as it sends no heartbeats to this instance.
+// relistDeadMs is the time after its last heartbeat, in milliseconds, after which a dead peer
+// that is not a neighbour becomes Listed again. If such a peer restarts, it sends no heartbeats
+// to this instance, so that only the platform's list can show that it is running. By this time
+// the list does.
 const relistDeadMs = 5000
 
 // notNeighbour reports whether this instance needs no heartbeats from a peer.
@@ -126,10 +141,10 @@
 	return t.neighbours != nil && !t.neighbours.Has(p.Instance)
 }
 
-// SetListed applies the platform's list. It adds peers and updates their descriptions, but
-// removes only peers that are Listed or Dead: one that sends heartbeats is kept even if it
-// is not listed, because the list may be outdated. SetListed causes no changes of state and
-// returns nil.
+// SetListed applies the platform's list. It adds the peers that are new and updates the
+// descriptions of the others. Of those that are not in the list it removes only the ones in
+// state Listed or Dead: a peer that sends heartbeats is kept, because the list may be outdated.
+// SetListed changes the state of no peer, and its result is always nil.
 func (t *Table) SetListed(list []Listing) []Change {
 	listed := map[string]bool{}
 	for _, l := range list {
@@ -151,7 +166,7 @@
 	return nil
 }
 
-// getOrAdd returns the peer with the given name. It adds one if there is none.
+// getOrAdd returns the peer with the given name. If there is none, it adds one that is Listed.
 func (t *Table) getOrAdd(name string) *Peer {
 	p := t.peers[name]
 	if p == nil {
@@ -163,8 +178,9 @@
 	return p
 }
 
-// ApplyHello applies an instance's description of itself. It takes precedence over the
-// platform's list, which may not contain the instance yet, or may contain a former address.
+// ApplyHello applies the description that an instance gives of itself. This description takes
+// precedence over the platform's list, which may not contain the instance yet, or may contain
+// a former address.
 func (t *Table) ApplyHello(l Listing) {
 	p := t.getOrAdd(l.Instance)
 	l.CPUShare = cmp.Or(l.CPUShare, p.CPUShare)
@@ -172,15 +188,15 @@
 	p.selfReported = true
 }
 
-// RecordHeartbeat records a heartbeat received at time now, in milliseconds. If it is from
-// another incarnation of the instance than the last one, the former incarnation is
-// considered dead at once.
+// RecordHeartbeat records a heartbeat received at time now, in milliseconds. If the last
+// heartbeat came from another incarnation of the instance, that incarnation has ended: the
+// changes returned contain it as Dead, followed by the new incarnation as Alive or Leaving.
 func (t *Table) RecordHeartbeat(incarnation fate.Incarnation, heartbeat Heartbeat, now int64) []Change {
 	p := t.getOrAdd(incarnation.Instance())
 	var changes []Change
 	if p.Incarnation != "" && p.Incarnation != incarnation {
-		changes = append(changes, p.setState(Dead))
-		p.State = Listed
+		changes = append(changes, p.forceState(Dead))
+		p.State = Listed // the state of the new incarnation before its first heartbeat
 	}
 	p.Incarnation = incarnation
 	p.Heartbeat = heartbeat
@@ -201,8 +217,8 @@
 	return p.transition(Dead)
 }
 
-// Tick updates the states of all peers to time now, in milliseconds on the clock that
-// RecordHeartbeat is called with.
+// Tick updates the states of all peers to time now, in milliseconds on the same clock as in
+// calls of RecordHeartbeat.
 func (t *Table) Tick(now int64) []Change {
 	var changes []Change
 	for _, p := range t.sorted {
@@ -224,19 +240,21 @@
 	return changes
 }
 
-// setState sets the peer's state and returns the change, even if the state is the same.
-func (p *Peer) setState(state State) Change {
+// forceState sets the peer's state and returns the change, even if the peer was in that state
+// already.
+func (p *Peer) forceState(state State) Change {
 	previous := p.State
 	p.State = state
 	return Change{Peer: *p, Previous: previous}
 }
 
-// transition sets the peer's state, and returns the change if the state is another one.
+// transition sets the peer's state and returns the change. It returns nil if the peer was in
+// that state already.
 func (p *Peer) transition(state State) []Change {
 	if p.State == state {
 		return nil
 	}
-	return []Change{p.setState(state)}
+	return []Change{p.forceState(state)}
 }
 
 // All returns an iterator over the peers, sorted by name. The table must not change during
@@ -251,7 +269,7 @@
 	}
 }
 
-// Filter returns the peers that match, sorted by name.
+// Filter returns the peers for which match returns true, sorted by name.
 func (t *Table) Filter(match func(Peer) bool) []Peer {
 	var list []Peer
 	for p := range t.All() {
@@ -265,7 +283,7 @@
 // Len returns the number of peers.
 func (t *Table) Len() int { return len(t.sorted) }
 
-// Peers returns all peers, sorted by name.
+// Peers returns copies of all peers, sorted by name.
 func (t *Table) Peers() []Peer {
 	return slices.AppendSeq(make([]Peer, 0, t.Len()), t.All())
 }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScenarios runs the scenarios in testdata and compares the changes of state that each
-// input causes.
+// TestScenarios runs the scenarios in testdata. It compares the changes of state that each input
+// causes with the expected ones.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		table := NewTable(Config{SuspectMs: 100, DeadMs: 300})
