--- a/directory/capacity.go
+++ b/directory/capacity.go
@@ -10,8 +10,8 @@
 	"github.com/samber/lo"
 )
 
-// CapacityReport is the capacity that an upstream has reported. It may shrink and grow
-// while the upstream runs. Instances send changes to each other, since some of them may be
+// CapacityReport is a change of an upstream's capacity, which may shrink and grow while the
+// upstream runs. Instances send these reports to each other, because some instances may be
 // unable to read the platform's list.
 type CapacityReport struct {
 	Incarnation fleet.UpstreamIncarnation
@@ -19,8 +19,8 @@
 	Capacity    fleet.Resources
 }
 
-// CapacityReportsSince returns the current capacity of each upstream for which this
-// instance learned of a change after a given time.
+// CapacityReportsSince returns a report with the current capacity of each upstream whose
+// capacity has changed, if this instance learned of the change after the time since.
 func (d *Directory) CapacityReportsSince(since time.Time) []CapacityReport {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -31,9 +31,9 @@
 	})
 }
 
-// ApplyCapacityReports applies capacities received from a peer, and reports whether any
-// upstream's capacity changed. Reports on unknown incarnations, and those that are not newer
-// than the stored entry, are ignored.
+// ApplyCapacityReports applies reports received from a peer, and returns whether the capacity
+// of any upstream changed. It ignores reports on incarnations that the directory does not
+// contain, and reports that are not newer than the stored entry.
 func (d *Directory) ApplyCapacityReports(now time.Time, reports []CapacityReport) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,6 +1,11 @@
-// Package directory stores the upstreams that the platform lists and the availability
-// zones that operators have evacuated. From these it determines whether new tasks may
-// start on an upstream. It does no I/O and is safe for concurrent use.
+// Package directory stores the upstreams, the processes that run tasks, that are in the
+// platform's list, and the availability zones that operators have evacuated. From these it
+// determines whether new tasks may start on an upstream. It does no I/O and is safe for
+// concurrent use.
+//
+// An upstream may restart under the same ID; one execution of its process is called an
+// incarnation. An upstream is draining if it is shutting down and gets no new tasks.
+// Operators evacuate a zone to keep new tasks off its upstreams for a while.
 package directory
 
 import (
@@ -19,8 +24,9 @@
 type Entry struct {
 	ID       string
 	Upstream fleet.Upstream
-	// Deleted is set if the entry was removed from the list, Invalid if it cannot be
-	// read because some other program overwrote it. In both cases Upstream is not used.
+	// Deleted is set if the entry was removed from the list. Invalid is set if the entry
+	// cannot be read because another program has overwritten it. In both cases Upstream is
+	// not used.
 	Deleted bool
 	Invalid bool
 }
@@ -30,10 +36,10 @@
 type Directory struct {
 	mu                sync.Mutex // guards the fields below
 	upstreams         map[string]fleet.Upstream
-	synced            bool                                    // the list of upstreams has been read, see Synced
+	synced            bool                                    // result of Synced
 	drainingSince     map[fleet.UpstreamIncarnation]time.Time // when this instance first learned that an upstream is draining
 	capacityChangedAt map[fleet.UpstreamIncarnation]time.Time // when this instance last learned of a change of an upstream's capacity
-	hasStartTimes     bool                                    // at least one entry contained the start time of its upstream
+	hasStartTimes     bool                                    // any entry so far contained the start time of its upstream
 	services          map[string]bool                         // services named in the configuration; nil means any service
 	zones             zoneTable
 }
@@ -43,8 +49,8 @@
 	return &Directory{upstreams: map[string]fleet.Upstream{}, drainingSince: map[fleet.UpstreamIncarnation]time.Time{}, capacityChangedAt: map[fleet.UpstreamIncarnation]time.Time{}, zones: zoneTable{byName: map[string]zoneEntry{}}}
 }
 
-// Replace applies a complete list of upstreams. Upstreams that are not in it are removed.
-// It returns those that were not known to be draining before and are now.
+// Replace applies a complete list of upstreams. It removes those that are not in the list, and
+// returns those that are draining and were not known to be draining before.
 func (d *Directory) Replace(now time.Time, entries []Entry) (draining []fleet.UpstreamIncarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,8 +65,8 @@
 	return d.apply(now, entries)
 }
 
-// Update applies entries that have changed. It returns the upstreams that were not known
-// to be draining before and are now.
+// Update applies entries that have changed. It returns the upstreams that are draining and
+// were not known to be draining before.
 func (d *Directory) Update(now time.Time, entries []Entry) (draining []fleet.UpstreamIncarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,9 +91,9 @@
 	return draining
 }
 
-// upsert stores an upstream, unless a newer entry of it is stored already: the store may
-// carry out a delayed write after a later one. It reports whether u was stored. The caller
-// must hold d.mu.
+// upsert stores an upstream, unless a newer entry of it is stored already. Entries may arrive
+// out of order, because the platform's store may carry out a delayed write after a later one.
+// upsert reports whether u was stored. The caller must hold d.mu.
 func (d *Directory) upsert(now time.Time, u fleet.Upstream) bool {
 	current := d.upstreams[u.ID]
 	switch {
@@ -108,15 +114,16 @@
 	return true
 }
 
-// dropTimes deletes the times recorded for an incarnation. The caller must hold d.mu.
+// dropTimes deletes the entries of an incarnation in drainingSince and capacityChangedAt. The
+// caller must hold d.mu.
 func (d *Directory) dropTimes(incarnation fleet.UpstreamIncarnation) {
 	delete(d.drainingSince, incarnation)
 	delete(d.capacityChangedAt, incarnation)
 }
 
 // RecordStartTimes records whether any of the entries contains the start time of its
-// upstream, and reports whether any entry so far did. If one does, all valid entries on
-// this platform do.
+// upstream, and reports whether any entry has contained one so far. Then the platform reports
+// start times, and an entry without one is invalid.
 func (d *Directory) RecordStartTimes(entries []Entry) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,10 +131,10 @@
 	return d.hasStartTimes
 }
 
-// markClosed keeps an upstream whose entry was overwritten by an invalid one: the tasks
-// that run there are still monitored, but no new ones start until a valid entry is
-// written. If the upstream is not in the directory, markClosed does nothing. The caller
-// must hold d.mu.
+// markClosed marks an upstream as closed because its entry was overwritten by an invalid one.
+// The upstream stays in the directory, so that the tasks that run there are still monitored,
+// but no new ones start until a valid entry is written. If the upstream is not in the
+// directory, markClosed does nothing. The caller must hold d.mu.
 func (d *Directory) markClosed(id string) {
 	if u, found := d.upstreams[id]; found {
 		u.Closed = true
@@ -135,8 +142,8 @@
 	}
 }
 
-// noteDraining records that an upstream is draining, and reports whether that was not
-// recorded before. The caller must hold d.mu.
+// noteDraining records that an upstream is draining, and returns whether this is new. The
+// caller must hold d.mu.
 func (d *Directory) noteDraining(now time.Time, incarnation fleet.UpstreamIncarnation) bool {
 	if _, found := d.drainingSince[incarnation]; found {
 		return false
@@ -145,9 +152,10 @@
 	return true
 }
 
-// Merge adds upstreams that a peer has read from the platform's list, except those of
-// which a newer entry is stored already. The directory counts as synced afterwards. Merge
-// returns the upstreams that were not known to be draining before and are now.
+// Merge applies the upstreams that a peer has read from the platform's list, except those of
+// which a newer entry is stored already. Unlike Replace it removes none. The directory counts
+// as synced afterwards. Merge returns the upstreams that are draining and were not known to be
+// draining before.
 func (d *Directory) Merge(now time.Time, list []fleet.Upstream) (draining []fleet.UpstreamIncarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,16 +163,16 @@
 	return d.apply(now, lo.Map(list, func(u fleet.Upstream, _ int) Entry { return Entry{ID: u.ID, Upstream: u} }))
 }
 
-// MarkDraining records upstreams that a peer reports as draining, and returns those that
-// were not known to be draining before. An incarnation never stops draining.
+// MarkDraining records upstreams that a peer reports as draining, and returns those that were
+// not known to be draining before. Once an incarnation is draining, it stays so until it ends.
 func (d *Directory) MarkDraining(now time.Time, incarnations []fleet.UpstreamIncarnation) []fleet.UpstreamIncarnation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return lo.Filter(incarnations, func(incarnation fleet.UpstreamIncarnation, _ int) bool { return d.noteDraining(now, incarnation) })
 }
 
-// DrainingSince returns the upstreams of which this instance learned after a given time
-// that they are draining.
+// DrainingSince returns the draining upstreams of which this instance learned after the time
+// since that they are draining.
 func (d *Directory) DrainingSince(since time.Time) []fleet.UpstreamIncarnation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,15 +180,16 @@
 	return slices.SortedFunc(recent, fleet.CompareIncarnations)
 }
 
-// MarkUnsynced records that the list of upstreams is no longer watched.
+// MarkUnsynced records that this instance no longer watches the list of upstreams, so that the
+// directory may be outdated.
 func (d *Directory) MarkUnsynced() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.synced = false
 }
 
-// SetServices sets the services that the configuration names. Select leaves out upstreams
-// of other services. If services is empty, upstreams of all services are used.
+// SetServices sets the services that the configuration names. Select then leaves out the
+// upstreams of other services. If services is empty, it leaves out none.
 func (d *Directory) SetServices(services []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -191,16 +200,16 @@
 	d.services = lo.SliceToMap(services, func(name string) (string, bool) { return name, true })
 }
 
-// Ready reports whether this instance may take ownership of groups: the list of upstreams
-// is synced, and it is known which availability zones are evacuated.
+// Ready reports whether this instance may take ownership of groups of upstreams. It must know
+// the upstreams, as reported by Synced, and which availability zones are evacuated.
 func (d *Directory) Ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.synced && d.zones.listedRevision > 0
 }
 
-// Synced reports whether the list of upstreams has been read from the store or received
-// from a peer, and MarkUnsynced was not called since.
+// Synced reports whether the list of upstreams has been read from the platform's store or
+// received from a peer, and MarkUnsynced has not been called since.
 func (d *Directory) Synced() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -222,26 +231,27 @@
 	return d.withStatus(u), found
 }
 
-// ListForPeer returns the upstreams that match, sorted by ID, as they are sent to a peer.
-// It leaves out upstreams whose entry is invalid. Closed does not reflect evacuations;
-// Draining is set if the list or any peer reports the upstream as draining.
+// ListForPeer returns the upstreams for which match returns true, sorted by ID, as they are
+// sent to a peer. It leaves out upstreams whose entry is invalid. Draining is set if the list
+// or any peer reports the upstream as draining. Closed is never set: the peer itself sets it
+// for evacuated zones.
 func (d *Directory) ListForPeer(match func(fleet.Upstream) bool) []fleet.Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.filter(func(u fleet.Upstream) bool { return !u.Closed && match(u) }, d.withDraining)
 }
 
-// Select returns the upstreams of the configured services that match, sorted by ID.
-// Draining is set if the list or any peer reports the upstream as draining, and Closed if
-// its entry is invalid or its availability zone is evacuated.
+// Select returns the upstreams of the configured services for which match returns true, sorted
+// by ID. Draining is set if the list or any peer reports the upstream as draining. Closed is
+// set if the entry is invalid or the availability zone is evacuated.
 func (d *Directory) Select(match func(fleet.Upstream) bool) []fleet.Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.filter(func(u fleet.Upstream) bool { return (d.services == nil || d.services[u.Service]) && match(u) }, d.withStatus)
 }
 
-// filter returns the upstreams that match, sorted by ID and converted by view. The caller
-// must hold d.mu.
+// filter returns the upstreams for which match returns true, sorted by ID. It passes each of
+// them through view. The caller must hold d.mu.
 func (d *Directory) filter(match func(fleet.Upstream) bool, view func(fleet.Upstream) fleet.Upstream) []fleet.Upstream {
 	var list []fleet.Upstream
 	for _, u := range d.upstreams {
@@ -253,16 +263,16 @@
 	return list
 }
 
-// withDraining returns u with Draining also set if a peer reported it as draining. The
-// caller must hold d.mu.
+// withDraining returns u, with Draining set if its entry or any peer reports it as draining.
+// The caller must hold d.mu.
 func (d *Directory) withDraining(u fleet.Upstream) fleet.Upstream {
 	_, draining := d.drainingSince[u.Incarnation()]
 	u.Draining = u.Draining || draining
 	return u
 }
 
-// withStatus returns u with Draining set as by withDraining, and Closed also set if its
-// availability zone is evacuated. The caller must hold d.mu.
+// withStatus returns u, with Draining set as by withDraining, and with Closed set if its entry
+// is invalid or its availability zone is evacuated. The caller must hold d.mu.
 func (d *Directory) withStatus(u fleet.Upstream) fleet.Upstream {
 	u = d.withDraining(u)
 	u.Closed = u.Closed || d.zones.byName[u.Zone].evacuated
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -52,17 +52,17 @@
 	} {
 		step.do()
 		if got := startable(d); !slices.Equal(got, step.startable) {
-			t.Fatalf("%s: %v, want %v", step.name, got, step.startable)
+			t.Fatalf("%s: new tasks may start on %v, want %v", step.name, got, step.startable)
 		}
 	}
 	u3, listed := d.Lookup("u3")
 	if !listed || u3.Closed {
-		t.Errorf("%+v, listed %v", u3, listed)
+		t.Errorf("u3 is closed or not in the directory: %+v, in the directory %v", u3, listed)
 	}
 }
 
-// TestReady checks that a directory is ready once both the upstreams and the evacuations
-// are known, and is no longer ready once the list is not watched.
+// TestReady checks that a directory is ready once both the upstreams and the evacuated zones
+// are known, and no longer ready after the list of upstreams has ceased to be watched.
 func TestReady(t *testing.T) {
 	d := New()
 	if d.Replace(time.Unix(1000, 0), []Entry{entry("u", "a")}); d.Ready() {
@@ -72,14 +72,15 @@
 		t.Error("not ready although the upstreams and the evacuated zones are known")
 	}
 	if d.MarkUnsynced(); d.Ready() {
-		t.Error("ready though the list is no longer watched")
+		t.Error("ready although the list of upstreams is no longer watched")
 	}
 }
 
-// TestZonesNeverGoBack lets an instance receive lists of evacuations of three zones in any
-// order, from the store and from peers. Some changes it does not receive individually, but
-// only as part of a later complete list. The instance must never return to an older state of a zone, and must
-// have the state of the newest list after receiving it.
+// TestZonesNeverGoBack lets an instance receive complete lists of the evacuated zones, of
+// several revisions, in any order and with gaps. Some lists, like those of the store, contain
+// only the zones that are evacuated; others, like those of peers, also contain the zones that
+// were. The instance must never return to an older state of a zone, and after it has received
+// the newest list it must have the states of that list.
 func TestZonesNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
@@ -112,10 +113,10 @@
 			states, _ := d.Zones()
 			for _, s := range states {
 				if s.Revision < newestRevision[s.Zone] {
-					t.Fatalf("%+v after revision %d was received", s, newestRevision[s.Zone])
+					t.Fatalf("a zone has an outdated state: %+v, although revision %d of it was received", s, newestRevision[s.Zone])
 				}
 				if s.Evacuated != history[min(s.Revision, uint64(last))][s.Zone].Evacuated {
-					t.Fatalf("state %+v, want %+v", s, history[s.Revision][s.Zone])
+					t.Fatalf("a zone has a state that it never had at this revision: %+v, want %+v", s, history[s.Revision][s.Zone])
 				}
 			}
 		}
@@ -128,7 +129,7 @@
 		states, _ := d.Zones()
 		for _, s := range states {
 			if s.Evacuated != history[last][s.Zone].Evacuated {
-				t.Fatalf("final state %+v, want %+v", s, history[last][s.Zone])
+				t.Fatalf("after the newest list a zone has the state %+v, want %+v", s, history[last][s.Zone])
 			}
 		}
 	})
--- a/directory/incarnations_test.go
+++ b/directory/incarnations_test.go
@@ -8,9 +8,9 @@
 	"github.com/sedgehatch/sedgehatch/fleet"
 )
 
-// TestIncarnations checks that data on an earlier incarnation of an upstream does not apply
-// to a later one with the same ID, whether it was received before the restart or arrives
-// late.
+// TestIncarnations checks that what is known of an earlier incarnation of an upstream does not
+// apply to a later one with the same ID, whether it was received before the restart or arrives
+// only afterwards.
 func TestIncarnations(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New()
@@ -42,13 +42,14 @@
 	} {
 		step.do()
 		if got := slices.Contains(startable(d), "u"); got != step.startable {
-			t.Fatalf("%s: tasks may start: %v, want %v", step.name, got, step.startable)
+			t.Fatalf("%s: new tasks may start on the upstream: %v, want %v", step.name, got, step.startable)
 		}
 	}
 }
 
-// TestLargestCapacity checks that LargestCapacity is the maximum over one incarnation while
-// its capacity shrinks and grows, and that a new incarnation starts with its first report.
+// TestLargestCapacity checks that LargestCapacity is the highest capacity that one incarnation
+// has had while its capacity shrinks and grows, and that it starts over with the first entry of
+// the next incarnation.
 func TestLargestCapacity(t *testing.T) {
 	d := New()
 	for i, step := range []struct {
@@ -59,14 +60,14 @@
 		capacity := fleet.Resources{MilliCPU: step.cpu}
 		d.Update(time.Unix(1000, 0), []Entry{{ID: "u", Upstream: fleet.Upstream{ID: "u", StartedUnixMs: step.started, Sequence: step.sequence, Capacity: capacity}}})
 		if u, _ := d.Lookup("u"); u.LargestCapacity.MilliCPU != step.largest {
-			t.Errorf("step %d: %+v, want largest capacity %d", i, u, step.largest)
+			t.Errorf("step %d: wrong LargestCapacity in %+v, want %d thousandths of a core", i, u, step.largest)
 		}
 	}
 }
 
-// TestCapacityReports checks that an instance that cannot read the list applies changes of
-// an upstream's capacity reported by a peer, and ignores reports that are late or belong to
-// another incarnation.
+// TestCapacityReports lets an instance that reads the platform's list send capacity reports to
+// one that cannot read it. The receiver must apply changes, and must ignore reports that arrive
+// late or concern another incarnation.
 func TestCapacityReports(t *testing.T) {
 	now := time.Unix(1000, 0)
 	entry := func(sequence, cpu int64) []Entry {
@@ -76,7 +77,7 @@
 	reader.Replace(now, entry(1, 8000))
 	receiver.Replace(now, entry(1, 8000))
 	if reports := reader.CapacityReportsSince(time.Time{}); len(reports) > 0 {
-		t.Errorf("%v is reported before any change", reports)
+		t.Errorf("reports %v before any change of capacity", reports)
 	}
 	reader.Update(now, entry(2, 3000))
 	shrunk := reader.CapacityReportsSince(now.Add(-time.Second))
@@ -94,10 +95,10 @@
 	} {
 		changed := receiver.ApplyCapacityReports(now, step.reports)
 		if u, _ := receiver.Lookup("u"); changed != step.changed || u.Capacity.MilliCPU != step.cpu || u.LargestCapacity.MilliCPU != 8000 {
-			t.Errorf("%s: changed %v, %+v", step.name, changed, u)
+			t.Errorf("%s: wrong result or capacity after the report: changed %v, %+v", step.name, changed, u)
 		}
 	}
 	if reports := reader.CapacityReportsSince(now); len(reports) > 0 {
-		t.Errorf("%v is still reported after its time", reports)
+		t.Errorf("reports %v since a time after the last change", reports)
 	}
 }
--- a/directory/zones.go
+++ b/directory/zones.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// ZoneState is the evacuation state of an availability zone. No new tasks may start on the
+// ZoneState tells whether an availability zone is evacuated. No new tasks may start on the
 // upstreams of an evacuated zone until operators end the evacuation.
 type ZoneState struct {
 	Zone      string
 	Evacuated bool
-	Revision  uint64 // revision of the platform's store to which the state belongs
+	Revision  uint64 // revision of the platform's store at which the zone had this state
 }
 
-// zoneTable holds the latest known state of each availability zone. A state is never
-// replaced by that of an older revision of the store, whether the store or a peer sent it.
+// zoneTable holds the latest known state of each availability zone. A state is never replaced
+// by one of an older revision, no matter whether that comes from the store or from a peer.
 type zoneTable struct {
 	byName map[string]zoneEntry
-	// listedRevision is the revision of the newest complete list of evacuations received:
-	// a zone without an entry was not evacuated at that revision. It is 0 before the first
-	// complete list.
+	// listedRevision is the revision of the newest complete list of evacuated zones that
+	// was received, or 0 before the first one. A zone that is not in byName was not
+	// evacuated at that revision.
 	listedRevision uint64
 }
 
@@ -28,11 +28,12 @@
 	revision  uint64
 }
 
-// maxZones bounds the number of zones in the table. The largest planned fleet has 14.
+// maxZones limits the number of zones in the table, which could otherwise grow without bound.
+// The largest planned fleet has 14 zones.
 const maxZones = 1024
 
-// update stores one state unless it is outdated, and reports whether the zone's evacuation
-// began or ended by it.
+// update stores the state of a zone unless it is outdated, and reports whether the zone's
+// evacuation has begun or ended according to it.
 func (z *zoneTable) update(s ZoneState) bool {
 	current, found := z.byName[s.Zone]
 	newer := s.Revision > current.revision
@@ -46,9 +47,9 @@
 	return current.evacuated != s.Evacuated
 }
 
-// ReplaceZones applies the complete list of evacuations at a revision of the store,
-// received from the store or from a peer, and returns the zones whose state changed. Zones
-// that are not listed were not evacuated at that revision.
+// ReplaceZones applies a complete list of zone states at a revision of the store, received from
+// the store or from a peer. Zones that are not in the list were not evacuated at that revision.
+// ReplaceZones returns the states that changed.
 func (d *Directory) ReplaceZones(revision uint64, states []ZoneState) []ZoneState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,8 +64,8 @@
 	return changed
 }
 
-// UpdateZones applies evacuations that began or ended, and returns the zones whose state
-// changed.
+// UpdateZones applies the states of zones whose evacuation has begun or ended, and returns the
+// states that changed by it.
 func (d *Directory) UpdateZones(states []ZoneState) []ZoneState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,8 +83,8 @@
 	return changed
 }
 
-// Zones returns the states of all zones that are or were evacuated, sorted by name, and the
-// revision of the newest complete list of evacuations, which is 0 before the first one.
+// Zones returns the states of all zones that are or were evacuated, sorted by name. It also
+// returns the revision of the newest complete list that was applied, or 0 before the first.
 func (d *Directory) Zones() ([]ZoneState, uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
