--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Instance holds the settings with which an instance starts.
+// Instance holds the settings with which an instance of sedgehatch starts.
 type Instance struct {
 	Name   string
 	Zone   string
@@ -12,8 +12,8 @@
 	ReadinessAddress string
 	PeerAddress      string
 	MetricsAddress   string
-	// SeedPeers are the PeerAddresses of a few instances, for the first contact with peers.
-	// They may be outdated.
+	// SeedPeers are the PeerAddresses of a few instances, which may be outdated. The
+	// instance contacts them while it knows no other peers.
 	SeedPeers []string
 	// FirstStart is set when the whole system starts for the first time.
 	FirstStart bool
@@ -22,7 +22,7 @@
 	LinkRate float64 // speed of the instance's network link in bytes per second; 0 if unknown
 
 	StoreAddress string
-	MinLeaseTTL  time.Duration // shortest time to live of a lease that the store accepts
+	MinLeaseTTL  time.Duration // shortest time to live that the store accepts for its leases
 
 	Timing Timing
 }
@@ -35,12 +35,12 @@
 	Share   float64 // fraction of a core, as Instance.CPUShare
 }
 
-// Timing holds the time limits that the operators of an installation set.
+// Timing holds the properties of an installation that concern time, as set by its operators.
 type Timing struct {
 	MaxTaskLease         time.Duration // longest lease that upstreams grant to a task
 	Grace                time.Duration // time between SIGTERM and SIGKILL
-	MinOwnershipInterval time.Duration // within this time the ownership of an upstream must not alternate between two instances
-	// RemoteFactor is the factor by which a task takes longer if it does not run in the
-	// rack of its data.
+	MinOwnershipInterval time.Duration // the ownership of an upstream must not move to another instance and back within this time
+	// RemoteFactor is how many times longer a task takes on an upstream outside the rack of
+	// its data.
 	RemoteFactor float64
 }
--- a/fleet/job.go
+++ b/fleet/job.go
@@ -1,12 +1,16 @@
-// Package fleet holds the types that the packages of an instance share to dispatch
-// jobs to upstreams, which run tasks under leases: jobs and tasks, routes, upstreams
-// and their reports. It does no I/O.
+// Package fleet holds the types that the packages of an instance share: jobs and their
+// tasks, routes, upstreams and their reports. It does no I/O.
+//
+// An upstream is a process that runs tasks. One execution of that process is an
+// incarnation. The instance that gives an upstream work is its owner; a fencing token in
+// its orders lets the upstream refuse the orders of former owners. A lease limits how
+// long the upstream goes on with its runs, the executions of tasks, without hearing from
+// its owner.
 package fleet
 
 import "time"
 
-// Resources is an amount of CPU, memory and GPUs, needed by a task or available on an
-// upstream.
+// Resources is an amount of CPU, memory and GPUs that a task needs or an upstream has.
 type Resources struct {
 	MilliCPU int64 // thousandths of a core
 	MemoryMB int64
@@ -36,12 +40,13 @@
 // TaskRef identifies a task.
 type TaskRef struct {
 	Job        string
-	Repetition int // number of the execution of a scheduled job; 0 without a schedule
+	Repetition int // number of the execution, if the job is executed repeatedly by a schedule; 0 otherwise
 	Step       int
 	Index      int
 }
 
-// Run identifies one execution of a task. The runs of a task are numbered from 1.
+// Run identifies one execution of a task. The numbers of a task's runs start at 1 and rise;
+// some may be left out.
 type Run struct {
 	Task   TaskRef
 	Number uint32
@@ -53,12 +58,12 @@
 	Demand   Resources
 	Estimate time.Duration // duration of one task as declared by the customer
 	Rack     string        // rack that holds the data of the tasks; "" if there is none
-	// MaxPerUpstream is how many of the tasks may run on one upstream at a time; 0 means no
-	// limit.
+	// MaxPerUpstream is how many of the tasks may run on the same upstream at a time; 0
+	// means no limit.
 	MaxPerUpstream int
 }
 
-// Job is what a customer submits.
+// Job is a job as submitted by a customer.
 type Job struct {
 	ID    string
 	Spec  string // passed to the upstreams unchanged
--- a/fleet/route.go
+++ b/fleet/route.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Route is a queue of jobs, selected by the host and path of their requests.
+// Route determines how the jobs that customers submit under a host and a path prefix are
+// handled.
 type Route struct {
 	Name        string
 	Host        string
@@ -25,7 +26,7 @@
 type Config struct {
 	Version uint64
 	Routes  []Route
-	// Services are the services whose upstreams run tasks.
+	// Services are the names of the services whose upstreams run tasks; empty means all.
 	Services []string
 	// MaxBodyBytes is the largest permitted size of a request's body; 0 means no limit.
 	MaxBodyBytes int
@@ -46,8 +47,8 @@
 	}
 }
 
-// Match returns the route of a request: of the routes for its host, the one with the
-// longest matching path prefix. It returns nil if there is none.
+// Match returns the route of a request: among the routes for its host, the one with the
+// longest prefix of its path. It returns nil if there is none.
 func (c *Config) Match(host, path string) *Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
 		host = host[:at]
--- a/fleet/upstream.go
+++ b/fleet/upstream.go
@@ -6,8 +6,8 @@
 )
 
 // UpstreamIncarnation identifies one execution of an upstream process, from its start to
-// its end. A restarted process has nothing left from before the restart, whether its ID is
-// a new one or the same.
+// its end. A process that restarts keeps nothing from before the restart, even if it keeps
+// its ID.
 type UpstreamIncarnation struct {
 	ID            string
 	StartedUnixMs int64 // start time; 0 if the platform does not report it
@@ -27,14 +27,14 @@
 	Zone          string
 	Rack          string // "" if the platform does not report it
 	Draining      bool   // it is shutting down for good and gets no new tasks
-	// Closed is set while no new tasks may start on the upstream for a reason that can
-	// end: its availability zone is evacuated, or its entry is invalid.
+	// Closed is set while no new tasks may start on the upstream because its availability
+	// zone is evacuated or its entry is invalid. Unlike Draining it may be reset.
 	Closed bool
-	// Capacity is the upstream's current total capacity, which may shrink and grow.
-	// LargestCapacity is the maximum since the incarnation started.
+	// Capacity is the total of the upstream's free and used resources, which may shrink and
+	// grow. LargestCapacity is the highest Capacity since the incarnation started.
 	Capacity        Resources
 	LargestCapacity Resources
-	Sequence        int64 // version of the upstream's entry; starts over in each incarnation
+	Sequence        int64 // version of the upstream's entry in the store; starts over in each incarnation
 }
 
 // Incarnation returns the incarnation that u describes.
@@ -45,12 +45,12 @@
 // End is how a run ended.
 type End string
 
-// The ends of a run.
+// The ways in which a run can end.
 const (
 	EndDone    End = "done"
-	EndFailed  End = "failed"  // because of the task or of the upstream
+	EndFailed  End = "failed"  // through a fault of the task or of the upstream
 	EndStopped End = "stopped" // by a stop order
-	EndLapsed  End = "lapsed"  // its lease expired
+	EndLapsed  End = "lapsed"  // the upstream stopped it because its lease expired
 	EndOther   End = "other"   // the upstream reported an unknown kind of end
 )
 
@@ -62,7 +62,7 @@
 
 // EndedRun is a run that an upstream reports as ended.
 type EndedRun struct {
-	Sequence uint64 // number of the end within the upstream's incarnation, from 1
+	Sequence uint64 // the ended runs of an incarnation are numbered from 1
 	Run      Run
 	End      End
 }
@@ -86,11 +86,11 @@
 	RefusedOldRun    Refusal = "old_run"   // the upstream has already processed this run of the task or a later one
 	RefusedLate      Refusal = "late"      // the lease had expired when the order arrived
 	RefusedNoRoom    Refusal = "room"      // free capacity is insufficient
-	RefusedUnhealthy Refusal = "unhealthy" // the upstream refuses all tasks
+	RefusedUnhealthy Refusal = "unhealthy" // the upstream is unhealthy and refuses all tasks
 	RefusedInvalid   Refusal = "bad"       // the order is invalid
 )
 
-// StartOrder orders an upstream to start a run.
+// StartOrder is an order to an upstream to start a run.
 type StartOrder struct {
 	Run          Run
 	Spec         string
@@ -98,10 +98,11 @@
 	Token        uint64 // fencing token
 }
 
-// HoldOrder renews the lease of all runs on an upstream and requests a report.
+// HoldOrder is an order to an upstream that renews the lease of all its runs and requests a
+// report.
 type HoldOrder struct {
 	LeaseUntilMs  int64  // new end of the lease, on the upstream's clock; 0 requests only a report
 	Token         uint64 // fencing token
-	AckedSequence uint64 // the upstream may discard ends up to this EndedRun.Sequence
+	AckedSequence uint64 // the owner has processed the ended runs up to this EndedRun.Sequence; the upstream may forget them
 	WaitMs        int64  // how long the upstream may delay the report until a run ends
 }
