--- a/clock/boot_linux.go
+++ b/clock/boot_linux.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceBoot returns the time since the machine started, including suspended time. The error
-// is Internal.
+// sinceBoot returns the time since the machine started, including the time during which it
+// was suspended. The error is Internal.
 func sinceBoot() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -49,7 +49,7 @@
 		before := clock.Now()
 		c.do(m, func() { clock.Now() })
 		if got := clock.Now().Sub(before); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: the clock advanced by %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -59,19 +59,20 @@
 	return New(time.Unix(1000, 0), func() Reading { return Reading{m.monotonic, m.wall} }, func() (time.Duration, error) { return m.boot, m.bootErr })
 }
 
-// TestNoBootClock checks that if the boot-time clock cannot be read, the monotonic clock is
-// used and Err returns the error.
+// TestNoBootClock checks that if the boot-time clock cannot be read, the clock advances with
+// the monotonic clock and Err returns the error.
 func TestNoBootClock(t *testing.T) {
 	m := &machine{bootErr: errors.New("none")}
 	clock := newClock(m)
 	before := clock.Now()
 	m.run(2 * time.Second)
 	if got := clock.Now().Sub(before); got != 2*time.Second || clock.Err() == nil {
-		t.Errorf("%v, error %v", got, clock.Err())
+		t.Errorf("the clock advanced by %v, want 2s; Err returns %v, want an error", got, clock.Err())
 	}
 }
 
-// TestSystem checks that the boot-time clock of this machine can be read.
+// TestSystem checks that System can read the boot-time clock of this machine and that it does
+// not run backwards.
 func TestSystem(t *testing.T) {
 	before := Now()
 	if System.Err() != nil || Since(before) < 0 || Until(before) > 0 {
--- a/clock/uses_test.go
+++ b/clock/uses_test.go
@@ -13,9 +13,9 @@
 // elapsed time.
 var leasePackages = []string{"directory", "ingress", "inner", "membership", "node", "owner", "schedule"}
 
-// TestUses checks that these packages use this package's clock and not that of package time.
-// Deadlines of connections are excepted, because the operating system applies them on its own
-// clock.
+// TestUses checks that the leasePackages read this package's clock and not that of package
+// time. Calls that set the deadline of a connection are excepted, because the operating system
+// measures that deadline on its own clock.
 func TestUses(t *testing.T) {
 	for _, dir := range leasePackages {
 		files, err := filepath.Glob("../" + dir + "/*.go")
--- a/connset/connset.go
+++ b/connset/connset.go
@@ -1,6 +1,6 @@
-// Package connset tracks open connections so that their owner can close all of
-// them at once. Connections that are blocked in a read or write would otherwise
-// outlive it.
+// Package connset tracks the open connections of a server or client, which can then
+// close all of them at once when it stops. Otherwise connections that are blocked in a
+// read or a write would stay open.
 package connset
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// Set is a set of open connections. A connection leaves it on Close. The zero value
-// is ready to use.
+// Set is a set of open connections. A connection that is closed is removed from it. The
+// zero value is ready to use.
 type Set struct {
 	mu           sync.Mutex
 	open         map[*conn]struct{}
@@ -29,8 +29,8 @@
 	set *Set
 }
 
-// Bytes returns the numbers of bytes that all connections ever in the set have read
-// and written.
+// Bytes returns how many bytes have been read from and written to the connections in the
+// set, including those that are closed by now.
 func (s *Set) Bytes() (read, written int64) { return s.bytesRead.Load(), s.bytesWritten.Load() }
 
 // Read implements net.Conn.
@@ -50,8 +50,9 @@
 // SyscallConn implements syscall.Conn. It returns the errors of Socket.
 func (c *conn) SyscallConn() (syscall.RawConn, error) { return Socket(c.Conn) }
 
-// Socket returns the operating system's socket of a connection or listener. The error is
-// Internal if v gives no access to one, for example because another library wraps it.
+// Socket returns the operating system's socket of v, a connection or listener. The error is
+// Internal if v gives no access to its socket, for example because it is wrapped by another
+// library.
 func Socket(v any) (syscall.RawConn, error) {
 	sys, ok := v.(syscall.Conn)
 	if !ok {
@@ -85,7 +86,7 @@
 	return tracked, nil
 }
 
-// Dial returns a function that calls dial and adds the connection to the set.
+// Dial returns a function that opens a connection by calling dial and adds it to the set.
 func (s *Set) Dial(dial func(address string) (net.Conn, error)) func(address string) (net.Conn, error) {
 	return func(address string) (net.Conn, error) {
 		c, err := dial(address)
--- a/failure/failure.go
+++ b/failure/failure.go
@@ -1,8 +1,9 @@
 // Package failure defines the error types that sedgehatch returns.
 //
-// Every error that a package returns to another has one of these types, so that
-// callers handle errors by type and not by text. The types are errorx types; check
-// them with Is, and get the name of an invalid field with FieldOf.
+// Every error that one package returns to another has one of these types, so that
+// callers can handle it by its type instead of its text. The types are errorx types.
+// Is checks the type of an error, and FieldOf returns the name of the field that an
+// error concerns.
 package failure
 
 import (
@@ -20,11 +21,11 @@
 	// TooLarge means that a limit on a size or count was exceeded; FieldOf returns
 	// the name of the field.
 	TooLarge = namespace.NewType("too_large")
-	// NotFound means that the requested item does not exist, or is not known to the
-	// process that was asked.
+	// NotFound means that the requested item does not exist, or that the process that
+	// received the request does not know of it.
 	NotFound = namespace.NewType("not_found")
-	// Conflict means that the request contradicts the current state, in most cases
-	// because another process has changed the state first.
+	// Conflict means that the request does not fit the current state, in most cases
+	// because another process has changed that state before.
 	Conflict = namespace.NewType("conflict")
 	// Overloaded means that the work was refused because of a load limit, before any
 	// of it started.
@@ -40,18 +41,19 @@
 	// NeverFits means that no upstream is large enough to run the task, even when
 	// idle.
 	NeverFits = namespace.NewType("never_fits")
-	// Unreachable means that the peer did not receive the message: no byte of it
-	// was sent.
+	// Unreachable means that the peer has certainly not received the message, because
+	// no byte of it was sent.
 	Unreachable = namespace.NewType("unreachable")
-	// Lost means that no valid answer to the message was received; the message may
-	// or may not have taken effect.
+	// Lost means that no valid response to the message was received. It is unknown
+	// whether the message has taken effect.
 	Lost = namespace.NewType("lost")
-	// Gone means that the incarnation to which the message is addressed has ended.
+	// Gone means that the incarnation (one execution of a process) to which the message
+	// is addressed has ended.
 	Gone = namespace.NewType("gone")
 	// Refused means that the peer received the request and refused it.
 	Refused = namespace.NewType("refused")
-	// Timeout means that no answer arrived in time; it is unknown whether the
-	// message has taken effect.
+	// Timeout means that no response to the message arrived in time. It is unknown
+	// whether the message has taken effect.
 	Timeout = namespace.NewType("timeout", errorx.Timeout())
 	// Protocol means that a peer sent a message that violates the protocol.
 	Protocol = namespace.NewType("protocol")
@@ -62,15 +64,15 @@
 	Invariant = namespace.NewType("invariant")
 )
 
-// portable holds the types that keep their identity when sent to another process, by
-// short name.
+// portable holds, by short name, the types of the errors that may be sent to another
+// process, which restores them by ByCode.
 var portable = lo.KeyBy([]*errorx.Type{
 	InvalidInput, TooLarge, NotFound, Conflict, Overloaded, Stopping, NoSettings, SessionEnded,
 	NeverFits, Unreachable, Lost, Gone, Refused, Timeout, Protocol,
 }, func(t *errorx.Type) string { return shortName(t.FullName()) })
 
-// ByCode returns the type with the given short name, as returned by Code, and whether
-// there is one that can be sent to another process.
+// ByCode returns the type whose short name, as returned by Code, is code. It returns false
+// if there is no such type, or if errors of that type may not be sent to another process.
 func ByCode(code string) (*errorx.Type, bool) {
 	t, ok := portable[code]
 	return t, ok
@@ -78,7 +80,7 @@
 
 var fieldProperty = errorx.RegisterPrintableProperty("field")
 
-// Field returns an error of type t that concerns the named field.
+// Field returns an error of type t that concerns the field with the given name.
 func Field(t *errorx.Type, field, format string, args ...any) *errorx.Error {
 	return t.New(format, args...).WithProperty(fieldProperty, field)
 }
@@ -92,7 +94,7 @@
 	return value.(string)
 }
 
-// Is reports whether err has type t.
+// Is reports whether err has the type t.
 func Is(err error, t *errorx.Type) bool {
 	return errorx.IsOfType(err, t)
 }
@@ -107,7 +109,7 @@
 	return shortName(typed.Type().FullName())
 }
 
-// Text returns the message of err without its type.
+// Text returns the message of err, without the name of its type that err.Error contains.
 func Text(err error) string {
 	typed := errorx.Cast(err)
 	if typed == nil {
