--- a/event/event.go
+++ b/event/event.go
@@ -1,5 +1,5 @@
-// Package event defines the log events of sedgehatch and their numbers.
-// docs/EVENTS.md is the catalogue for operators; a test checks that it matches
+// Package event defines the kinds of log events of sedgehatch, each with a number.
+// The file docs/EVENTS.md lists them for operators; a test checks that it matches
 // this package.
 package event
 
@@ -8,19 +8,21 @@
 	"log/slog"
 )
 
-// Event is one kind of log event. Its number never changes and is never reused
-// for another event.
+// Event is one kind of log event. Its Number never changes, and is never given to
+// another kind, even if this one is removed.
 type Event struct {
 	Number int
 	Name   string
 	Level  slog.Level
-	// Meaning is the description in the operators' catalogue.
+	// Meaning is the description in docs/EVENTS.md.
 	Meaning string
 }
 
-// The events. Numbers 1xx concern the instance, 2xx permit logs and the outcomes
-// of jobs, 3xx upstreams and brokers, 4xx membership, 5xx settings and the
-// platform.
+// The events. Those with numbers 1xx concern the instance, 2xx permit logs and the
+// outcomes of jobs, 3xx upstreams and brokers, 4xx the other instances, 5xx settings
+// and the platform. A permit log is an instance's record of the task starts that it
+// has permitted; its witness is another instance that keeps a copy of it. A broker is
+// the instance that allocates the capacity of some upstreams.
 var (
 	LogDropped        = add(1, "log_dropped", slog.LevelWarn, "Log lines were dropped because the output stalled; the attributes give the number of each class since the last such line.")
 	Started           = add(101, "started", slog.LevelInfo, "The instance accepts requests from callers.")
@@ -45,8 +47,9 @@
 	SettingsApplied   = add(503, "settings_applied", slog.LevelInfo, "A newer revision of the settings took effect on this instance.")
 	SettingsRefused   = add(504, "settings_refused", slog.LevelError, "A revision of the settings cannot be read by this instance and was not applied.")
 
-	// Events on the users' platform. Numbers 6xx concern the instance, 7xx jobs
-	// and tasks, 8xx upstreams and groups, 9xx the store and the configuration.
+	// The events on the users' platform. Those with numbers 6xx concern the instance,
+	// 7xx jobs and tasks, 8xx upstreams and groups of them, 9xx the store and the
+	// configuration.
 	NodeStarted     = add(601, "node_started", slog.LevelInfo, "The instance accepts requests from customers.")
 	NodeDraining    = add(602, "node_draining", slog.LevelInfo, "A planned shutdown began: customers are directed to other instances, and groups of upstreams are handed over to them.")
 	NodeStopped     = add(603, "node_stopped", slog.LevelInfo, "A planned shutdown ended; the attribute drained tells whether all work was finished.")
@@ -98,8 +101,8 @@
 // Catalogue returns all events, sorted by number.
 func Catalogue() []Event { return catalogue }
 
-// Log writes the event to l with its number and attributes. It does nothing if l is
-// nil or not enabled for the event's level.
+// Log logs an event of kind e to l, with the number of e and the given attributes. It
+// does nothing if l is nil or not enabled for the level of e.
 func (e Event) Log(l *slog.Logger, attrs ...slog.Attr) {
 	if l == nil || !l.Enabled(context.Background(), e.Level) {
 		return
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -24,7 +24,7 @@
 	last := 0
 	for _, e := range Catalogue() {
 		if e.Number <= last {
-			t.Errorf("event %d follows %d", e.Number, last)
+			t.Errorf("event numbers must increase, but %d follows %d", e.Number, last)
 		}
 		last = e.Number
 		want = append(want, fmt.Sprintf("| %d | %s | %s | %s |", e.Number, e.Name, e.Level, e.Meaning))
--- a/logging/sink.go
+++ b/logging/sink.go
@@ -1,7 +1,8 @@
 // Package logging writes structured log lines without ever blocking the code that
-// logs: lines are queued in a bounded buffer, which a separate goroutine writes out.
-// If the output stalls, routine lines are dropped first and failures last. The number
-// of dropped lines is logged when the output accepts lines again.
+// logs. Lines are queued in a buffer of limited size, and a separate goroutine writes
+// them out. If the output stalls and the buffer fills up, lines about routine events
+// are dropped first and lines about failures last. When the output accepts lines again,
+// the numbers of dropped lines are logged.
 package logging
 
 import (
@@ -29,11 +30,12 @@
 
 func (c Class) String() string { return [classes]string{"routine", "decision", "failure"}[c] }
 
-// DefaultBuffer is a size of the buffer in bytes that holds the lines of several
-// seconds at the highest load.
+// DefaultBuffer is the recommended size of the buffer in bytes. It holds the lines of
+// several seconds at the highest load.
 const DefaultBuffer = 1 << 20
 
-// maxFill is the fraction of the buffer up to which lines of each class are queued.
+// maxFill is the fraction of the buffer that may be in use with a new line of each class. If it
+// would be exceeded, the line is dropped.
 var maxFill = [classes]float64{0.5, 0.75, 1}
 
 // Sink is a bounded buffer of log lines and the goroutine that writes them out.
@@ -44,11 +46,11 @@
 	mu              sync.Mutex
 	stateChanged    *sync.Cond
 	queued          bytes.Buffer
-	unreportedDrops [classes]uint64 // not logged yet
+	unreportedDrops [classes]uint64 // dropped lines that reportDropped has not reported yet
 	totalDropped    [classes]uint64
 	failedWrites    uint64 // writes to the output that returned an error
 	closed          bool
-	idle            bool // the writing goroutine waits or has ended
+	idle            bool // the goroutine that writes is waiting for lines or has ended
 }
 
 // NewSink returns a sink that writes to out and buffers at most maxBytes. It must be
@@ -100,7 +102,7 @@
 		_, err := s.out.Write(batch.Bytes())
 		s.mu.Lock()
 		if err != nil {
-			s.failedWrites++ // cannot be logged; shown in the metrics
+			s.failedWrites++ // the error cannot be logged; Dropped returns the count
 		}
 	}
 }
@@ -116,8 +118,8 @@
 	s.unreportedDrops = [classes]uint64{}
 }
 
-// Dropped returns the number of dropped lines of each class, and the number of failed
-// writes to the output.
+// Dropped returns how many lines of each class have been dropped so far, and how many writes
+// to the output have failed.
 func (s *Sink) Dropped() (byClass map[string]uint64, failedWrites uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +130,8 @@
 	return byClass, s.failedWrites
 }
 
-// Close writes the queued lines and stops the sink. If that takes longer than timeout, the
-// remaining lines are discarded.
+// Close waits until the queued lines have been written, and stops the sink. If that takes
+// longer than timeout, it discards the remaining lines.
 func (s *Sink) Close(timeout time.Duration) {
 	timer := time.AfterFunc(timeout, func() {
 		s.mu.Lock()
@@ -148,9 +150,10 @@
 	}
 }
 
-// Handler returns an slog handler that queues records as JSON lines. A record
-// with an attribute RoutineKey is of class Routine. Other records are of class Failure from
-// the warning level up, and of class Decision below.
+// Handler returns an slog handler that queues records as JSON lines. The class of a record is
+//   - Routine if it has an attribute with the key RoutineKey,
+//   - otherwise Failure if its level is Warn or above,
+//   - otherwise Decision.
 func (s *Sink) Handler(level slog.Leveler) slog.Handler {
 	buffer := &bytes.Buffer{}
 	return &handler{sink: s, line: &lineBuffer{buffer: buffer}, json: slog.NewJSONHandler(buffer, &slog.HandlerOptions{Level: level, ReplaceAttr: replaceAttr})}
--- a/logging/sink_test.go
+++ b/logging/sink_test.go
@@ -23,9 +23,9 @@
 	return s.written.Write(p)
 }
 
-// TestStalledOutput logs far more than the buffer holds while the output is blocked. It
-// checks that logging does not block, that routine lines are dropped first and failures
-// are kept, and that the numbers of dropped lines are logged.
+// TestStalledOutput logs far more lines than the buffer holds while the output is blocked. It
+// checks that logging does not block, that lines of classes Routine and Decision are dropped
+// but none of class Failure, and that the numbers of dropped lines are logged.
 func TestStalledOutput(t *testing.T) {
 	out := &stalledWriter{gate: make(chan struct{})}
 	sink := NewSink(out, 20_000)
@@ -41,7 +41,7 @@
 	}
 	dropped, _ := sink.Dropped()
 	if dropped["routine"] == 0 || dropped["decision"] == 0 || dropped["failure"] != 0 {
-		t.Errorf("dropped %v", dropped)
+		t.Errorf("dropped lines by class: %v, want some of routine and decision, and none of failure", dropped)
 	}
 	close(out.gate)
 	sink.Close(10 * time.Second)
@@ -51,14 +51,14 @@
 		t.Errorf("only %d of 20 failures were written", n)
 	}
 	if !strings.Contains(text, `"log_dropped"`) {
-		t.Error("the dropped lines are not reported")
+		t.Error("the output has no line log_dropped with the numbers of dropped lines")
 	}
 	if strings.Contains(text, RoutineKey) {
-		t.Error("the attribute that marks routine lines was written")
+		t.Error("the attribute RoutineKey was written to the output")
 	}
 }
 
-// TestCloseOnStalledOutput checks that Close returns although the output is blocked.
+// TestCloseOnStalledOutput checks that Close returns after its timeout if the output is blocked.
 func TestCloseOnStalledOutput(t *testing.T) {
 	out := &stalledWriter{gate: make(chan struct{})}
 	defer close(out.gate)
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -4,14 +4,15 @@
 
 import "expvar"
 
-// Set is the set of metrics of one instance. A process may run several instances,
-// while expvar names are global, so a Set is published only when the daemon calls
-// Publish.
+// Set is the set of metrics of one instance. A process may run several instances, but
+// the names of expvar variables are global. Therefore a Set is not published until
+// Publish is called, which only the daemon does.
 type Set struct {
 	// Messages counts the messages that the instance sent, by kind.
 	Messages *expvar.Map
-	// Wasted counts, by kind, the sent messages that turned out to be useless: those that
-	// led neither to the only start of a task nor to a result or an answer.
+	// Wasted counts, by kind, the sent messages that turned out to be useless. A message is
+	// useful if it led to a result, to a response, or to the start of a task that had no
+	// other start.
 	Wasted *expvar.Map
 	// Counts holds all other counters.
 	Counts *expvar.Map
@@ -24,18 +25,19 @@
 	return &Set{Messages: new(expvar.Map).Init(), Wasted: new(expvar.Map).Init(), Counts: new(expvar.Map).Init()}
 }
 
-// Publish publishes the counters through expvar, at /debug/vars, with names that
-// start with prefix.
+// Publish publishes the counters as expvar variables, which are served at /debug/vars.
+// Their names start with prefix.
 func (s *Set) Publish(prefix string) {
 	expvar.Publish(prefix+"_messages", s.Messages)
 	expvar.Publish(prefix+"_wasted", s.Wasted)
 	expvar.Publish(prefix+"_counts", s.Counts)
 }
 
-// CountSent counts a message as sent.
+// CountSent counts a message of the given kind as sent.
 func (s *Set) CountSent(kind string) { s.Messages.Add(kind, 1) }
 
-// CountWasted counts a message, already counted as sent, as wasted.
+// CountWasted counts a message of the given kind as wasted. It must have been counted as sent
+// before.
 func (s *Set) CountWasted(kind string) { s.Wasted.Add(kind, 1) }
 
 // Add adds n to the counter with the given name in Counts.
--- a/metrics/text.go
+++ b/metrics/text.go
@@ -19,8 +19,9 @@
 }
 
 const (
-	// maxMicros is the longest duration, in microseconds, that a histogram records;
-	// longer ones are recorded as maxMicros. significantDigits is its precision.
+	// maxMicros is the longest duration, in microseconds, that a histogram can record;
+	// longer ones are recorded as maxMicros. Histograms distinguish durations that differ
+	// in the first significantDigits decimal digits.
 	maxMicros         = 60_000_000
 	significantDigits = 2
 )
@@ -40,11 +41,11 @@
 	_ = h.RecordValue(min(max(duration.Microseconds(), 1), maxMicros)) // cannot fail: the value is within the bounds
 }
 
-// quantiles are the quantiles that WriteText writes, in percent.
+// quantiles are the quantiles of each histogram that WriteText writes, in percent.
 var quantiles = []float64{50, 90, 99, 99.9}
 
-// WriteText writes all counters and the quantiles of all histograms as lines of text, each
-// with a name, labels and a number.
+// WriteText writes all counters and the quantiles of all histograms as lines of text. Each line
+// consists of a name, a list of labels and a number.
 func (s *Set) WriteText(w io.Writer) error {
 	var b strings.Builder
 	for _, m := range []struct {
--- a/tracing/tracing.go
+++ b/tracing/tracing.go
@@ -1,5 +1,5 @@
-// Package tracing sets up OpenTelemetry. Trace contexts are passed between processes as
-// W3C traceparent strings.
+// Package tracing records and exports spans by means of OpenTelemetry. The context of a trace
+// is passed between processes as a W3C traceparent string.
 package tracing
 
 import (
@@ -23,7 +23,7 @@
 type Config struct {
 	File     string  // receives the spans as JSON lines
 	Endpoint string  // host:port of an OTLP receiver, reached over HTTP
-	Ratio    float64 // fraction, 0 to 1, of the traces started by this process that are sampled
+	Ratio    float64 // fraction, from 0 to 1, of the traces started by this process that are recorded
 	Service  string  // service name in the spans
 }
 
@@ -83,7 +83,7 @@
 	return failure.Field(failure.InvalidInput, field, "cannot be used: %v", err)
 }
 
-// Flush exports the spans that have ended.
+// Flush exports the spans that have ended and were not exported yet.
 func (t *Tracer) Flush(ctx context.Context) error {
 	if t.flush == nil {
 		return nil
@@ -94,8 +94,8 @@
 // Close exports the remaining spans and shuts the tracer down.
 func (t *Tracer) Close(ctx context.Context) error { return t.stop(ctx) }
 
-// Span is a span of a trace, or a placeholder that only passes on the traceparent of its
-// parent if the tracer is disabled.
+// Span is a span of a trace. If the tracer is disabled, it is a placeholder that records
+// nothing and only passes on the traceparent of its parent.
 type Span struct {
 	span   trace.Span
 	parent string
@@ -113,8 +113,8 @@
 	return &Span{span: span, parent: parent}
 }
 
-// Traceparent returns the traceparent to pass on to other processes called within the span.
-// If the span is not sampled, that is its parent's.
+// Traceparent returns the traceparent to be sent to other processes that are called within the
+// span. If the span is not recorded, it is the traceparent of the span's parent.
 func (s *Span) Traceparent() string {
 	if s.span == nil || !s.span.SpanContext().IsSampled() {
 		return s.parent
--- a/tracing/tracing_test.go
+++ b/tracing/tracing_test.go
@@ -34,7 +34,7 @@
 		parent := tracer.Start("", "caller")
 		child := tracer.Start(parent.Traceparent(), "entry")
 		if a, b := parent.Traceparent(), child.Traceparent(); len(a) != 55 || a[:36] != b[:36] {
-			t.Errorf("traces %q and %q", a, b)
+			t.Errorf("the child span is not in the trace of its parent: traceparents %q and %q", a, b)
 		}
 		child.End()
 		parent.End()
@@ -43,21 +43,21 @@
 		}
 	}
 	if got := <-received; got != "POST /v1/traces" {
-		t.Errorf("the receiver got %s", got)
+		t.Errorf("the OTLP receiver got the request %s, want POST /v1/traces", got)
 	}
 	raw, err := os.ReadFile(file)
 	if err != nil || !strings.Contains(string(raw), `"Name":"entry"`) {
-		t.Errorf("the file holds %q, %v", raw, err)
+		t.Errorf("the file does not contain the span entry: %q, error %v", raw, err)
 	}
 }
 
 func TestDisabledAndInvalid(t *testing.T) {
 	const traceparent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	if got := Disabled().Start(traceparent, "entry").Traceparent(); got != traceparent {
-		t.Errorf("the traceparent changed to %q although tracing is disabled", got)
+		t.Errorf("a disabled tracer changed the traceparent to %q", got)
 	}
 	_, err := New(context.Background(), Config{File: t.TempDir()})
 	if failure.FieldOf(err) != "tracing.file" {
-		t.Errorf("error %v", err)
+		t.Errorf("New with a directory as the file: error %v, want one that concerns tracing.file", err)
 	}
 }
