--- a/owner/group.go
+++ b/owner/group.go
@@ -113,7 +113,7 @@
 		return
 	}
 	now := clock.Now()
-	g.pool.SetAnswerTimeout(g.rtt.timeout(now))
+	g.pool.SetResponseTimeout(g.rtt.timeout(now))
 	effects := input(g.pool, now)
 	notify := g.takeNotifications(&effects)
 	g.mu.Unlock()
--- a/schedule/link.go
+++ b/schedule/link.go
@@ -82,10 +82,10 @@
 // queued on it.
 func (p *Pool) LinkDelay(now time.Time) time.Duration { return p.link.queueDelay(now) }
 
-// SetAnswerTimeout sets how long the response to a call may take before it is overdue. The
+// SetResponseTimeout sets how long the response to a call may take before it is overdue. The
 // caller derives d from recent response times. Stops and polls are not sent again before that
 // time has passed.
-func (p *Pool) SetAnswerTimeout(d time.Duration) { p.responseTimeout = d }
+func (p *Pool) SetResponseTimeout(d time.Duration) { p.responseTimeout = d }
 
 // resendInterval returns the time after which a stop without a response is sent again, and
 // after which an upstream that has acknowledged a stop is polled again.
