--- a/membership/table.go
+++ b/membership/table.go
@@ -68,7 +68,7 @@
 	Unwanted    bool
 	Leaving     bool
 	ActiveJobs  uint64
-	Revision    uint64 // revision of the settings that the sender uses, or version of its configuration
+	Revision    uint64 // revision of the settings (package entry) or the configuration (package node) that the sender has applied
 	FreeSlots   uint64
 	QueuedTasks uint64
 }
--- a/schedule/closed.go
+++ b/schedule/closed.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// A pool is closed for a job when none of its upstreams that are large enough accepts new
-// tasks. An upstream accepts none while it is draining, while its availability zone is
-// evacuated or its entry in the store is invalid, and after its entry has been removed.
-// The waiting tasks of the job are then returned to the coordinator at once, which offers
-// them to other pools.
+// A pool is closed for a job if no upstream that is large enough for the job's tasks accepts
+// new tasks. The waiting tasks of the job are then returned at once to the coordinator, which
+// offers them to other pools. An upstream accepts no new tasks while it is draining, while its
+// availability zone is evacuated or its entry in the store is invalid, and after its entry
+// has been removed.
 
 // acceptsStarts reports whether an upstream accepts new tasks: it is not draining, it is
 // not closed (see fleet.Upstream), and its entry in the store has not been missing for
--- a/schedule/coordinator.go
+++ b/schedule/coordinator.go
@@ -92,10 +92,10 @@
 	return j.coordinatorLease != nil && p.now.Sub(lo.Latest(p.lastAlive(j), j.offeredAt)) > p.cfg.CoordinatorExpiresAfter
 }
 
-// blocksRenewal reports whether a run prevents the renewal of its upstream's leases. It does
-// if its coordinator is no longer fresh, or if it has been unwanted for longer than
-// CoordinatorStaleAfter. Even if no stop can be delivered, its lease then lapses before the
-// customer has the task run elsewhere.
+// blocksRenewal reports whether the leases of a run's upstream must not be renewed because of
+// the run: the coordinator of its job is no longer fresh, or the run has been unwanted for
+// longer than CoordinatorStaleAfter. Without renewal the leases lapse before the customer has
+// the task run elsewhere, so that the run ends by then even if no stop can be delivered.
 func (p *Pool) blocksRenewal(r *run) bool {
 	switch {
 	case r.fromFormerOwner:
--- a/schedule/model_test.go
+++ b/schedule/model_test.go
@@ -258,7 +258,7 @@
 	effects := w.pool.Offer(w.Now(), o)
 	isForOffer := func(r Result, _ int) bool { return r.Key == o.Key }
 	for _, r := range lo.Reject(effects.Results, isForOffer) {
-		w.checkResult(r) // the offer of an earlier submission ends
+		w.checkResult(r) // this result ends the offer of an earlier submission
 	}
 	effects.Results = lo.Filter(effects.Results, isForOffer)
 	for _, i := range o.Tasks {
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -134,9 +134,9 @@
 }
 
 // canStartNow reports whether tasks of a job may start now: either the job has begun, or all of
-// its tasks are expected to start in time. Otherwise the first tasks could run for nothing,
-// because the rest of the job cannot follow, and would take capacity from the jobs behind it
-// in the queue. canStartNow adds the number of forecasts that it makes to *forecasts.
+// its tasks are expected to start in time. If the rest of the job could not follow, its first
+// tasks would run for nothing and take capacity from the jobs behind it in the queue.
+// canStartNow adds the number of forecasts that it makes to *forecasts.
 func (p *Pool) canStartNow(j *job, forecasts *int) bool {
 	if j.hasBegun() {
 		return true
@@ -169,10 +169,9 @@
 	return !hasCapacity || !start.After(limit)
 }
 
-// countFitting returns how many tasks of a job could start now, but at most limit. An upstream
-// on which tasks take longer, because it is slow or not in the rack of their data, counts only
-// in two cases: the job would still finish in time there, or all upstreams that are large
-// enough are of this kind.
+// countFitting returns how many tasks of a job could start now, but at most limit. It counts
+// tasks on second choices (see choose) only if the job would still finish in time there or no
+// first choice is large enough.
 func (p *Pool) countFitting(j *job, limit int) int {
 	n, slow, fast := 0, 0, false
 	for _, u := range p.sortedUpstreams {
@@ -225,11 +224,13 @@
 	return p.choose(j)
 }
 
-// choose returns the upstream on which a task of j would leave the least CPU capacity free, or
-// nil if it may start on none. Upstreams on which tasks take longer, because they are slow or
-// not in the rack of the data, are the last choice: among them choose takes the fastest, and
-// only if the job would still finish in time there, or if all upstreams that are large enough
-// are of this kind.
+// choose returns the upstream on which a task of j is to start, or nil if it may start on none.
+// An upstream is second choice if the task takes longer there, because the upstream is slow or
+// not in the rack of the data. All others are first choice.
+//   - Of the first choices with enough free capacity, choose returns the one on which the task
+//     would leave the least CPU capacity free.
+//   - If there is none, choose returns the fastest second choice with enough free capacity,
+//     but only if the job would still finish in time there or no first choice is large enough.
 func (p *Pool) choose(j *job) *upstream { return p.chooseExcept(j, "") }
 
 // chooseExcept is like choose, but does not choose the upstream except.
