--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -91,8 +91,8 @@
 	return l.active() == 0
 }
 
-// retire makes the log accept no new jobs. Its open jobs continue.
-func (l *homeLog) retire() {
+// close makes the log accept no new jobs. Its open jobs continue.
+func (l *homeLog) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.home.Close()
@@ -134,8 +134,8 @@
 func (l *homeLog) actionsFor(e fate.Effects) actions {
 	todo := actions{stops: e.Stops, witnessQueries: e.WitnessQueries}
 	for _, u := range e.UnusedSlots {
-		if r := l.submissions[u.Lease.Key]; r != nil {
-			todo.unusedSlots = append(todo.unusedSlots, placement.ReleasedSlots{Upstream: u.Upstream, Service: r.service, Count: 1})
+		if sub := l.submissions[u.Lease.Key]; sub != nil {
+			todo.unusedSlots = append(todo.unusedSlots, placement.ReleasedSlots{Upstream: u.Upstream, Service: sub.service, Count: 1})
 		}
 	}
 	for _, s := range e.Starts {
@@ -143,35 +143,35 @@
 	}
 	for _, a := range e.Answers {
 		todo.deliveries = append(todo.deliveries, l.deliveryOf(a))
-		if r := l.submissions[a.Key]; r != nil {
-			todo.tickets = append(todo.tickets, r.tickets...)
-			l.endSubmission(a, r)
+		if sub := l.submissions[a.Key]; sub != nil {
+			todo.tickets = append(todo.tickets, sub.tickets...)
+			l.endSubmission(a, sub)
 		}
 	}
 	return todo
 }
 
 func (l *homeLog) traceparentOf(key fate.Key) string {
-	if r := l.submissions[key]; r != nil {
-		return r.span.Traceparent()
+	if sub := l.submissions[key]; sub != nil {
+		return sub.span.Traceparent()
 	}
 	return ""
 }
 
 func (l *homeLog) deliveryOf(a fate.Answer) delivery {
-	r := l.submissions[a.Key]
-	if r == nil {
+	sub := l.submissions[a.Key]
+	if sub == nil {
 		return delivery{}
 	}
-	return delivery{response{a, r.retryAfterMs}, r.waiters}
+	return delivery{response{a, sub.retryAfterMs}, sub.waiters}
 }
 
-func (l *homeLog) endSubmission(a fate.Answer, r *submission) {
-	if r.deadlineTimer != nil {
-		r.deadlineTimer.Stop()
+func (l *homeLog) endSubmission(a fate.Answer, sub *submission) {
+	if sub.deadlineTimer != nil {
+		sub.deadlineTimer.Stop()
 	}
-	r.span.Set("fate", string(a.Kind))
-	r.span.End()
+	sub.span.Set("fate", string(a.Kind))
+	sub.span.End()
 	delete(l.submissions, a.Key)
 	l.d.cfg.Metrics.Add("fate_"+string(a.Kind), 1)
 	if a.Kind == fate.Unknown {
@@ -210,12 +210,12 @@
 		l.mu.Unlock()
 		return answer, nil, err
 	}
-	r := l.submissionOf(key, trace)
+	sub := l.submissionOf(key, trace)
 	wait := make(chan response, 1)
-	r.waiters = append(r.waiters, wait)
+	sub.waiters = append(sub.waiters, wait)
 	if admission == fate.Accepted {
-		r.service = job.Service
-		r.deadlineTimer = time.AfterFunc(time.Until(time.UnixMilli(job.DeadlineMs)), func() { l.abort(key, fate.ReasonDeadline, 0) })
+		sub.service = job.Service
+		sub.deadlineTimer = time.AfterFunc(time.Until(time.UnixMilli(job.DeadlineMs)), func() { l.abort(key, fate.ReasonDeadline, 0) })
 	}
 	l.mu.Unlock()
 	switch admission {
@@ -256,12 +256,12 @@
 // submissionOf returns the state kept for key, and creates it if there is none.
 // The lock must be held.
 func (l *homeLog) submissionOf(key fate.Key, trace string) *submission {
-	r := l.submissions[key]
-	if r == nil {
-		r = &submission{span: l.d.cfg.Tracer.Start(trace, "home")}
-		l.submissions[key] = r
+	sub := l.submissions[key]
+	if sub == nil {
+		sub = &submission{span: l.d.cfg.Tracer.Start(trace, "home")}
+		l.submissions[key] = sub
 	}
-	return r
+	return sub
 }
 
 // requestSlots requests slots for all waiting tasks of key.
@@ -290,11 +290,11 @@
 func (l *homeLog) addTicket(key fate.Key, ticket string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.submissions[key]
-	if r == nil {
+	sub := l.submissions[key]
+	if sub == nil {
 		return false
 	}
-	r.tickets = append(r.tickets, ticket)
+	sub.tickets = append(sub.tickets, ticket)
 	return true
 }
 
@@ -322,8 +322,8 @@
 
 func (l *homeLog) abort(key fate.Key, reason fate.Reason, retryAfterMs uint32) {
 	l.apply(func(h *fate.Home) fate.Effects {
-		if r := l.submissions[key]; r != nil {
-			r.retryAfterMs = retryAfterMs
+		if sub := l.submissions[key]; sub != nil {
+			sub.retryAfterMs = retryAfterMs
 		}
 		return h.Abort(key, reason)
 	})
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -156,7 +156,7 @@
 	d.upstreams.update(v.Upstreams)
 	d.brokers.applyView(&v)
 	d.slots.applyView(previous, &v)
-	d.homeLogs.retireLogsWithoutWitness(&v)
+	d.homeLogs.closeLogsWithoutWitness(&v)
 }
 
 // MarkUpstreamLeaving makes an upstream get no new tasks, even before the next view
--- a/dispatch/witnesses.go
+++ b/dispatch/witnesses.go
@@ -142,9 +142,9 @@
 		l.mu.Unlock()
 		return
 	}
-	r := l.submissionOf(key, recovered.Job.Trace)
-	r.service = recovered.Job.Service
-	r.deadlineTimer = time.AfterFunc(time.Until(time.UnixMilli(recovered.Job.DeadlineMs)), func() { l.abort(key, fate.ReasonDeadline, 0) })
+	sub := l.submissionOf(key, recovered.Job.Trace)
+	sub.service = recovered.Job.Service
+	sub.deadlineTimer = time.AfterFunc(time.Until(time.UnixMilli(recovered.Job.DeadlineMs)), func() { l.abort(key, fate.ReasonDeadline, 0) })
 	todo := l.actionsFor(l.home.TakeOver(key, recovered))
 	l.mu.Unlock()
 	l.perform(todo)
@@ -219,15 +219,15 @@
 	return n
 }
 
-// retireLogsWithoutWitness retires the logs whose witness is no longer a member of
+// closeLogsWithoutWitness closes the logs whose witness is no longer a member of
 // the fleet, because it is draining or not alive. New jobs go to other logs.
-func (h *homeLogs) retireLogsWithoutWitness(v *View) {
+func (h *homeLogs) closeLogsWithoutWitness(v *View) {
 	for _, l := range h.all() {
 		if l.id.Witness == "" {
 			continue
 		}
 		if m, found := v.member(l.id.Witness.Instance()); !found || m.Incarnation != l.id.Witness {
-			l.retire()
+			l.close()
 		}
 	}
 }
--- a/fate/check_test.go
+++ b/fate/check_test.go
@@ -21,7 +21,7 @@
 		}
 		w.perform(w.takeoverHome.TakeOver(key, recovered), true)
 		if w.mutation == failedAfterTakeover {
-			w.takeoverHome.jobs[key].lostHomeIncomplete = true
+			w.takeoverHome.jobs[key].lostHomeCannotHaveCompleted = true
 		}
 	}
 }
--- a/fate/home.go
+++ b/fate/home.go
@@ -37,10 +37,10 @@
 	// witnessDecides is true when only the witness can decide the fate.
 	witnessDecides bool
 	// takenOver is true if this log has taken the job over from a lost home.
-	// lostHomeIncomplete is true once it is proven that the lost home cannot have
+	// lostHomeCannotHaveCompleted is true once it is proven that the lost home cannot have
 	// completed the job, because one of the tasks cannot have finished there.
-	takenOver          bool
-	lostHomeIncomplete bool
+	takenOver                   bool
+	lostHomeCannotHaveCompleted bool
 }
 
 // Home runs the jobs of one permit log. It is not safe for concurrent use.
--- a/fate/takeover.go
+++ b/fate/takeover.go
@@ -28,7 +28,7 @@
 		t.phase = unresolved
 		t.attempt = recovered.Permits[len(recovered.Permits)-1].Attempt
 	default:
-		j.lostHomeIncomplete = true
+		j.lostHomeCannotHaveCompleted = true
 	}
 }
 
@@ -59,7 +59,7 @@
 		return h.endTask(j, task, *outcome), true
 	}
 	j.tasks[task].phase = waiting
-	j.lostHomeIncomplete = true
+	j.lostHomeCannotHaveCompleted = true
 	return e, true
 }
 
--- a/fate/verdict.go
+++ b/fate/verdict.go
@@ -51,7 +51,7 @@
 // may have completed the job, and Failed otherwise.
 func incompleteVerdict(j *homeJob, reason Reason) *Answer {
 	v := &Answer{Key: j.key, Kind: Failed, Reason: reason, Tasks: taskOutcomes(j)}
-	ran, mayComplete := false, j.takenOver && !j.lostHomeIncomplete
+	ran, mayComplete := false, j.takenOver && !j.lostHomeCannotHaveCompleted
 	for i := range v.Tasks {
 		ran = ran || v.Tasks[i].State != TaskNotRun
 		mayComplete = mayComplete && v.Tasks[i].State != TaskFailed
--- a/placement/broker.go
+++ b/placement/broker.go
@@ -257,7 +257,7 @@
 // its service is entitled: its fair share, or more if the other services use less than
 // theirs, but at most its MaxSlots.
 func (b *Broker) waitWithinShare(r *Request, runMs float64) float64 {
-	s := b.serviceState(r.Service)
+	s := b.getOrCreateService(r.Service)
 	slots := b.usableSlots()
 	entitled := max(b.fairSlots(s, slots), slots-b.slotsUsedByOthers(s))
 	if s.share.MaxSlots > 0 {
@@ -300,7 +300,7 @@
 // addQueued adds count, which may be negative, to the number of waiting tasks.
 func (b *Broker) addQueued(q *queuedRequest, count int) {
 	b.queuedTasks += count
-	b.serviceState(q.Service).queuedTasks += count
+	b.getOrCreateService(q.Service).queuedTasks += count
 }
 
 func (b *Broker) remove(q *queuedRequest) {
--- a/placement/held.go
+++ b/placement/held.go
@@ -16,9 +16,9 @@
 	dueMs     int64 // Unix milliseconds
 }
 
-// upstreamState returns the state of an upstream. It creates one if the upstream is neither
+// getOrCreateUpstream returns the state of an upstream. It creates one if the upstream is neither
 // listed nor has slots in use.
-func (b *Broker) upstreamState(id string) *upstreamState {
+func (b *Broker) getOrCreateUpstream(id string) *upstreamState {
 	u := b.upstreams[id]
 	if u == nil {
 		u = &upstreamState{Upstream: Upstream{ID: id}}
@@ -37,7 +37,7 @@
 // need n each.
 func (b *Broker) addHeld(home string, u *upstreamState, service string, n Resources, count int) {
 	key := heldKey{home, u.ID, service}
-	b.serviceState(service).usedSlots += count
+	b.getOrCreateService(service).usedSlots += count
 	h := b.held[key]
 	if h == nil {
 		h = &heldSlots{}
@@ -62,7 +62,7 @@
 	if h.count <= 0 {
 		delete(b.held, key)
 	}
-	s := b.serviceState(key.service)
+	s := b.getOrCreateService(key.service)
 	s.usedSlots = max(s.usedSlots-count, 0)
 	return freed
 }
--- a/placement/round.go
+++ b/placement/round.go
@@ -58,7 +58,7 @@
 		u.reservedFor = nil
 	}
 	for _, q := range b.queue {
-		if !q.isAged(now) || b.serviceState(q.Service).atMaxSlots() {
+		if !q.isAged(now) || b.getOrCreateService(q.Service).atMaxSlots() {
 			continue
 		}
 		if b.chooseUpstream(q, now) == nil {
@@ -94,7 +94,7 @@
 		return cmp.Or(cmp.Compare(weightedUse, leastUse), cmp.Compare(q.arrivedMs, first.arrivedMs), cmp.Compare(q.Service, first.Service)) < 0
 	}
 	for service, requests := range r.byService {
-		s := r.b.serviceState(service)
+		s := r.b.getOrCreateService(service)
 		if len(requests) == 0 || s.atMaxSlots() {
 			continue
 		}
--- a/placement/share.go
+++ b/placement/share.go
@@ -13,7 +13,7 @@
 	MaxSlots int     // maximum number of slots in use; 0 means no limit
 }
 
-func (b *Broker) serviceState(service string) *serviceState {
+func (b *Broker) getOrCreateService(service string) *serviceState {
 	s := b.services[service]
 	if s == nil {
 		s = &serviceState{}
@@ -29,7 +29,7 @@
 		s.share = Share{}
 	}
 	for service, share := range shares {
-		b.serviceState(service).share = share
+		b.getOrCreateService(service).share = share
 	}
 }
 
--- a/placement/sync.go
+++ b/placement/sync.go
@@ -45,7 +45,7 @@
 	}
 	for key, h := range b.held {
 		if excess := h.count - reported[key]; key.home == home && excess > 0 {
-			b.upstreamState(key.upstream).free(b.removeHeld(key, excess), excess)
+			b.getOrCreateUpstream(key.upstream).free(b.removeHeld(key, excess), excess)
 		}
 	}
 	for key, count := range reported {
@@ -54,7 +54,7 @@
 			missing -= h.count
 		}
 		if missing > 0 {
-			b.addHeld(home, b.upstreamState(key.upstream), key.service, Resources{}, missing)
+			b.addHeld(home, b.getOrCreateUpstream(key.upstream), key.service, Resources{}, missing)
 		}
 	}
 }
