--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -2,10 +2,23 @@
 // sends permits to witnesses, requests for slots to brokers, starts to upstreams
 // and answers to waiting callers.
 //
-// An instance has three roles. It is the home of the permit logs in which it
-// accepts jobs, the witness of logs of other instances, and the broker of pools:
-// a broker grants the slots of the upstreams of its pool to the homes that request
-// them. A ticket is one request for slots.
+// An instance has three roles: it is the home of some permit logs, the witness of
+// others, and the broker of some pools. The terms are:
+//
+//   - A permit log is the record of the task starts and results of some jobs. A
+//     permit is the entry that must be in the log before a task starts.
+//   - The home of a log is the instance that accepts its jobs and runs them.
+//   - The witness of a log is the instance that holds a copy of it, to which the
+//     home sends appends. When the home is lost, the witness seals the log, which
+//     means that it accepts no more appends, and takes the open jobs over.
+//   - The fate of a submission is its final outcome. It is committed once callers
+//     may receive it.
+//   - A slot is the capacity of an upstream to run one task.
+//   - A broker is the instance that grants the slots of one pool of upstreams to
+//     the homes that request them.
+//   - A ticket is a request for slots that is not completely granted yet.
+//   - A lease identifies one start of a task at an upstream. To bar a lease is to
+//     make the upstream refuse every start under it from then on.
 //
 // State is sharded, with one lock for each permit log, each witnessed log and
 // each pool that the instance is the broker of. No lock is held during I/O.
@@ -39,27 +52,30 @@
 	Region string
 	Zone   string
 	Rack   string
-	Shards int // number of logs that accept sessions at the same time, per witness scope
-	// Retention limits the answers kept, per log.
+	// Shards is the number of permit logs, for each witness scope, in which sessions
+	// are opened at the same time. Sessions are spread evenly over them.
+	Shards int
+	// Retention limits the answers that each log keeps for later queries.
 	Retention fate.Retention
-	// RotateLogsAfter is how long a log accepts new sessions before the next log
+	// RotateLogsAfter is how long sessions are opened in a log before the next log
 	// replaces it.
 	RotateLogsAfter time.Duration
-	// LeaseDuration is how long an upstream may run a task without a renewal.
+	// LeaseDuration is how long an upstream may run a task without a renewal of its
+	// lease, in addition to the declared run time of the task.
 	LeaseDuration time.Duration
-	// UpstreamLostAfter is how long an upstream may leave requests about a lease
+	// UpstreamLostAfter is how long an upstream may leave lookups of a lease
 	// unanswered before the outcome of the task counts as unknown.
 	UpstreamLostAfter time.Duration
-	// WitnessTimeout is how long a witness, or a home contacted by its witness, may
-	// leave requests unanswered before it is considered lost.
+	// WitnessTimeout is how long the home of a log waits for an answer of the witness,
+	// and the witness for one of the home, before it considers the other lost.
 	WitnessTimeout time.Duration
-	// ResultAppendDelay is how long task results may wait to be sent in one append
-	// with a permit or verdict.
+	// ResultAppendDelay is how long task results wait to be sent to the witness
+	// together with a permit or a decided fate. After that they are sent alone.
 	ResultAppendDelay time.Duration
-	// ReleaseDelay is how long free slots may wait to be released to their broker
-	// together with others, as long as no task is queued there.
+	// ReleaseDelay is how long a home collects free slots before it releases them to
+	// their broker in one message. It does not wait while tasks are queued there.
 	ReleaseDelay time.Duration
-	// GrantDelay is how long released slots wait to be granted together with others.
+	// GrantDelay is how long a broker collects released slots before it grants them.
 	GrantDelay   time.Duration
 	Broker       placement.BrokerConfig
 	Placement    PlacementMode
@@ -78,13 +94,13 @@
 	// PlacementBroker uses one broker per pool, which tracks the slots of the pool
 	// exactly.
 	PlacementBroker PlacementMode = "broker"
-	// PlacementStatic gives each instance upstreams of its own.
+	// PlacementStatic assigns each upstream to one instance, which alone uses it.
 	PlacementStatic PlacementMode = "static"
-	// PlacementGuess lets each instance use all upstreams as if it were the only
-	// instance.
+	// PlacementGuess makes each instance its own broker for all pools, as if it were
+	// the only instance. Upstreams refuse the tasks for which they have no slot.
 	PlacementGuess PlacementMode = "guess"
-	// PlacementProbe requests a slot of two random upstreams for each task, and
-	// uses the first one granted.
+	// PlacementProbe requests a slot at two random upstreams for each task, uses the
+	// one that is granted first and withdraws the other request.
 	PlacementProbe PlacementMode = "probe"
 )
 
@@ -100,7 +116,7 @@
 	DefaultGrantDelay        = 3 * time.Millisecond
 )
 
-// DefaultRetention is the retention of one log.
+// DefaultRetention limits the answers of one log if Config.Retention is not set.
 var DefaultRetention = fate.Retention{MaxBytes: 8 << 20, MaxCount: 20000, MaxAgeMs: (10 * time.Minute).Milliseconds()}
 
 func (c *Config) setDefaults() {
@@ -141,7 +157,7 @@
 	Retention    fate.Retention
 	MaxQueued    int // tasks that may be queued at a broker, per pool
 	ReleaseDelay time.Duration
-	// Shares holds the shares of the fleet by service.
+	// Shares holds, by service, which part of the fleet's slots the service may use.
 	Shares map[string]placement.Share
 }
 
@@ -150,7 +166,7 @@
 	return Tuning{Retention: d.cfg.Retention, MaxQueued: d.cfg.Broker.MaxQueued, ReleaseDelay: d.cfg.ReleaseDelay}
 }
 
-// SetTuning applies t.
+// SetTuning puts t in force, also at the brokers that are already running.
 func (d *Dispatcher) SetTuning(t Tuning) {
 	d.tuning.Store(&t)
 	d.brokers.applyView(d.view.Load())
@@ -175,8 +191,8 @@
 	background sync.WaitGroup
 }
 
-// New returns a dispatcher without a view of the fleet. It has to be given one
-// with SetView, and started with Run.
+// New returns a dispatcher that has no view of the fleet yet and is not running.
+// SetView gives it a view, and Run starts it.
 func New(cfg Config, peers Peers) *Dispatcher {
 	cfg.setDefaults()
 	d := &Dispatcher{cfg: cfg, peers: peers}
@@ -192,8 +208,8 @@
 	return d
 }
 
-// tickInterval is the interval of the periodic work, such as resends, syncs with
-// brokers and the eviction of answers.
+// tickInterval is the interval of the periodic work, such as resends of appends,
+// reports to brokers and the eviction of answers.
 const tickInterval = 50 * time.Millisecond
 
 // Run starts the periodic work, which continues until Close.
@@ -219,7 +235,8 @@
 	d.witnessLogs.tick(now)
 }
 
-// Close stops the dispatcher immediately. Open jobs are left to the witnesses.
+// Close stops the dispatcher immediately. It does not wait for open jobs; the
+// witnesses of their logs take them over.
 func (d *Dispatcher) Close() {
 	d.cancel()
 	d.slots.close()
@@ -227,16 +244,16 @@
 	d.background.Wait()
 }
 
-// ActiveJobs returns the number of submissions with this instance as home whose
-// fate is not committed.
+// ActiveJobs returns the number of submissions that this instance runs, including
+// those that it has taken over: their fates are not committed yet.
 func (d *Dispatcher) ActiveJobs() int { return d.homeLogs.active() }
 
 // Load returns the numbers of free slots and queued tasks in the pools that this
 // instance is the broker of.
 func (d *Dispatcher) Load() (free, queued int) { return d.brokers.load() }
 
-// Drain makes the instance accept no new sessions and jobs. Accepted jobs
-// continue; ActiveJobs returns zero once none is left.
+// Drain makes the instance refuse new sessions and jobs. Accepted jobs continue;
+// ActiveJobs returns zero when all of them have ended.
 func (d *Dispatcher) Drain() { d.draining.Store(true) }
 
 func millis(t time.Time) int64 { return t.UnixMilli() }
