--- a/dispatch/appender.go
+++ b/dispatch/appender.go
@@ -11,7 +11,8 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// appender sends the appends of one log to its witness, in order, and applies the
+// appender sends the appends of one log, which are the messages that extend the
+// witness's copy of the log. It sends them in order and applies the
 // acknowledgements. Its lock is always taken before that of the log.
 type appender struct {
 	log *homeLog
@@ -20,15 +21,16 @@
 	lastForcedFlushAt time.Time // when pending results were last sent without waiting for a permit or verdict
 	ackAwaitedSince   time.Time // since when an acknowledgement is awaited; zero if none is
 	silentSince       time.Time // since when sends fail or acknowledgements are missing; zero if the witness answers
-	resendAt          time.Time // when unacknowledged appends are sent again; zero if they need not be
+	resendAt          time.Time // when to send the unacknowledged appends again; zero if that is not necessary
 }
 
-// resendInterval is the interval at which a peer that does not answer is tried
-// again.
+// resendInterval is the time between two attempts to send to a peer that does not
+// answer.
 const resendInterval = 50 * time.Millisecond
 
 // flush sends the appends that are due, unless unacknowledged appends have to be
-// sent again first. With force, results do not wait for a permit or verdict.
+// sent again first. Without force, task results are sent only together with a permit
+// or a verdict (a decided fate).
 func (a *appender) flush(force bool) {
 	if a.log.id.Witness == "" {
 		return
@@ -51,7 +53,7 @@
 }
 
 // send sends one append, and reports whether the witness has to be considered
-// lost. If CallAsync or TrySend returns an error, no byte of the append was sent.
+// lost. An error of CallAsync or TrySend means that no byte of the append was sent.
 // The lock must be held.
 func (a *appender) send(next fate.Append) (lost bool) {
 	f := &inner.Frame{Body: &inner.Frame_Append{Append: inner.FromAppend(&next)}}
@@ -70,12 +72,12 @@
 	}
 	a.log.mu.Lock()
 	a.log.home.MarkUnsent(next.Sequence)
-	a.log.home.Close() // new jobs go to another log
+	a.log.home.Close() // the witness may be lost: new jobs go to other logs
 	a.log.mu.Unlock()
 	return a.scheduleResend(err)
 }
 
-// handleReply handles the witness's reply to an append, or the error in its place.
+// handleReply handles the witness's reply to an append, or the error of the call.
 func (a *appender) handleReply(f *inner.Frame, err error) {
 	if a.log.d.ctx.Err() != nil {
 		return
@@ -111,8 +113,9 @@
 	}
 }
 
-// scheduleResend schedules unacknowledged appends to be sent again after err, and
-// reports whether the witness has to be considered lost. The lock must be held.
+// scheduleResend handles the failure err to reach the witness: it schedules the
+// unacknowledged appends to be sent again, and reports whether the witness has to be
+// considered lost. The lock must be held.
 func (a *appender) scheduleResend(err error) (lost bool) {
 	now := time.Now()
 	if a.silentSince.IsZero() {
@@ -150,7 +153,7 @@
 	}
 }
 
-// sealed reports whether the log is sealed, so that it sends no further appends.
+// sealed reports whether the log is sealed: then no more appends are sent.
 func (a *appender) sealed() bool {
 	a.log.mu.Lock()
 	defer a.log.mu.Unlock()
@@ -165,8 +168,8 @@
 	a.log.apply(func(h *fate.Home) fate.Effects { return h.MarkWitnessLost() })
 }
 
-// resend sends the unacknowledged appends again, from a sequence number on. Only
-// the last one requests an acknowledgement.
+// resend sends the unacknowledged appends from a sequence number on again. Only the
+// last one requests an acknowledgement, which covers all of them.
 func (a *appender) resend(from uint64) {
 	a.mu.Lock()
 	a.resendAt = time.Time{}
@@ -189,7 +192,8 @@
 	a.flush(false)
 }
 
-// markUnsent marks appends as unsent that UnackedForResend has counted as sent.
+// markUnsent corrects the records of the home for appends that UnackedForResend has
+// counted as sent, but that resend did not get to.
 func (a *appender) markUnsent(list []fate.Append) {
 	a.log.mu.Lock()
 	defer a.log.mu.Unlock()
--- a/dispatch/frames.go
+++ b/dispatch/frames.go
@@ -8,9 +8,10 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// HandleFrame handles a frame of another instance. It reports false if frames of
-// this kind are not handled by the dispatcher. Appends and messages about slots
-// are handled in order; requests that may block run in goroutines of their own.
+// HandleFrame handles a frame from another instance. It reports false if the kind of
+// frame does not concern the dispatcher. Appends and messages about slots are
+// handled in their order of arrival; requests that may block are handled in
+// goroutines of their own.
 func (d *Dispatcher) HandleFrame(from fate.Incarnation, f *inner.Frame, reply func(*inner.Frame)) bool {
 	switch body := f.GetBody().(type) {
 	case *inner.Frame_Append:
@@ -49,9 +50,9 @@
 	reply(&inner.Frame{Body: &inner.Frame_Done{Done: &inner.Done{}}})
 }
 
-// serveSubmit answers a request that another instance has forwarded. A home
-// answers it from its own state, and a witness forwards it at most to the home, so
-// that no request is forwarded in circles.
+// serveSubmit answers a request that another instance has forwarded. The home of the
+// log forwards it no further, and the witness only to the home, so that no request
+// is forwarded in circles.
 func (d *Dispatcher) serveSubmit(m *inner.Submit, reply func(*inner.Frame)) {
 	req := Request{
 		Key: inner.ToKey(m.GetKey()), Job: inner.ToJob(m.GetJob()), Attempt: m.GetAttempt(),
@@ -83,8 +84,8 @@
 	}
 }
 
-// sealLogOf seals the log of a key on request of its home, which starts no further
-// task in it.
+// sealLogOf seals the log of a key and takes its open jobs over. The home asks for
+// this once it starts no more tasks of the log itself.
 func (d *Dispatcher) sealLogOf(key fate.Key) {
 	log, err := key.Session.Log()
 	if err != nil {
--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -14,8 +14,8 @@
 	"github.com/sedgehatch/sedgehatch/tracing"
 )
 
-// homeLog runs one permit log that this instance is the home of, with a lock of
-// its own.
+// homeLog is one permit log whose home is this instance. It performs the actions
+// that the state machine fate.Home requests, and has a lock of its own.
 type homeLog struct {
 	d        *Dispatcher
 	id       fate.LogID
@@ -27,13 +27,13 @@
 	submissions map[fate.Key]*submission
 }
 
-// submission is the state kept for a submission until its fate is committed, in
-// addition to that in fate.Home.
+// submission holds what a homeLog keeps about a submission besides the state in
+// fate.Home. It is deleted when the fate of the submission is committed.
 type submission struct {
-	waiters       []chan response
+	waiters       []chan response // one for each request that waits for the answer
 	deadlineTimer *time.Timer
-	tickets       []string
-	retryAfterMs  uint32 // when the caller may retry if the job is refused
+	tickets       []string // ids of its requests for slots, to withdraw at the end
+	retryAfterMs  uint32   // if the job is refused, when the caller may retry
 	span          *tracing.Span
 	service       string
 }
@@ -60,7 +60,8 @@
 	return l.home.ActiveJobs()
 }
 
-// closed reports whether no new sessions are opened in the log.
+// closed reports whether no more sessions are opened in the log, either because
+// RotateLogsAfter has passed or because it accepts no new jobs.
 func (l *homeLog) closed() bool {
 	if time.Since(l.openedAt) > l.d.cfg.RotateLogsAfter {
 		return true
@@ -70,6 +71,9 @@
 	return l.home.Closed()
 }
 
+// tick does the periodic work of the log. It also makes the log refuse new jobs
+// after 2*RotateLogsAfter. Callers are told to use a session only until
+// RotateLogsAfter; the rest is a margin for those that are late.
 func (l *homeLog) tick(now time.Time) {
 	l.appender.tick(now)
 	l.mu.Lock()
@@ -81,8 +85,9 @@
 	}
 }
 
-// expired reports whether the log can be removed: it has accepted no jobs for the
-// maximum age of answers, and has no open jobs.
+// expired reports whether the log can be removed: it stopped accepting jobs, at
+// 2*RotateLogsAfter, longer ago than the maximum age of answers, and has no open
+// jobs.
 func (l *homeLog) expired(now time.Time) bool {
 	retention := time.Duration(l.d.tuning.Load().Retention.MaxAgeMs) * time.Millisecond
 	if now.Sub(l.openedAt) < 2*l.d.cfg.RotateLogsAfter+retention {
@@ -98,14 +103,15 @@
 	l.home.Close()
 }
 
-// actions lists what has to be done after the lock is released.
+// actions lists the consequences of an input that are carried out after the lock of
+// the log is released.
 type actions struct {
 	starts         []startOrder
 	stops          []fate.Start
 	unusedSlots    []placement.ReleasedSlots
 	deliveries     []delivery
-	witnessQueries []fate.Key
-	tickets        []string
+	witnessQueries []fate.Key // submissions whose fate to ask of the witness
+	tickets        []string   // to withdraw
 }
 
 // startOrder is a start to send to an upstream.
@@ -202,7 +208,7 @@
 }
 
 // submit accepts a submission, or finds the existing one with the same key. It
-// returns the answer, or a channel that will receive it.
+// returns the answer if there is one, and otherwise a channel that will receive it.
 func (l *homeLog) submit(key fate.Key, job *fate.Job, trace string) (fate.Answer, chan response, error) {
 	l.mu.Lock()
 	admission, answer, err := l.admit(key, job)
@@ -240,8 +246,8 @@
 	l.requestSlots(key)
 }
 
-// admit is fate.Home.Submit, except that it rejects new jobs while this instance
-// is draining. The lock must be held.
+// admit calls fate.Home.Submit. While this instance is draining, it only looks the
+// key up and rejects new jobs. The lock must be held.
 func (l *homeLog) admit(key fate.Key, job *fate.Job) (fate.Admission, fate.Answer, error) {
 	if job == nil || !l.d.draining.Load() {
 		return l.home.Submit(key, job)
@@ -286,7 +292,8 @@
 }
 
 // addTicket records a ticket of a submission, to be withdrawn when the fate of the
-// submission is committed. It reports false if that has already happened.
+// submission is committed. It reports false if the fate is committed already: then
+// the ticket must not be sent.
 func (l *homeLog) addTicket(key fate.Key, ticket string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -304,7 +311,8 @@
 	upstream string
 }
 
-// place assigns slots to tasks, and returns the assignments that are not needed.
+// place assigns slots to tasks, and returns the assignments whose task does not need
+// the slot.
 func (l *homeLog) place(key fate.Key, list []assignment) (unused []assignment) {
 	l.apply(func(h *fate.Home) fate.Effects {
 		var all fate.Effects
@@ -329,7 +337,7 @@
 	})
 }
 
-// finish records the outcome of a task, and reports whether it was awaited.
+// finish records the outcome of a task, and reports whether it was still needed.
 func (l *homeLog) finish(lease fate.Lease, outcome fate.Outcome) (awaited bool) {
 	l.apply(func(h *fate.Home) (e fate.Effects) {
 		e, awaited = h.Finish(lease, outcome)
@@ -338,8 +346,10 @@
 	return awaited
 }
 
-// requeue requests another slot for a task that provably did not start, or ends
-// its job after maxAttempts.
+// requeue requests another slot for a task that provably did not start. At the
+// attempt maxAttempts it ends the job instead, and asks the caller to retry after
+// UpstreamLostAfter, the time after which an upstream without an answer counts as
+// lost.
 func (l *homeLog) requeue(lease fate.Lease) {
 	requeued := false
 	l.apply(func(h *fate.Home) (e fate.Effects) {
@@ -366,8 +376,9 @@
 	return l.home.Progress(key)
 }
 
-// queryWitness asks the witness of the sealed log for the fates that only the
-// witness can tell.
+// queryWitness asks the witness of a sealed log for the fates of submissions. This
+// home cannot decide them any more, because the witness may have taken their jobs
+// over. If the witness does not return a fate, the answer is Unknown.
 func (l *homeLog) queryWitness(keys []fate.Key) {
 	for _, key := range keys {
 		answer := fate.Answer{Key: key, Kind: fate.Unknown, Reason: fate.ReasonWitnessLost}
@@ -378,9 +389,9 @@
 	}
 }
 
-// fetchFromWitness asks the witness for the fate of key. It does so even if the
-// witness is considered lost, because that may be wrong, but then with a short
-// timeout.
+// fetchFromWitness asks the witness for the fate of key. A witness that is
+// considered lost may be alive after all, so it is asked too, but with the short
+// timeout WitnessTimeout instead of maxWait.
 func (l *homeLog) fetchFromWitness(key fate.Key) (fate.Answer, bool) {
 	l.mu.Lock()
 	witnessLost := l.home.WitnessLost()
@@ -401,8 +412,8 @@
 	return *inner.ToAnswer(reply.GetAnswer()), true
 }
 
-// fitsSomeUpstream reports whether each task of job fits an upstream that runs
-// nothing else.
+// fitsSomeUpstream reports whether, for each task of job, there is an upstream that
+// could run the task if it were idle.
 func (d *Dispatcher) fitsSomeUpstream(job *fate.Job) bool {
 	upstreams := d.view.Load().upstreams
 	for i := range job.Tasks {
--- a/dispatch/homelogs.go
+++ b/dispatch/homelogs.go
@@ -25,12 +25,12 @@
 
 	mu          sync.RWMutex
 	logs        map[fate.LogID]*homeLog
-	currentLogs map[logShard]*homeLog // the log of each shard in which new sessions are opened
+	currentLogs map[logShard]*homeLog // the logs in which new sessions are opened
 	openMu      sync.Mutex            // held while a log is opened, so that logs are opened one at a time
 	takeoverLog *homeLog              // continues the jobs of lost homes; has no witness
 }
 
-// logShard identifies one of the logs that accept sessions at the same time.
+// logShard identifies one of the logs in which new sessions are currently opened.
 type logShard struct {
 	scope placement.WitnessScope
 	shard uint64
@@ -46,8 +46,8 @@
 }
 
 // OpenSession opens a session for a caller, in a log whose witness is chosen by
-// scope. It returns the session, and for how long new jobs should be submitted in
-// it. The error is Stopping if this instance is draining.
+// scope. It returns the session, and the time after which the caller should open
+// another one for new jobs. The error is Stopping if this instance is draining.
 func (d *Dispatcher) OpenSession(caller string, scope placement.WitnessScope) (fate.Session, time.Duration, error) {
 	if d.draining.Load() {
 		return "", 0, failure.Stopping.New("instance %s is shutting down", d.cfg.Self.Instance())
@@ -61,7 +61,7 @@
 func shortID(id uuid.UUID) string { return id.String()[:18] }
 
 // currentLog returns the log of a shard in which new sessions are opened. It opens
-// a new one if there is none, or if the last one accepts no more sessions.
+// a log if the shard has none, or if no more sessions are opened in the last one.
 func (h *homeLogs) currentLog(shard logShard) *homeLog {
 	if l := h.usableLog(shard); l != nil {
 		return l
@@ -118,9 +118,11 @@
 	return newHomeLog(h.d, id)
 }
 
-// awaitOtherInstances returns the view as soon as it has another instance that can
-// be witness, or none is listed, but after WitnessTimeout at the latest. An
-// instance that has just started may not have received heartbeats of others yet.
+// awaitOtherInstances waits until the view has another instance, which can be the
+// witness, and returns the view. It does not wait if the platform lists no other
+// instance, and returns after WitnessTimeout at the latest. Without the wait, an
+// instance that has just started, and has received no heartbeats yet, would open
+// logs without a witness.
 func (h *homeLogs) awaitOtherInstances(scope placement.WitnessScope) *View {
 	deadline := time.Now().Add(h.d.cfg.WitnessTimeout)
 	for {
@@ -139,8 +141,8 @@
 // viewPollInterval is the interval at which awaitOtherInstances checks the view.
 const viewPollInterval = 5 * time.Millisecond
 
-// openAtWitness registers the log at its witness, which has to know it before a
-// session is opened in it.
+// openAtWitness registers the log at its witness. The witness rejects appends to
+// logs that it does not know, so this precedes the first session in the log.
 func (h *homeLogs) openAtWitness(id fate.LogID) error {
 	ctx, cancel := context.WithTimeout(h.d.ctx, h.d.cfg.WitnessTimeout)
 	defer cancel()
@@ -181,7 +183,7 @@
 	}
 }
 
-// remove removes a log with all of its answers.
+// remove removes a log and all of its answers.
 func (h *homeLogs) remove(l *homeLog) {
 	h.mu.Lock()
 	delete(h.logs, l.id)
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -9,7 +9,7 @@
 	"github.com/sedgehatch/sedgehatch/inner"
 )
 
-// maxWait is the longest time that one request waits for an answer.
+// maxWait is the longest time for which one request may wait for an answer.
 const maxWait = 10 * time.Minute
 
 // forwardGrace is the time allowed for the transmission of a forwarded request and
@@ -34,8 +34,8 @@
 }
 
 // Submit passes a request to the home of its session, or to the witness if the home
-// is lost, and returns the answer. An error is a typed refusal, and means that this
-// request has started nothing.
+// cannot be reached, and returns the answer. Errors have a type of package failure
+// and mean that this request has started no task.
 func (d *Dispatcher) Submit(ctx context.Context, req Request) (Result, error) {
 	log, err := req.Key.Session.Log()
 	if err != nil {
@@ -55,7 +55,7 @@
 	return d.submitToWitness(ctx, log, req)
 }
 
-// mayNotHaveArrived reports whether err means that the peer may not have received
+// mayNotHaveArrived reports whether err leaves open whether the peer has received
 // the request.
 func mayNotHaveArrived(err error) bool {
 	return failure.Is(err, failure.Unreachable) || failure.Is(err, failure.Lost) || failure.Is(err, failure.Gone) || failure.Is(err, failure.Timeout)
@@ -77,8 +77,9 @@
 	return Result{Answer: fate.Answer{Key: key, Kind: fate.Unknown, Reason: reason}}
 }
 
-// await waits for the answer to a submission that this log runs. If wait is nil, it
-// returns answer at once.
+// await waits on the channel wait for the answer to a submission. If there is none
+// within req.Wait, it returns the progress of the job. If wait is nil, it returns
+// answer at once.
 func (l *homeLog) await(ctx context.Context, req Request, answer fate.Answer, wait chan response) Result {
 	if wait == nil {
 		return Result{Answer: answer}
@@ -138,8 +139,9 @@
 	return r, err
 }
 
-// answerAsWitness answers a request as the witness of its log. If the home does not
-// answer either, it takes the log over.
+// answerAsWitness answers a request as the witness of its log: with the fate that the
+// log records, or else with the answer of the home. If the home does not answer, it
+// takes the log over.
 func (d *Dispatcher) answerAsWitness(ctx context.Context, log fate.LogID, req Request) (Result, error) {
 	l := d.witnessLogs.get(log)
 	if l == nil {
@@ -166,8 +168,9 @@
 	return takeoverLog.await(ctx, req, answer, wait), nil
 }
 
-// forwardToHome forwards a request to a home that its sender could not reach. It
-// reports false if the home does not answer within WitnessTimeout.
+// forwardToHome forwards a request to the home, after the instance that the caller
+// contacted could not reach it. It retries until WitnessTimeout, and reports false if
+// the home has not answered by then or its process has ended.
 func (d *Dispatcher) forwardToHome(ctx context.Context, home fate.Incarnation, req Request) (Result, error, bool) {
 	start := time.Now()
 	for time.Since(start) < d.cfg.WitnessTimeout && ctx.Err() == nil {
@@ -207,7 +210,8 @@
 	if _, err := d.peers.Call(shortCtx, log.Home, cancelFrame()); err == nil {
 		return d.Submit(ctx, query)
 	}
-	// If the home is lost, this request makes the witness take the log over.
+	// If the witness cannot reach the home either, this request makes it take the log
+	// over, so that the job can then be cancelled at the witness.
 	noWait := query
 	noWait.Wait = 0
 	if _, err := d.submitToWitness(ctx, log, noWait); err != nil {
@@ -221,7 +225,8 @@
 	return d.Submit(ctx, query)
 }
 
-// handleCancel handles a cancellation that another instance has forwarded.
+// handleCancel cancels submissions at the request of another instance, as the home of
+// their logs or as the witness that has taken the logs over.
 func (d *Dispatcher) handleCancel(m *inner.Cancel) {
 	for _, k := range m.GetKeys() {
 		key := inner.ToKey(k)
--- a/dispatch/witnesses.go
+++ b/dispatch/witnesses.go
@@ -18,8 +18,8 @@
 	logs map[fate.LogID]*witnessLog
 }
 
-// witnessLog is one permit log that this instance is the witness of, with a lock of
-// its own.
+// witnessLog is one permit log whose witness is this instance. It has a lock of its
+// own.
 type witnessLog struct {
 	mu           sync.Mutex
 	witness      *fate.Witness
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// append applies one append, and returns the reply to it.
+// append stores one append, a message that extends the copy of a log, and returns
+// the reply to it.
 func (w *witnessLogs) append(m *inner.Append) *inner.AppendReply {
 	l := w.get(inner.ToLogID(m.GetLog()))
 	if l == nil {
@@ -69,8 +70,10 @@
 	return &inner.AppendReply{Log: m.GetLog(), Acked: r.Acked, Gap: r.Gap, Sealed: r.Sealed}
 }
 
-// tick evicts expired answers, and removes logs that are no longer needed because
-// they have had no append for longer than a log and its answers last.
+// tick evicts expired answers and removes logs that are no longer needed. These are
+// the logs without an append for 4*RotateLogsAfter plus the maximum age of answers:
+// a home accepts jobs in a log for only half of 4*RotateLogsAfter, so that all
+// answers have expired by then.
 func (w *witnessLogs) tick(now time.Time) {
 	retention := w.d.tuning.Load().Retention
 	idleLimit := 4*w.d.cfg.RotateLogsAfter + time.Duration(retention.MaxAgeMs)*time.Millisecond
@@ -87,8 +90,9 @@
 	}
 }
 
-// HandlePeerLost handles the loss of an instance. Every log with that home and this
-// instance as witness is sealed, and its open jobs are taken over.
+// HandlePeerLost handles the loss of an instance. This instance seals the logs of
+// that home whose witness it is, and takes their open jobs over. Its brokers take
+// back the slots that the home holds.
 func (d *Dispatcher) HandlePeerLost(home fate.Incarnation) {
 	d.brokers.handleHomeLoss(home)
 	for _, l := range d.witnessLogs.logsOf(home) {
@@ -135,7 +139,8 @@
 	d.homeLogs.takeoverLog.takeOver(key, recovered)
 }
 
-// takeOver continues a recovered job of a lost home, unless the log has it already.
+// takeOver continues a job of a lost home in this log, unless that has been done
+// already.
 func (l *homeLog) takeOver(key fate.Key, recovered *fate.RecoveredJob) {
 	l.mu.Lock()
 	if l.home.MayHaveSeen(key) {
@@ -162,8 +167,9 @@
 	return l.home.IsUnresolved(key, task)
 }
 
-// resolveTask asks all upstreams at which the lost home may have started a task.
-// The task starts here only if all of them have barred its leases.
+// resolveTask looks up the outcome of a task at all upstreams at which the lost home
+// may have started it. The task starts again only if every one of these starts is
+// known to have had no effect, because its lease is barred.
 func (l *homeLog) resolveTask(key fate.Key, task int, permits []fate.Permit) {
 	var outcome *fate.Outcome
 	for _, p := range permits {
@@ -219,8 +225,8 @@
 	return n
 }
 
-// closeLogsWithoutWitness closes the logs whose witness is no longer a member of
-// the fleet, because it is draining or not alive. New jobs go to other logs.
+// closeLogsWithoutWitness closes the logs whose witness is draining or no longer
+// alive, so that new sessions and jobs go to logs with another witness.
 func (h *homeLogs) closeLogsWithoutWitness(v *View) {
 	for _, l := range h.all() {
 		if l.id.Witness == "" {
