--- a/dispatch/brokers.go
+++ b/dispatch/brokers.go
@@ -13,21 +13,23 @@
 	"github.com/samber/lo"
 )
 
-// brokers holds the brokers of the pools whose slots this instance grants.
+// brokers holds the pools that this instance is the broker of.
 type brokers struct {
 	d     *Dispatcher
 	mu    sync.RWMutex
 	pools map[string]*brokerPool
 }
 
-// brokerPool is the broker of one pool, with a lock of its own.
+// brokerPool is one pool that this instance is the broker of. It has a lock of its
+// own.
 type brokerPool struct {
 	id           string
 	mu           sync.Mutex
 	broker       *placement.Broker
 	grantedHomes map[fate.Incarnation]bool // homes that were granted slots since they were last asked to release without delay
-	queueing     bool                      // tasks were queued after the last input
-	// grantsScheduled is true while released slots wait for GrantDelay.
+	queueing     bool                      // whether tasks were queued after the last input
+	// grantsScheduled is true from the release of slots until they are granted, after
+	// GrantDelay.
 	grantsScheduled bool
 }
 
@@ -36,9 +38,11 @@
 	b.pools = map[string]*brokerPool{}
 }
 
-// pool returns the broker of a pool, and creates it on first use: the sender of a
-// request assumes that this instance is the broker. If two instances act as the
-// broker of one pool, upstreams refuse some tasks, with no other consequence.
+// pool returns the broker of a pool and creates it on first use, even if another
+// instance is the broker in this instance's view: the view of the home that sent the
+// request may be newer. Two instances may thus act as brokers of one pool for a
+// while. The only consequence is that both may grant the same slot, in which case the
+// upstream refuses a task.
 func (b *brokers) pool(id string) *brokerPool {
 	b.mu.RLock()
 	p := b.pools[id]
@@ -56,9 +60,9 @@
 	return b.pools[id]
 }
 
-// syncGraceMs is how long a new broker waits, before its first grant, for homes to
-// report the slots that they hold. It does not wait if there are no other
-// instances.
+// syncGraceMs is how long a new broker waits for homes to report the slots that they
+// hold, before it grants any. Slots that are reported later may have been granted
+// twice by then. A broker does not wait if there are no other instances.
 const syncGraceMs = 150
 
 func (b *brokers) grantsStartMs() int64 {
@@ -68,8 +72,8 @@
 	return nowMs() + syncGraceMs
 }
 
-// upstreamsOf returns the upstreams of a pool. Those that are known to be leaving
-// are marked so, even if the view does not have it yet.
+// upstreamsOf returns the upstreams of a pool. Those marked with MarkUpstreamLeaving
+// are returned as leaving, even if the view does not list them as leaving yet.
 func (b *brokers) upstreamsOf(v *View, id string) []placement.Upstream {
 	p := v.pools[id]
 	if p == nil {
@@ -100,8 +104,8 @@
 	}
 }
 
-// poolUpdate returns the input that updates the upstreams and the operators'
-// settings of a pool's broker.
+// poolUpdate returns the input that gives a pool's broker the upstreams and the
+// operators' settings that are now in force.
 func (b *brokers) poolUpdate(p *brokerPool, v *View) func(*placement.Broker) []placement.Grant {
 	list, shares, maxQueued := b.upstreamsOf(v, p.id), b.poolShares(v, p.id), b.d.tuning.Load().MaxQueued
 	return func(broker *placement.Broker) []placement.Grant {
@@ -111,9 +115,9 @@
 	}
 }
 
-// poolShares returns the shares of the services in a pool. A service's limit on
-// slots applies to the whole fleet. Each pool enforces its proportional part of
-// it, so that no counter has to span the fleet.
+// poolShares returns the shares of the services in a pool. A service's MaxSlots
+// applies to the whole fleet. Each pool enforces a part of the limit in proportion to
+// its slots, so that no counter has to span the fleet.
 func (b *brokers) poolShares(v *View, id string) map[string]placement.Share {
 	p, fleetSlots := v.pools[id], 0
 	for _, o := range v.pools {
@@ -162,8 +166,9 @@
 	return m
 }
 
-// homesToHurry returns the homes that have to release free slots without delay. It
-// returns them once, whenever tasks begin to queue. The lock must be held.
+// homesToHurry returns the homes to be told to release free slots without delay: when
+// tasks begin to queue, these are all homes that were granted slots since they were
+// last told. At other times it returns none. The lock must be held.
 func (p *brokerPool) homesToHurry() []fate.Incarnation {
 	queueing := p.broker.QueuedTasks() > 0
 	queueStarted := queueing && !p.queueing
@@ -176,8 +181,8 @@
 	return homes
 }
 
-// sendGrant sends a grant to a home, which may be this instance. A grant that gets
-// lost is detected at the next sync of the home.
+// sendGrant sends a grant to a home, which may be this instance. If the grant gets
+// lost, the next SlotSync (the report of the slots that the home holds) reveals it.
 func (b *brokers) sendGrant(home fate.Incarnation, m *inner.SlotGrant) {
 	if home == b.d.cfg.Self {
 		b.d.slots.handleGrant(home, m)
@@ -188,7 +193,7 @@
 	}
 }
 
-// handleFrame handles a frame of a home. Frames of one home arrive in order.
+// handleFrame handles a frame from a home. Frames from one home arrive in order.
 func (b *brokers) handleFrame(home fate.Incarnation, f *inner.Frame) {
 	switch body := f.GetBody().(type) {
 	case *inner.Frame_SlotRequest:
@@ -243,8 +248,8 @@
 	})
 }
 
-// scheduleGrants grants the released slots together after GrantDelay. The lock
-// must be held.
+// scheduleGrants schedules the grant of released slots after GrantDelay, so that those
+// released in the meantime are granted together. The lock of p must be held.
 func (b *brokers) scheduleGrants(p *brokerPool) {
 	if p.grantsScheduled || p.broker.QueuedTasks() == 0 {
 		return
--- a/dispatch/distribute.go
+++ b/dispatch/distribute.go
@@ -35,7 +35,8 @@
 	return list
 }
 
-// distribute requests slots for the tasks of t at the pools that can run them.
+// distribute requests slots for the tasks of t at the pools that can run them. If
+// there is no such pool, it ends the job.
 func (s *slots) distribute(t *ticket) {
 	view := s.d.view.Load()
 	s.mu.Lock()
@@ -55,7 +56,8 @@
 	}
 }
 
-// splitTicket splits t over pools by their load. The lock must be held.
+// splitTicket splits t into one ticket for each pool that splitByLoad chooses. The
+// lock must be held.
 func (s *slots) splitTicket(view *View, t *ticket) []*ticket {
 	var parts []*ticket
 	rest := t.waitingTasks
@@ -67,7 +69,8 @@
 	return parts
 }
 
-// partOf returns a ticket for some tasks of t at one pool. The lock must be held.
+// partOf returns a ticket of its own for some tasks of t at one pool. The lock must
+// be held.
 func (s *slots) partOf(t *ticket, pool string, tasks []int) *ticket {
 	part := *t
 	part.pool, part.waitingTasks = pool, tasks
@@ -76,8 +79,8 @@
 	return &part
 }
 
-// probeTickets returns two tickets for each task, at random upstreams. The lock
-// must be held.
+// probeTickets returns two tickets for each task, at two random upstreams, or none if
+// there are fewer than two. The lock must be held.
 func (s *slots) probeTickets(view *View, t *ticket) []*ticket {
 	pools := s.candidates(view, t)
 	var parts []*ticket
@@ -105,9 +108,10 @@
 	count int
 }
 
-// splitByLoad splits the tasks of t over the pools that have not refused it. Free
-// slots are used first, the nearest before others. All remaining tasks go to the
-// pool with the shortest queue relative to its slots. The lock must be held.
+// splitByLoad divides the tasks of t among the pools that have not refused it. It
+// first uses the free slots, those of near pools before those of distant ones. All
+// remaining tasks go to the pool with the shortest queue in proportion to its slots.
+// The lock must be held.
 func (s *slots) splitByLoad(v *View, t *ticket) []poolTasks {
 	pools := s.candidates(v, t)
 	if len(pools) == 0 {
@@ -170,6 +174,8 @@
 	}
 }
 
+// freeSlots returns the last reported number of free slots of a pool. A pool that
+// has not reported yet counts as completely free.
 func (s *slots) freeSlots(p *poolView) int {
 	if load, reported := s.loads[p.ID]; reported {
 		return load.free
@@ -181,8 +187,8 @@
 	return float64(s.loads[p.ID].queued) / float64(max(p.slots, 1))
 }
 
-// countRequested updates the known load of a pool by n requested slots, until the
-// pool reports its load again. The lock must be held.
+// countRequested adjusts the last reported load of a pool for n slots that have been
+// requested since. The next report replaces it. The lock must be held.
 func (s *slots) countRequested(pool string, n int) {
 	load, reported := s.loads[pool]
 	if !reported {
@@ -210,8 +216,9 @@
 	s.distribute(&retry)
 }
 
-// SetBrokerLoad records the total load that a broker has reported. It is divided
-// among the pools of the broker in proportion to their slots.
+// SetBrokerLoad records the load that an instance has reported for all of the pools
+// that it is the broker of. The load is divided among them in proportion to their
+// slots.
 func (d *Dispatcher) SetBrokerLoad(broker fate.Incarnation, free, queued int) {
 	v := d.view.Load()
 	d.slots.mu.Lock()
--- a/dispatch/release.go
+++ b/dispatch/release.go
@@ -7,8 +7,8 @@
 	"github.com/sedgehatch/sedgehatch/placement"
 )
 
-// pendingRelease holds the free slots of one pool until they are released to its
-// broker.
+// pendingRelease collects the free slots of one pool until they are released to
+// the broker of the pool.
 type pendingRelease struct {
 	released []placement.ReleasedSlots
 	timer    *time.Timer
@@ -16,8 +16,8 @@
 	hurry    bool      // release without delay: tasks are queued at the broker, or it needs the information
 }
 
-// hurryRelease makes free slots of a pool be released without delay, because tasks
-// are queued at its broker. The lock must be held.
+// hurryRelease makes the next release of a pool's free slots take place without
+// ReleaseDelay, because tasks are queued at the broker. The lock must be held.
 func (s *slots) hurryRelease(pool string) {
 	r := s.pendingReleaseOf(pool)
 	r.hurry = true
@@ -26,7 +26,8 @@
 	}
 }
 
-// release releases free slots to their broker, together with others.
+// release removes free slots from those in use and schedules their release to the
+// broker, together with other free slots of the pool.
 func (s *slots) release(u placement.ReleasedSlots) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,7 +42,7 @@
 	}
 	r := s.pendingReleaseOf(pool)
 	r.merge(u)
-	r.hurry = r.hurry || u.Failed > 0 || u.HoldMs > 0 || u.Leaving // the broker needs to know soon
+	r.hurry = r.hurry || u.Failed > 0 || u.HoldMs > 0 || u.Leaving // the broker should know these before its next grants
 	s.scheduleRelease(pool, r)
 }
 
@@ -54,7 +55,8 @@
 	return r
 }
 
-// merge adds u to an element of the list with the same properties, or appends it.
+// merge adds the counts of u to an element of the list that has the same other
+// fields, or appends u if there is none.
 func (r *pendingRelease) merge(u placement.ReleasedSlots) {
 	for i := range r.released {
 		o := &r.released[i]
@@ -68,12 +70,13 @@
 	r.released = append(r.released, u)
 }
 
-// hurriedReleaseDelay is how long free slots wait to be released together with
-// others if they are released without ReleaseDelay.
+// hurriedReleaseDelay replaces ReleaseDelay if slots have to be released soon, or if
+// the broker is this instance. It still lets slots that become free at almost the
+// same time be released together.
 const hurriedReleaseDelay = 2 * time.Millisecond
 
-// scheduleRelease schedules the release of the free slots of a pool. The lock must
-// be held.
+// scheduleRelease schedules the release of the free slots of a pool, unless an
+// earlier one is scheduled. The lock must be held.
 func (s *slots) scheduleRelease(pool string, r *pendingRelease) {
 	delay := s.d.tuning.Load().ReleaseDelay
 	if r.hurry || s.d.view.Load().isBroker(pool, s.d.cfg.Self) {
@@ -90,7 +93,8 @@
 	r.timer = time.AfterFunc(delay, func() { s.flushReleases(pool) })
 }
 
-// flushReleases releases the free slots of a pool to its broker now.
+// flushReleases releases the free slots of a pool to its broker without waiting for
+// the timer.
 func (s *slots) flushReleases(pool string) {
 	s.mu.Lock()
 	r := s.releases[pool]
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -10,8 +10,8 @@
 )
 
 // slots requests and releases the slots that the jobs of this instance need. It
-// holds the tickets that wait for slots, the slots in use, and those that are
-// about to be released.
+// keeps track of the tickets that wait for slots, of the slots in use, and of the
+// free slots that are about to be released.
 type slots struct {
 	d                *Dispatcher
 	mu               sync.Mutex
@@ -19,14 +19,14 @@
 	tickets          map[string]*ticket
 	held             map[slotKey]int // slots in use
 	releases         map[string]*pendingRelease
-	loads            map[string]poolLoad
+	loads            map[string]poolLoad  // by pool
 	lastGrants       map[string]lastGrant // by pool
 	unsynced         map[string]bool      // pools whose broker may have missed a message
 	lastSync         time.Time
 	closed           bool
 }
 
-// slotKey groups the slots held by upstream and service.
+// slotKey identifies the slots of one upstream that tasks of one service use.
 type slotKey struct{ upstream, service string }
 
 // ticket is a request for slots of one pool that is not completely granted yet.
@@ -76,7 +76,8 @@
 	}
 }
 
-// sendRequest sends a ticket to its broker, after the pending release of the pool.
+// sendRequest sends a ticket to the broker of its pool. Before that it releases the
+// free slots of the pool, so that the broker can grant them.
 func (s *slots) sendRequest(v *View, t *ticket) {
 	if !t.log.addTicket(t.key, t.id) {
 		return
@@ -99,8 +100,8 @@
 	}
 }
 
-// sendToBroker sends a frame to the broker of a pool, which may be this instance.
-// The next sync makes up for frames that get lost.
+// sendToBroker sends a frame to the broker of a pool, which may be this instance. If
+// the frame gets lost, the next report of syncBroker makes up for it.
 func (s *slots) sendToBroker(p *poolView, f *inner.Frame) {
 	if p.broker == s.d.cfg.Self {
 		s.d.brokers.handleFrame(s.d.cfg.Self, f)
@@ -113,7 +114,8 @@
 	}
 }
 
-// handleGrant handles a grant or refusal of a broker.
+// handleGrant handles a message from a broker, which grants slots, refuses a ticket,
+// or only asks for free slots to be released without delay.
 func (s *slots) handleGrant(from fate.Incarnation, m *inner.SlotGrant) {
 	s.mu.Lock()
 	t := s.tickets[m.GetTicket()]
@@ -150,8 +152,8 @@
 	}
 }
 
-// assign assigns the granted slots to tasks of t, and returns the upstreams of the
-// slots that are not needed as spare. The lock must be held.
+// assign assigns the granted slots to tasks of t. For each slot that t does not need,
+// it adds the upstream to spare. The lock must be held.
 func (s *slots) assign(t *ticket, m *inner.SlotGrant) (assigned []assignment, spare []string) {
 	for _, p := range m.GetPlaces() {
 		s.held[slotKey{p.GetUpstream(), m.GetService()}] += int(p.GetCount())
@@ -167,8 +169,8 @@
 	return assigned, spare
 }
 
-// withdraw withdraws the remaining requests of tickets, with one message per
-// pool.
+// withdraw withdraws those of the tickets that are not completely granted, with one
+// message per pool.
 func (s *slots) withdraw(ids []string) {
 	byPool := map[string][]string{}
 	s.mu.Lock()
--- a/dispatch/starter.go
+++ b/dispatch/starter.go
@@ -18,19 +18,20 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// How long the broker must not grant a released slot again because its upstream
-// did not run a task.
+// How long the broker keeps back a released slot whose upstream did not run the
+// task, or is not known to have run it. The broker would otherwise grant the slot at
+// once to another task, which would probably not run either.
 const (
-	busyHold        = 50 * time.Millisecond
-	unreachableHold = 200 * time.Millisecond
+	busyHold        = 50 * time.Millisecond  // the upstream refused the task, or barred its lease
+	unreachableHold = 200 * time.Millisecond // the upstream did not answer
 )
 
-// lookupWait is how long an upstream may wait for the end of a task before it
-// answers a lookup of the lease.
+// lookupWait is the maximum time for which a lookup of a lease waits at the upstream
+// for the task to end. After that the upstream answers that the task is running.
 const lookupWait = time.Second
 
-// resultGrace is how long a start waits for the result on its connection, in
-// addition to the declared run time, before the lease is looked up instead.
+// resultGrace is how long the request that starts a task waits for the result, in
+// addition to the declared run time of the task. After that the lease is looked up.
 const resultGrace = 30 * time.Second
 
 // start starts a permitted task at its upstream and handles its end.
@@ -39,7 +40,7 @@
 	span := l.d.cfg.Tracer.Start(order.traceparent, "upstream", attribute.String("upstream", order.Upstream))
 	startedAt := time.Now()
 	reply, err := l.send(order, task, span.Traceparent())
-	span.End() // before the caller gets the answer, because it may then read the trace
+	span.End() // ended before the answer is sent: the caller may read the trace as soon as it has the answer
 	released := placement.ReleasedSlots{Upstream: order.Upstream, Needs: needsOf(task), Service: order.job.Service, Count: 1}
 	switch {
 	case failure.Is(err, failure.Unreachable):
@@ -89,7 +90,8 @@
 	stopped atomic.Bool
 }
 
-// startRenewal renews a lease whenever two thirds of its duration have passed.
+// startRenewal renews a lease whenever two thirds of its duration have passed, so
+// that the last third remains for the renewal to arrive.
 func (d *Dispatcher) startRenewal(client *upstream.Client, lease string, leaseDuration time.Duration) *renewal {
 	r := &renewal{}
 	interval := leaseDuration * 2 / 3
@@ -121,9 +123,9 @@
 	}
 }
 
-// withLeaseEnd returns released with the way in which the task ended. A stopped task
-// counts neither as failed nor with its run time, because it tells nothing about
-// its upstream.
+// withLeaseEnd completes released with how the task ended. A task that was stopped
+// does not count as failed, and its run time is not reported: neither says anything
+// about the upstream.
 func withLeaseEnd(released placement.ReleasedSlots, state api.LeaseState) placement.ReleasedSlots {
 	switch state {
 	case api.LeaseFailed:
@@ -135,8 +137,8 @@
 }
 
 // finishTask releases the slot of a task and records its outcome. The slot is
-// released first, so that the next task does not wait for the actions that result
-// from the outcome.
+// released first, so that the next task can use it while the consequences of the
+// outcome, such as answering the caller, are carried out.
 func (l *homeLog) finishTask(order startOrder, released placement.ReleasedSlots, outcome fate.Outcome) {
 	l.d.slots.release(released)
 	if !l.finish(order.Lease, outcome) {
@@ -167,8 +169,8 @@
 	l.requeueTask(order, released)
 }
 
-// resolveStart finds out the result of a start whose answer was lost, and handles
-// it.
+// resolveStart finds out, by looking the lease up, what became of a start whose
+// answer was lost or which the upstream refused as a duplicate, and handles it.
 func (l *homeLog) resolveStart(order startOrder, released placement.ReleasedSlots) {
 	resolution := l.d.resolveLease(order.Lease.String(), order.Upstream, func() bool { return l.awaitsOutcome(order.Lease) })
 	switch resolution.status {
@@ -210,10 +212,14 @@
 	outcome fate.Outcome   // only with leaseEnded
 }
 
-// resolveLease looks a lease up at its upstream until it has ended or is barred,
-// its outcome is no longer needed, or the upstream has not answered for
-// UpstreamLostAfter. A lease that the upstream has never seen is barred, so that a
-// start that arrives late has no effect.
+// resolveLease looks a lease up at its upstream until one of these holds:
+//
+//   - the task has ended, or the lease is barred;
+//   - the outcome is no longer needed, or the dispatcher is closed;
+//   - the upstream has not answered for UpstreamLostAfter.
+//
+// A lease that the upstream has never seen is barred, so that a start that arrives
+// late has no effect.
 func (d *Dispatcher) resolveLease(lease, upstreamID string, needed func() bool) leaseResolution {
 	retryDelay := backoff.NewExponentialBackOff()
 	retryDelay.InitialInterval = 20 * time.Millisecond
--- a/dispatch/starter_test.go
+++ b/dispatch/starter_test.go
@@ -10,8 +10,8 @@
 
 // TestStoppedSaysNothingOfItsUpstream checks that a task that was stopped, because
 // its job was cancelled or has failed, does not count as a failure of its upstream.
-// Otherwise one failed job would count against every upstream that ran its other
-// tasks.
+// Otherwise the failure of one task would count against all upstreams that ran other
+// tasks of the same job.
 func TestStoppedSaysNothingOfItsUpstream(t *testing.T) {
 	for state, want := range map[api.LeaseState]placement.ReleasedSlots{
 		api.LeaseFinished: {RunMs: 5},
@@ -19,7 +19,7 @@
 		api.LeaseStopped:  {},
 	} {
 		if got := withLeaseEnd(placement.ReleasedSlots{RunMs: 5}, state); got != want {
-			t.Errorf("%s: released %+v", state, got)
+			t.Errorf("lease state %s: unexpected report to the broker: %+v", state, got)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 		{api.LeaseStopped, "", fate.TaskFailed},
 	} {
 		if got := outcomeOf(c.state, []byte(c.body)); got.State != c.want {
-			t.Errorf("%s %s: %+v", c.state, c.body, got)
+			t.Errorf("lease state %s with body %s: unexpected outcome %+v", c.state, c.body, got)
 		}
 	}
 }
--- a/dispatch/sync.go
+++ b/dispatch/sync.go
@@ -13,8 +13,10 @@
 	sequence uint64
 }
 
-// applyView applies a new view. New brokers of pools are sent the slots that this
-// instance holds and the tickets that wait there.
+// applyView applies a new view. If a pool has a new broker, this instance reports to
+// the broker which slots of the pool it holds and for which tickets (requests for
+// slots) it still waits. The tickets of pools that no longer exist are sent to other
+// pools.
 func (s *slots) applyView(previous, current *View) {
 	for _, id := range current.poolIDs {
 		old := previous.pools[id]
@@ -31,11 +33,13 @@
 	}
 }
 
-// syncInterval is the interval of the syncs with all brokers.
+// syncInterval is the interval of the reports to all brokers. A longer interval would
+// leave the effects of a lost message, such as a slot that no home uses, uncorrected
+// for longer.
 const syncInterval = time.Second
 
-// tick syncs with all brokers every syncInterval, and at once with those that may
-// have missed a message.
+// tick reports to all brokers every syncInterval, and at once to those that may have
+// missed a message.
 func (s *slots) tick(now time.Time) {
 	v := s.d.view.Load()
 	s.mu.Lock()
@@ -56,9 +60,9 @@
 	}
 }
 
-// syncBroker sends the broker of a pool the slots that this instance holds there
-// and the tickets that wait there. It sends nothing if there are neither, and this
-// broker has granted nothing.
+// syncBroker reports to the broker of a pool which slots of the pool this instance
+// holds and for which tickets it still waits. It sends no report if it has neither
+// and the last grant for the pool, if any, came from another broker.
 func (s *slots) syncBroker(v *View, pool string) {
 	p := v.pools[pool]
 	if p == nil || p.broker == "" {
@@ -95,8 +99,8 @@
 	return list
 }
 
-// heldAt returns the slots held at a pool: those in use, and the free ones that are
-// not released yet. The lock must be held.
+// heldAt returns the slots of a pool that this instance holds: those in use, and
+// those that are free but not released yet. The lock must be held.
 func (s *slots) heldAt(v *View, pool string) []*inner.Place {
 	counts := map[slotKey]int{}
 	for key, n := range s.held {
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -36,9 +36,9 @@
 	// OtherInstances is the number of other instances that the platform lists, or -1
 	// while that is unknown.
 	OtherInstances int
-	// ZonesWithInstances holds the zones that have instances, alive or not. While no
-	// instance of such a zone is alive, the zone counts as partitioned, and its
-	// upstreams are not used.
+	// ZonesWithInstances holds the zones that have instances, alive or not. A zone
+	// whose instances are all not alive counts as partitioned, and its upstreams are
+	// not used.
 	ZonesWithInstances map[string]bool
 
 	instances        []placement.InstanceLocation
@@ -49,13 +49,14 @@
 	partitionedZones []string
 }
 
-// poolView is a pool with its broker. The broker is "" if there is none.
+// poolView is a pool with its broker.
 type poolView struct {
 	placement.Pool
-	broker fate.Incarnation
-	slots  int
+	broker fate.Incarnation // "" if there is none
+	slots  int              // of all upstreams of the pool, free or not
 }
 
+// buildIndex derives the unexported fields of v from the exported ones.
 func (v *View) buildIndex(mode PlacementMode, self string) {
 	incarnations := map[string]fate.Incarnation{}
 	for _, m := range v.Members {
@@ -159,7 +160,7 @@
 	d.homeLogs.closeLogsWithoutWitness(&v)
 }
 
-// MarkUpstreamLeaving makes an upstream get no new tasks, even before the next view
+// MarkUpstreamLeaving makes an upstream get no new tasks from now on, before a view
 // lists it as leaving.
 func (d *Dispatcher) MarkUpstreamLeaving(id string) {
 	if d.upstreams.markLeaving(id) {
@@ -236,8 +237,7 @@
 	}
 }
 
-// FleetSize returns the numbers of known instances, including this one, and
-// upstreams.
+// FleetSize returns the numbers of Members and of Upstreams in the view.
 func (d *Dispatcher) FleetSize() (instances, upstreams int) {
 	v := d.view.Load()
 	return len(v.Members), len(v.Upstreams)
