--- a/fate/check_test.go
+++ b/fate/check_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// takeOver makes the witness seal the log and take over the open jobs.
+// takeOver makes the witness seal the log, and takeoverHome take over the open jobs.
 func (w *world) takeOver() {
 	if !w.witnessUp {
 		return
@@ -26,7 +26,7 @@
 	}
 }
 
-// loseWitness makes the home assume that its witness is lost, which may be wrong.
+// loseWitness makes the home assume that its witness is lost, whether it is or not.
 func (w *world) loseWitness() {
 	if !w.homeUp {
 		return
@@ -50,8 +50,8 @@
 	}
 }
 
-// resolveTask asks the upstreams about one unresolved task of a job that was
-// taken over.
+// resolveTask looks up, at the upstreams, one task that the lost home may have
+// started, of a job that was taken over.
 func (w *world) resolveTask() {
 	key, ok := pick(w, w.keys)
 	if !ok || !w.witnessUp || len(w.recoveredPermits[key]) == 0 {
@@ -100,7 +100,8 @@
 	}
 }
 
-// resubmitToWitness makes a caller resubmit a job to the witness.
+// resubmitToWitness resubmits a job to the witness, as a caller does that cannot reach
+// the home.
 func (w *world) resubmitToWitness() {
 	key := Key{Session: "s", Sequence: uint64(1 + w.choose.below(4))}
 	if a, ok := w.witnessAnswer(key); ok {
@@ -139,7 +140,7 @@
 	w.perform(w.home.ApplyWitnessAnswer(a), false)
 }
 
-// check checks the invariants against all starts and answers so far.
+// check verifies that all starts and answers so far satisfy the invariants.
 func (w *world) check() {
 	for task, starts := range w.started {
 		if len(starts) > 1 {
@@ -158,7 +159,7 @@
 			continue
 		}
 		if kind != "" && kind != a.Kind {
-			w.violation = fmt.Errorf("%s was answered %s and %s", key, kind, a.Kind)
+			w.violation = fmt.Errorf("submission %s was answered both %s and %s", key, kind, a.Kind)
 		}
 		kind = a.Kind
 		w.checkAnswer(key, &a)
@@ -171,9 +172,9 @@
 		starts := w.started[taskName(Lease{Key: key, Task: i})]
 		switch {
 		case a.Kind == NotRun && len(starts) > 0:
-			w.violation = fmt.Errorf("%s was answered not run, but started %v", key, starts)
+			w.violation = fmt.Errorf("submission %s was answered not run, but a task was started: %v", key, starts)
 		case a.Kind == Complete && (len(a.Tasks) != tasks || len(starts) != 1 || string(a.Tasks[i].Result) != starts[0]):
-			w.violation = fmt.Errorf("%s was answered complete without the result of task %d", key, i)
+			w.violation = fmt.Errorf("submission %s was answered complete, but not with the result of the only start of task %d", key, i)
 		}
 	}
 }
--- a/fate/fate.go
+++ b/fate/fate.go
@@ -2,38 +2,47 @@
 // start, so that both stay correct when an instance is lost.
 //
 // Every job belongs to a permit log, which two instances keep. The home accepts
-// the jobs and runs them; the witness holds a copy of the log. A task starts
-// only after the home has appended a permit for it to the log and the witness
-// has acknowledged the append. When the home is lost, the witness seals the log,
-// so that the home can start nothing more, and its instance takes over the jobs
-// that are still open. The fate of a submission is its final outcome. Apart
-// from Unknown, callers never receive two different fates for one submission.
+// the jobs and runs them; the witness holds a copy of the log. An append is a
+// message with which the home extends that copy. A permit is the record that a
+// task is about to start: the task starts only after the witness has
+// acknowledged the append with its permit. When the home is lost, the witness
+// seals the log, which means that it acknowledges no more appends, so that the
+// home can start nothing more. The instance of the witness then takes over the
+// jobs that are still open.
+//
+// The fate of a submission is its final outcome. The verdict is the fate once it
+// is decided, and it is committed once callers may receive it. Apart from
+// Unknown, callers never receive two different fates for one submission.
+//
+// A lease identifies one start of a task at an upstream. To bar a lease is to
+// make the upstream refuse every start under it from then on.
 //
 // The package holds two pure state machines: Home and Witness, one of each for
 // a log. Neither performs I/O, reads a clock or starts a goroutine: inputs are
-// method calls, and the actions to take are returned as Effects. The rules that
-// they keep are in docs/design/fate.md.
+// method calls, and the actions to take are returned as Effects. Their
+// invariants are listed in docs/design/fate.md.
 package fate
 
 // Kind is the kind of fate of a submission, as returned to its caller.
 type Kind string
 
-// The kinds of fate. Pending stands for a fate that is not decided yet.
+// The kinds of fate.
 const (
 	// Pending means that the fate of the submission is not decided yet.
 	Pending Kind = "pending"
 	// Complete means that every task finished; the answer holds all results.
 	Complete Kind = "complete"
-	// Failed means that the job as a whole failed.
+	// Failed means that the job ended without completing, and that at least one of
+	// its tasks ran or may have run.
 	Failed Kind = "failed"
 	// NotRun means that no task of the submission started or ever will.
 	NotRun Kind = "not_run"
-	// Unknown means that tasks of the submission may have run, and that no
-	// instance that is alive can tell.
+	// Unknown means that tasks of the submission may have run, but no instance
+	// that is alive knows whether they did.
 	Unknown Kind = "unknown"
 )
 
-// Final reports whether k is a decided fate, Unknown included.
+// Final reports whether k is a final outcome, which includes Unknown.
 func (k Kind) Final() bool { return k != Pending && k != "" }
 
 // TaskState is the final state of one task in an answer.
@@ -92,7 +101,7 @@
 	Service    string
 	Caller     string
 	Repeatable bool
-	DeadlineMs int64  // Unix milliseconds; always set, because package dispatch takes zero for a deadline that has passed
+	DeadlineMs int64  // Unix milliseconds; must be set: package dispatch ends a job with zero at once, as past its deadline
 	Trace      string // W3C traceparent of the submission
 	Digest     uint64 // hash of the job as submitted; tells a resubmission from a different job under the same key
 	Tasks      []Task
@@ -107,8 +116,7 @@
 	Tasks  []Outcome // in task order; empty for NotRun and Unknown
 }
 
-// Start identifies one start of a task at an upstream. In Effects.Starts it
-// means that the permit is acknowledged, so that the task may be started.
+// Start identifies one start of a task at an upstream.
 type Start struct {
 	Lease    Lease
 	Upstream string
@@ -127,7 +135,7 @@
 	Job     *Job // only in the first record of a submission
 	Permits []Permit
 	Results []TaskResult
-	Verdict *Answer // a fate that must be recorded before a caller receives it; nil if there is none
+	Verdict *Answer // fate that callers receive only after the witness has recorded it; nil if there is none
 }
 
 // TaskResult is the outcome of a task within a record.
@@ -147,11 +155,11 @@
 
 // Effects lists the actions to take after an input, in any order.
 type Effects struct {
-	Starts         []Start  // tasks to start
+	Starts         []Start  // tasks to start: their permits are acknowledged, or the log has no witness
 	Stops          []Start  // tasks to stop: the fate of their job is decided
 	UnusedSlots    []Start  // slots to release: the tasks assigned to them will not start there
 	Answers        []Answer // answers to return to the callers
-	WitnessQueries []Key    // submissions of a sealed log whose fate has to be asked of the witness
+	WitnessQueries []Key    // submissions of a sealed log for whose fate the witness has to be asked
 }
 
 func (e *Effects) add(o Effects) {
--- a/fate/home.go
+++ b/fate/home.go
@@ -10,7 +10,7 @@
 	waiting       phase = iota // waits for a slot at an upstream
 	permitPending              // has a slot; its permit is not acknowledged yet
 	started                    // its permit is acknowledged: it may be running
-	unresolved                 // the lost home may have started it; its upstreams are being asked
+	unresolved                 // the lost home may have started it; the upstreams in question are being asked
 	ended                      // has its outcome, which may be TaskUnknown
 )
 
@@ -31,14 +31,15 @@
 	// appended is true once the job is part of an append. acked is true once the
 	// witness has acknowledged an append with a record of the job.
 	appended, acked bool
-	// verdict is the decided fate. committed is true once callers may receive it.
+	// verdict is the fate of the job, nil until it is decided. committed is true
+	// once callers may receive the verdict.
 	verdict   *Answer
 	committed bool
-	// witnessDecides is true when only the witness can decide the fate.
+	// witnessDecides is true once this home has left the decision to the witness.
 	witnessDecides bool
 	// takenOver is true if this log has taken the job over from a lost home.
-	// lostHomeCannotHaveCompleted is true once it is proven that the lost home cannot have
-	// completed the job, because one of the tasks cannot have finished there.
+	// lostHomeCannotHaveCompleted is true once it is proven that the lost home did
+	// not complete the job, because one of the tasks cannot have finished there.
 	takenOver                   bool
 	lostHomeCannotHaveCompleted bool
 }
@@ -53,10 +54,10 @@
 	urgent       bool            // pending contains a permit or a verdict
 	unacked      []*unackedAppend
 	sequence     uint64 // of the last append
-	sealed       bool
+	sealed       bool   // no task starts and no append is sent any more
 	witnessLost  bool
-	closed       bool
-	active       int // submissions whose fate is not committed
+	closed       bool // no new submissions are accepted
+	active       int  // submissions whose fate is not committed
 }
 
 // NewHome returns the home of a new log.
@@ -85,16 +86,19 @@
 const (
 	Accepted       Admission = iota // the submission is new: its tasks wait for slots
 	Joined                          // the submission is already running
-	Answered                        // the fate of the submission is committed or no longer kept
-	WitnessDecides                  // only the witness can tell the fate
+	Answered                        // the fate of the submission is committed, or its answer has been evicted
+	WitnessDecides                  // the witness has to be asked for the fate
 )
 
 // Submit accepts a new submission, or finds the existing one with the same key.
-// With a nil job it only looks the key up. The errors are Conflict, for a
-// different job under the same key or a generation whose predecessor has no
-// committed fate, InvalidInput, for an invalid generation, NotFound, if a key
-// that is only looked up was never submitted, and SessionEnded, if the log
-// accepts no new submissions.
+// With a nil job it only looks the key up. The errors are:
+//
+//   - Conflict: a different job was submitted under the key, or the fate of its
+//     previous generation is not committed;
+//   - InvalidInput: the generation is not 0, although the job is not repeatable or
+//     was first submitted as not repeatable;
+//   - NotFound: the job is nil, and the key was never submitted;
+//   - SessionEnded: the log accepts no new submissions.
 func (h *Home) Submit(key Key, job *Job) (Admission, Answer, error) {
 	if j := h.jobs[key]; j != nil {
 		return h.resubmit(j, job)
@@ -134,7 +138,7 @@
 		return nil
 	}
 	if !job.Repeatable {
-		return failure.Field(failure.InvalidInput, "generation", "a job that is not repeatable has generation 0 only")
+		return failure.Field(failure.InvalidInput, "generation", "must be 0 for a job that is not repeatable")
 	}
 	previous := key
 	previous.Generation--
@@ -143,7 +147,7 @@
 		return failure.Field(failure.InvalidInput, "generation", "the job was first submitted as not repeatable")
 	}
 	if j != nil && !j.committed {
-		return failure.Field(failure.Conflict, "generation", "generation %d has no fate yet", previous.Generation)
+		return failure.Field(failure.Conflict, "generation", "generation %d has not ended yet", previous.Generation)
 	}
 	return nil
 }
@@ -157,7 +161,7 @@
 	return j
 }
 
-// WaitingTasks returns the tasks of key that wait for a slot, or nil.
+// WaitingTasks returns the indexes of the tasks of key that wait for a slot.
 func (h *Home) WaitingTasks(key Key) []int {
 	j := h.jobs[key]
 	if j == nil || j.verdict != nil || j.witnessDecides {
@@ -191,7 +195,7 @@
 
 // Place assigns a waiting task to a slot at upstream. It reports false if the
 // task does not need the slot. The task starts when its permit is acknowledged,
-// and at once in a log without a witness.
+// or at once if the log has no witness.
 func (h *Home) Place(key Key, task int, upstream string) (Effects, bool) {
 	var e Effects
 	j := h.jobs[key]
@@ -213,9 +217,9 @@
 	return e, true
 }
 
-// Finish records the outcome of a started task. Its state is TaskUnknown if the
-// outcome cannot be found out. Finish reports false if the outcome is late,
-// repeated or no longer awaited.
+// Finish records the outcome of a started task. The outcome's state is TaskUnknown
+// if it cannot be found out how the task ended. Finish reports false if the outcome
+// is that of an earlier attempt, repeated or no longer needed.
 func (h *Home) Finish(lease Lease, outcome Outcome) (Effects, bool) {
 	j, t := h.startedTask(lease)
 	if t == nil {
@@ -258,8 +262,8 @@
 	return e
 }
 
-// Requeue makes a started task wait for a slot again, after proof that its start
-// had no effect. It reports false if the outcome of lease is not awaited.
+// Requeue makes a task wait for a slot again, after proof that its start under lease
+// had no effect. It reports false if the outcome of lease is no longer needed.
 func (h *Home) Requeue(lease Lease) (Effects, bool) {
 	var e Effects
 	j, t := h.startedTask(lease)
@@ -273,19 +277,19 @@
 	return e, true
 }
 
-// SetRetention replaces the limits on kept answers, from the next eviction on.
+// SetRetention replaces the limits on kept answers. The next eviction applies them.
 func (h *Home) SetRetention(retention Retention) { h.retained.limits = retention }
 
 // Tick sets the current time, in Unix milliseconds, and evicts expired answers.
 func (h *Home) Tick(now int64) { h.removeJobs(h.retained.evictExpired(now)) }
 
-// AwaitsOutcome reports whether the outcome of a started task is still needed.
+// AwaitsOutcome reports whether the outcome of the task started under lease is still
+// needed.
 func (h *Home) AwaitsOutcome(lease Lease) bool {
 	_, t := h.startedTask(lease)
 	return t != nil
 }
 
-// MayHaveSeen reports whether key was submitted to this log. It may also report
-// true for a key that was not, if later submissions of its session have been
-// evicted.
+// MayHaveSeen reports whether key was submitted to this log. For a key that was not,
+// it also reports true if a later submission of the same session has been evicted.
 func (h *Home) MayHaveSeen(key Key) bool { return h.jobs[key] != nil || h.retained.mayBeEvicted(key) }
--- a/fate/home_test.go
+++ b/fate/home_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	got, answer, err := h.Submit(key, job)
 	if err != nil || got != want {
-		t.Fatalf("submit %v: admission %d, %v", key, got, err)
+		t.Fatalf("Submit(%v) returned admission %d, error %v", key, got, err)
 	}
 	return answer
 }
@@ -58,7 +58,7 @@
 	a := h.NextAppend(false)
 	starts := h.Ack(a.Sequence).Starts
 	if len(starts) != 2 {
-		t.Fatalf("starts %v", starts)
+		t.Fatalf("started %v after the acknowledgement, want both tasks", starts)
 	}
 	h.Finish(starts[1].Lease, Outcome{State: TaskFinished, Result: []byte("2")})
 	e, _ := h.Finish(starts[0].Lease, Outcome{State: TaskFinished, Result: []byte("1")})
@@ -67,10 +67,10 @@
 		t.Errorf("results out of order: %v", answer.Tasks)
 	}
 	if _, awaited := h.Finish(starts[0].Lease, Outcome{State: TaskFailed}); awaited {
-		t.Error("a second result was accepted")
+		t.Error("a second outcome of the same task was accepted")
 	}
 	if again := mustSubmit(t, h, firstKey, jobOf(2), Answered); again.Kind != Complete {
-		t.Errorf("resubmission was answered %s", again.Kind)
+		t.Errorf("the resubmission was answered %s, want complete", again.Kind)
 	}
 }
 
@@ -78,7 +78,7 @@
 	h := NewHome(homeLogID, testRetention)
 	mustSubmit(t, h, firstKey, jobOf(2), Accepted)
 	if _, _, err := h.Submit(firstKey, jobOf(3)); !failure.Is(err, failure.Conflict) {
-		t.Errorf("error %v", err)
+		t.Errorf("a different job under the same key: error %v, want Conflict", err)
 	}
 	mustSubmit(t, h, firstKey, jobOf(2), Joined)
 }
@@ -90,7 +90,7 @@
 	onlyAnswer(t, h.Abort(firstKey, ReasonDeadline), NotRun)
 	h.Tick(testRetention.MaxAgeMs)
 	if answer := mustSubmit(t, h, firstKey, jobOf(1), Answered); answer.Kind != Unknown {
-		t.Errorf("answered %s", answer.Kind)
+		t.Errorf("the resubmission of an evicted job was answered %s, want unknown", answer.Kind)
 	}
 }
 
@@ -100,7 +100,7 @@
 	secondKey := Key{Session: "s", Sequence: 1, Generation: 1}
 	mustSubmit(t, h, firstKey, repeatable, Accepted)
 	if _, _, err := h.Submit(secondKey, repeatable); !failure.Is(err, failure.Conflict) {
-		t.Errorf("a generation was accepted before the fate of the previous one was committed: %v", err)
+		t.Errorf("a generation before the fate of the previous one is committed: error %v, want Conflict", err)
 	}
 	h.Abort(firstKey, ReasonCancelled)
 	mustSubmit(t, h, secondKey, repeatable, Accepted)
@@ -111,7 +111,7 @@
 	once.Generation = 1
 	for _, job := range []*Job{jobOf(1), repeatable} {
 		if _, _, err := h.Submit(once, job); failure.FieldOf(err) != "generation" {
-			t.Errorf("a job that is not repeatable was accepted with a generation: %v", err)
+			t.Errorf("a second generation of a job that is not repeatable: error %v, want one about the generation", err)
 		}
 	}
 }
@@ -124,20 +124,20 @@
 	h.Place(firstKey, 1, "u")
 	r := w.Append(h.NextAppend(false))
 	if !r.Gap || r.Acked != 0 {
-		t.Fatalf("reply %+v", r)
+		t.Fatalf("reply to the second append without the first: %+v, want a gap after 0", r)
 	}
 	started := 0
 	for _, a := range h.UnackedForResend(r.Acked + 1) {
 		started += len(h.Ack(w.Append(&a).Acked).Starts)
 	}
 	if started != 2 {
-		t.Errorf("%d starts", started)
+		t.Errorf("%d tasks started after the appends were sent again, want 2", started)
 	}
 }
 
-// TestSealedHomeStartsNothing checks that a job whose append reaches the witness
-// only after the seal never starts: the witness has answered NotRun for it, so
-// that neither the seal nor a late acknowledgement may start it at the home.
+// TestSealedHomeStartsNothing checks that a job whose append reaches the witness only
+// after the seal never starts. The witness may have answered NotRun for it by then,
+// so the home must not start it, not even after a late acknowledgement.
 func TestSealedHomeStartsNothing(t *testing.T) {
 	h, w := NewHome(homeLogID, testRetention), NewWitness(homeLogID, testRetention)
 	mustSubmit(t, h, firstKey, jobOf(1), Accepted)
@@ -145,14 +145,14 @@
 	a := h.NextAppend(false)
 	w.Seal()
 	if answer, _ := w.Lookup(firstKey); answer.Kind != NotRun {
-		t.Fatalf("the witness answers %+v", answer)
+		t.Fatalf("the witness answers %+v, want not_run", answer)
 	}
 	if r := w.Append(a); !r.Sealed {
-		t.Fatalf("reply %+v", r)
+		t.Fatalf("reply to an append after the seal: %+v, want Sealed", r)
 	}
 	e := h.Seal()
 	if len(e.Starts) > 0 || len(e.WitnessQueries) != 1 {
-		t.Fatalf("effects %+v", e)
+		t.Fatalf("effects of the seal: %+v, want no start and one query to the witness", e)
 	}
 	if e = h.Ack(a.Sequence); len(e.Starts) > 0 {
 		t.Errorf("a late acknowledgement started %v", e.Starts)
@@ -174,7 +174,7 @@
 		}
 		e := h.MarkWitnessLost()
 		if sent && len(e.WitnessQueries) != 1 {
-			t.Errorf("effects %+v of an append that was sent", e)
+			t.Errorf("the append may have been sent: effects %+v, want one query to the witness", e)
 		}
 		if !sent {
 			onlyAnswer(t, e, NotRun)
@@ -200,15 +200,15 @@
 			}
 			e := end(h)
 			if len(e.UnusedSlots) != 1 || e.UnusedSlots[0].Upstream != "u" {
-				t.Errorf("%s, sent %v: released slots %v", name, sent, e.UnusedSlots)
+				t.Errorf("%s, append sent: %v: released slots %v, want one of upstream u", name, sent, e.UnusedSlots)
 			}
 		}
 	}
 }
 
-// TestAppendOwnsItsRecords checks that an append owns its records. It is read while
-// it is sent, without the lock of its home: records that the home removes from its
-// own copy meanwhile must stay in it.
+// TestAppendOwnsItsRecords checks that an append shares no list of records with the
+// home. The append is encoded and sent without the home's lock, so that a record that
+// the home removes from its own copy in the meantime must stay in the append.
 func TestAppendOwnsItsRecords(t *testing.T) {
 	h := NewHome(homeLogID, testRetention)
 	mustSubmit(t, h, firstKey, jobOf(1), Accepted)
@@ -216,6 +216,6 @@
 	a := h.NextAppend(false)
 	h.discardRecords(h.jobs[firstKey])
 	if len(a.Records) != 1 || a.Records[0].Key != firstKey {
-		t.Errorf("the append in flight holds %+v", a.Records)
+		t.Errorf("the append in flight has the records %+v, want the one removed at the home", a.Records)
 	}
 }
--- a/fate/key.go
+++ b/fate/key.go
@@ -8,8 +8,9 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// Incarnation identifies one run of one instance, as "instance.boot". A
-// restarted instance is a new incarnation, without the state of the previous one.
+// Incarnation identifies one run of an instance's process, in the form
+// "instance.boot". A restarted instance is a new incarnation, without the state of
+// the previous one.
 type Incarnation string
 
 // Instance returns the name of the instance without the boot id.
@@ -52,8 +53,8 @@
 	return caller
 }
 
-// Log returns the id of the log that the session belongs to, or an InvalidInput
-// error.
+// Log returns the id of the log that the session belongs to. If the token is not
+// valid, the error is InvalidInput.
 func (s Session) Log() (LogID, error) {
 	if len(s) > maxSessionLength {
 		return LogID{}, failure.Field(failure.InvalidInput, "session", "is longer than %d bytes", maxSessionLength)
--- a/fate/model_test.go
+++ b/fate/model_test.go
@@ -22,7 +22,8 @@
 
 func newSeededChooser(n uint64) seededChooser { return seededChooser{rand.New(rand.NewPCG(n, n))} }
 
-// TestModel lets rapid search for a run that violates an invariant, and shrink it.
+// TestModel searches for a run of the model that violates an invariant. The library
+// rapid makes the random choices, and reduces a run that fails to a short one.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapidChooser{t}, noMutation)
@@ -40,8 +41,8 @@
 	seededSteps = 220
 )
 
-// firstViolation runs the model with fixed seeds, and returns the first run that
-// violates an invariant.
+// firstViolation runs the model with the seeds 0 to runs-1, and returns the first
+// seed with which an invariant is violated, and the violation.
 func firstViolation(m mutation, runs int) (run int, violation error) {
 	for run := range runs {
 		w := newWorld(newSeededChooser(uint64(run)), m)
@@ -57,11 +58,12 @@
 
 func TestModelSeeded(t *testing.T) {
 	if run, err := firstViolation(noMutation, seededRuns); err != nil {
-		t.Fatalf("run %d: %v", run, err)
+		t.Fatalf("the run with seed %d violates an invariant: %v", run, err)
 	}
 }
 
-// TestMutation introduces each mutation on purpose. The model must detect it.
+// TestMutation checks that the invariants of the model detect faults: with each
+// mutation, at least one run must violate an invariant.
 func TestMutation(t *testing.T) {
 	for _, m := range []mutation{
 		permitWithoutAck, sealIgnored, resubmissionAsNewWork, startRetriedUnderNewLease, unseenLeaseNotBarred,
@@ -70,14 +72,14 @@
 		t.Run(string(m), func(t *testing.T) {
 			run, err := firstViolation(m, 4*seededRuns)
 			if err == nil {
-				t.Fatal("no run detected the mutation")
+				t.Fatal("the mutation violated no invariant in any run")
 			}
-			t.Logf("run %d: %v", run, err)
+			t.Logf("detected in the run with seed %d: %v", run, err)
 		})
 	}
 }
 
-// FuzzModel lets the fuzzer make the random choices.
+// FuzzModel is like TestModel, but takes the random choices from the fuzzer's data.
 func FuzzModel(f *testing.F) {
 	f.Add([]byte("sedgehatch"))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -113,7 +115,7 @@
 		}
 		again, err := NewSession(log, "c", "d").Log()
 		if err != nil || again != log {
-			t.Fatalf("%q became %v, %v", text, again, err)
+			t.Fatalf("the log of session %q is %v in a new session, error %v", text, again, err)
 		}
 	})
 }
--- a/fate/outbox.go
+++ b/fate/outbox.go
@@ -5,18 +5,20 @@
 )
 
 // maxAwaitedAppends is the maximum number of appends in flight that request an
-// acknowledgement. At the limit, new records wait until one is acknowledged.
+// acknowledgement. At the limit, new records wait until one of these appends is
+// acknowledged, and are then sent in one append.
 const maxAwaitedAppends = 4
 
 // unackedThreshold is the number of unacknowledged appends from which on every
-// append requests an acknowledgement, so that the home can free their memory.
+// append requests an acknowledgement. The home keeps appends in memory until they
+// are acknowledged.
 const unackedThreshold = 64
 
 // unackedAppend is an append that the witness has not acknowledged.
 type unackedAppend struct {
 	Append
-	// sendCount counts the attempts in which the append may have reached the
-	// witness. Zero proves that the witness does not know its records.
+	// sendCount counts the attempts to send the append, except those in which no
+	// byte was sent. Zero proves that the witness does not know its records.
 	sendCount int
 }
 
@@ -36,10 +38,10 @@
 	return r
 }
 
-// NextAppend returns the next append to send to the witness, or nil. Without
-// force it returns an append only if a permit or a verdict waits for an
-// acknowledgement. The append counts as sent unless MarkUnsent is called. It
-// shares no list of records with the home, so that it can be sent while the home
+// NextAppend returns the next append to send to the witness, or nil if none is due.
+// Without force, an append is due only if it has a permit or a verdict; with force,
+// also if it has only results. The append counts as sent unless MarkUnsent is
+// called. It has its own list of records, so that it can be sent while the home
 // changes; the home keeps a copy to send again.
 func (h *Home) NextAppend(force bool) *Append {
 	if len(h.pendingOrder) == 0 || h.sealed || (!h.urgent && !force) || h.awaitedAppends() >= maxAwaitedAppends {
@@ -87,9 +89,9 @@
 	return slices.ContainsFunc(a.Records, func(r Record) bool { return r.Key == key })
 }
 
-// discardRecords removes the records of j from all appends, none of which has
-// reached the witness. The fate of j is committed without the witness, which must
-// not receive them later.
+// discardRecords removes the records of j from the next append and from those that
+// may be sent again. It is called when the fate of j is committed without the
+// witness, which has received no record of j and must not receive one later.
 func (h *Home) discardRecords(j *homeJob) {
 	delete(h.pending, j.key)
 	for _, a := range h.unacked {
@@ -107,8 +109,8 @@
 	return n
 }
 
-// UnackedForResend returns the unacknowledged appends from sequence on, to be
-// sent again in order. They count as sent, as in NextAppend.
+// UnackedForResend returns the unacknowledged appends from a sequence number on, to
+// be sent again in order. They count as sent unless MarkUnsent is called.
 func (h *Home) UnackedForResend(from uint64) []Append {
 	var list []Append
 	for _, a := range h.unacked {
@@ -148,7 +150,7 @@
 		return e
 	}
 	if j.verdict != nil {
-		return e // the job was decided before these tasks could start
+		return e // the fate was decided while the permits were in flight: the tasks must not start
 	}
 	for _, p := range r.Permits {
 		t := &j.tasks[p.Task]
--- a/fate/retention.go
+++ b/fate/retention.go
@@ -10,7 +10,8 @@
 }
 
 // retainedKeys holds the keys of the decided submissions, and decides which to
-// evict. It never takes an evicted key for one that was never submitted.
+// evict. For each session it remembers the highest evicted sequence number, so that
+// a resubmission of an evicted job is not run as a new one.
 type retainedKeys struct {
 	limits         Retention
 	oldestFirst    *list.List
@@ -67,16 +68,16 @@
 	return item.key
 }
 
-// mayBeEvicted reports whether key may have been evicted. It errs on the safe
-// side: it is also true for a key that was never submitted, if a later key of the
-// same session has been evicted.
+// mayBeEvicted reports whether key may have been evicted. It always reports true for
+// an evicted key. For a key that was never submitted it also reports true if a later
+// key of the same session has been evicted.
 func (r *retainedKeys) mayBeEvicted(key Key) bool {
 	highest, ok := r.evictedThrough[key.Session]
 	return ok && key.Sequence <= highest
 }
 
 func answerSize(outcomes []Outcome) int64 {
-	const perTask = 64 // bytes of the struct and its headers
+	const perTask = 64 // bytes of an Outcome without the contents of Result and Error
 	size := int64(perTask)
 	for i := range outcomes {
 		size += perTask + int64(len(outcomes[i].Result)) + int64(len(outcomes[i].Error))
--- a/fate/seal.go
+++ b/fate/seal.go
@@ -5,13 +5,16 @@
 	"slices"
 )
 
-// Sealed reports whether the log is sealed: no task of it will start any more.
+// Sealed reports whether this home treats the log as sealed: it starts no more tasks.
 func (h *Home) Sealed() bool { return h.sealed }
 
-// Seal applies the notification that the witness has sealed the log: no further
-// task starts here. Started tasks continue. Jobs that need further starts or an
-// acknowledgement are left to the witness. Jobs that the witness cannot know are
-// answered NotRun.
+// Seal applies the notification that the witness has sealed the log. No more tasks
+// start here, but started ones continue. What happens to a job depends on its state:
+//
+//   - If the witness cannot know the job, its fate is NotRun.
+//   - If tasks are yet to start, or a verdict is not acknowledged yet, the witness
+//     is asked for its fate.
+//   - Otherwise this home waits for the started tasks and decides.
 func (h *Home) Seal() Effects {
 	var e Effects
 	if h.sealed {
@@ -31,7 +34,7 @@
 			h.deferToWitness(j, &e)
 		}
 		if !j.committed {
-			j.acked = true // the appends are discarded below: the witness may know the job
+			j.acked = true // the witness may know the job; the appends that show this are discarded below
 		}
 	}
 	h.discardAppends()
@@ -39,8 +42,8 @@
 }
 
 // MarkWitnessLost applies the notification that the witness is lost. It has the
-// effects of Seal, but the witness may not be there to ask: package dispatch
-// answers Unknown for WitnessQueries that the witness does not answer.
+// effects of Seal. Since the witness may not answer the WitnessQueries, package
+// dispatch then applies the answer Unknown in its place.
 func (h *Home) MarkWitnessLost() Effects {
 	h.witnessLost = true
 	return h.Seal()
@@ -49,14 +52,15 @@
 // WitnessLost reports whether the witness is lost.
 func (h *Home) WitnessLost() bool { return h.witnessLost }
 
-// decideNotRun commits NotRun for a job of which no record can have reached the
-// witness: the witness cannot run the job, and this home will not start it.
+// decideNotRun commits NotRun for a job of which the witness has received no record:
+// the witness's instance cannot take the job over, and this home will not start it.
 func (h *Home) decideNotRun(j *homeJob, e *Effects) {
 	j.verdict = &Answer{Key: j.key, Kind: NotRun, Reason: ReasonWitnessLost}
 	j.cancelPermits(e)
 	h.commit(j, e)
 }
 
+// deferToWitness leaves the decision on the fate of j to the witness, and asks for it.
 func (h *Home) deferToWitness(j *homeJob, e *Effects) {
 	if j.witnessDecides {
 		return
@@ -68,8 +72,8 @@
 }
 
 // ApplyWitnessAnswer applies the witness's answer to one of WitnessQueries. The
-// answer Unknown is returned to callers but not kept, because the witness may
-// know more when it is asked again.
+// answer Unknown is returned to the waiting callers but not committed, because the
+// witness may give another answer to a later query.
 func (h *Home) ApplyWitnessAnswer(answer Answer) Effects {
 	var e Effects
 	j := h.jobs[answer.Key]
--- a/fate/takeover.go
+++ b/fate/takeover.go
@@ -1,8 +1,8 @@
 package fate
 
-// TakeOver continues a job whose home is lost and whose log is sealed. The log
-// that takes it over must have no witness. Tasks that the lost home may have
-// started are resolved with ResolveTask once their upstreams have been asked.
+// TakeOver continues a job whose home is lost and whose log is sealed. The log of h
+// must have no witness. Tasks that the lost home may have started stay unresolved
+// until ResolveTask is called with what their upstreams have answered.
 func (h *Home) TakeOver(key Key, recovered *RecoveredJob) Effects {
 	var e Effects
 	if h.jobs[key] != nil {
@@ -32,7 +32,8 @@
 	}
 }
 
-// decideRecovered decides the fate of j if the recovered outcomes suffice for it.
+// decideRecovered decides the fate of j if a recovered outcome is a failure, or if
+// all tasks have ended.
 func (h *Home) decideRecovered(j *homeJob, e *Effects) {
 	for i := range j.tasks {
 		if j.tasks[i].phase == ended && j.tasks[i].outcome.State == TaskFailed {
@@ -46,9 +47,9 @@
 }
 
 // ResolveTask records what the upstreams answered about a task that the lost home
-// may have started: its outcome, or nil if every upstream with a permit for it has
-// barred the lease. The task has then never started and may start here. ResolveTask
-// reports false if the task is not unresolved.
+// may have started: its outcome, or nil if every upstream for which there is a
+// permit has barred the lease. With nil the task has never started, so that it can
+// start here. ResolveTask reports false if the task does not wait to be resolved.
 func (h *Home) ResolveTask(key Key, task int, outcome *Outcome) (Effects, bool) {
 	var e Effects
 	j := h.jobs[key]
--- a/fate/verdict.go
+++ b/fate/verdict.go
@@ -15,9 +15,10 @@
 	return e
 }
 
-// decide decides a fate of j other than Complete. The fate is committed when the
-// witness has acknowledged the verdict, or at once if the log has no witness, if
-// the witness cannot know the job, or if the log is sealed.
+// decide decides a fate of j other than Complete, unless the decision has to be left
+// to the witness. The fate is committed at once if the log has no witness, if the
+// witness cannot know the job, or if the log is sealed. Otherwise it is committed
+// when the witness has acknowledged the verdict.
 func (h *Home) decide(j *homeJob, reason Reason, e *Effects) {
 	verdict := incompleteVerdict(j, reason)
 	if h.needsWitness(j, verdict) {
@@ -40,9 +41,9 @@
 	h.urgent = true
 }
 
-// needsWitness reports whether only the witness can decide the fate of j, because
-// the log is sealed and cannot record the verdict. If a task has failed at its
-// upstream, the witness is not needed: it cannot decide Complete either.
+// needsWitness reports whether the decision has to be left to the witness, because
+// the log is sealed and cannot record the verdict v. A failed task is an exception:
+// the witness cannot arrive at Complete either, so this home decides.
 func (h *Home) needsWitness(j *homeJob, v *Answer) bool {
 	return h.sealed && h.witnessMayKnow(j) && v.Reason != ReasonTaskFailed
 }
--- a/fate/witness.go
+++ b/fate/witness.go
@@ -16,14 +16,14 @@
 	verdict   *Answer
 }
 
-// RecoveredTask is the state of one task of a RecoveredJob.
+// RecoveredTask is what the log records about one task.
 type RecoveredTask struct {
-	Outcome *Outcome // nil if the log has no outcome
-	Permits []Permit // all starts that the lost home may have made
+	Outcome *Outcome // nil if none is recorded
+	Permits []Permit // one for each start that the home may have made
 }
 
-// RecoveredJob is the state of an undecided submission that is recovered from the
-// witness of a sealed log.
+// RecoveredJob is what a sealed log records about a submission whose fate is not
+// decided. It is the basis on which another log takes the job over.
 type RecoveredJob struct {
 	Job   *Job
 	Tasks []RecoveredTask
@@ -68,7 +68,7 @@
 	j := w.jobs[r.Key]
 	if j == nil {
 		if r.Job == nil {
-			return // the submission was evicted
+			return // a late record: the answer of the submission has been evicted
 		}
 		j = &witnessJob{job: r.Job, tasks: make([]RecoveredTask, len(r.Job.Tasks)), openTasks: len(r.Job.Tasks)}
 		w.jobs[r.Key] = j
@@ -112,8 +112,9 @@
 	}
 }
 
-// completeAnswer returns the answer Complete if every task finished, and nil
-// otherwise: the fate is then decided by the home, or by a takeover.
+// completeAnswer returns the answer Complete if every task finished. Otherwise it
+// returns nil, because the home has to decide the fate, or the instance that takes
+// the job over.
 func completeAnswer(key Key, j *witnessJob) *Answer {
 	answer := &Answer{Key: key, Kind: Complete, Tasks: make([]Outcome, len(j.tasks))}
 	for i := range j.tasks {
@@ -125,7 +126,7 @@
 	return answer
 }
 
-// SetRetention replaces the limits on kept answers, from the next eviction on.
+// SetRetention replaces the limits on kept answers. The next eviction applies them.
 func (w *Witness) SetRetention(retention Retention) { w.retained.limits = retention }
 
 // Tick sets the current time, in Unix milliseconds, and evicts expired answers.
@@ -135,8 +136,8 @@
 	}
 }
 
-// Seal ends the log: no further append is acknowledged, so that the home starts
-// no further task, even if it was only paused or partitioned.
+// Seal makes the witness acknowledge no more appends. A home that was only paused or
+// partitioned, and not lost, can then start no more tasks.
 func (w *Witness) Seal() { w.sealed = true }
 
 // OpenJobs returns the keys of the undecided submissions.
@@ -150,8 +151,8 @@
 	return keys
 }
 
-// PendingJobs returns the number of undecided submissions whose home may still
-// need this witness. It is zero once the log is sealed.
+// PendingJobs returns the number of undecided submissions for which the home still
+// needs this witness. It is zero once the log is sealed.
 func (w *Witness) PendingJobs() int {
 	if w.sealed {
 		return 0
@@ -159,10 +160,10 @@
 	return len(w.OpenJobs())
 }
 
-// Lookup returns the fate of key if the witness can tell it by itself, or the
-// state to recover of a submission that is undecided. As long as the log is not
-// sealed, it returns recorded fates only: otherwise both results are nil, and the
-// home has to be asked.
+// Lookup returns the fate of key, or, if the log is sealed and the fate is undecided,
+// the state from which the job can be taken over. As long as the log is not sealed,
+// the home may know more than the witness: if no fate is recorded, both results are
+// nil, and the home has to be asked.
 func (w *Witness) Lookup(key Key) (*Answer, *RecoveredJob) {
 	j := w.jobs[key]
 	switch {
--- a/fate/world_test.go
+++ b/fate/world_test.go
@@ -10,7 +10,7 @@
 // chooser makes all random choices of a run. below returns a number in [0, n).
 type chooser interface{ below(n int) int }
 
-// mutation is a deliberately introduced fault that violates an invariant.
+// mutation is a fault that a test introduces to check that the model detects it.
 type mutation string
 
 const (
@@ -42,14 +42,16 @@
 	barred
 )
 
-// world simulates a home, its witness, upstreams and a network that loses, delays,
-// duplicates and reorders messages. It checks the invariants after every step.
+// world simulates a home, its witness, upstreams, and a network that loses, delays,
+// duplicates and reorders messages. It checks these invariants after every step: no
+// task starts twice, and the answers to a submission agree with each other and with
+// the starts of its tasks.
 type world struct {
 	choose       chooser
 	mutation     mutation
 	home         *Home
 	witness      *Witness
-	takeoverHome *Home
+	takeoverHome *Home // at the witness's instance; takes jobs over
 	homeUp       bool
 	witnessUp    bool
 
@@ -87,8 +89,8 @@
 	return list[w.choose.below(len(list))], true
 }
 
-// pull returns a random element and removes it. With repeat it sometimes leaves
-// the element in the list, as a network that duplicates messages does.
+// pull returns a random element and removes it. With repeat it sometimes leaves the
+// element in the list, to simulate a message that the network duplicates.
 func pull[T any](w *world, list *[]T, repeat bool) (T, bool) {
 	var none T
 	if len(*list) == 0 {
@@ -112,8 +114,9 @@
 	}
 }
 
-// step runs one random step and checks the invariants. Steps that would end most
-// runs early, like the loss of an instance, are skipped five times out of six.
+// step runs one random step and checks the invariants. Steps that would end most runs
+// early, like the loss of an instance, are skipped five times out of six. They are
+// the elements firstRare to lastRare of steps.
 func (w *world) step() {
 	all := w.steps()
 	i := w.choose.below(len(all))
@@ -214,7 +217,7 @@
 	}
 }
 
-// send puts an append in flight, or fails before its first byte is sent.
+// send sends an append, or simulates a failure before its first byte is sent.
 func (w *world) send(a Append) {
 	if w.choose.below(4) == 0 {
 		w.home.MarkUnsent(a.Sequence)
@@ -320,7 +323,7 @@
 	return Outcome{State: TaskFinished, Result: []byte(result)}
 }
 
-// deliverOutcome tells the sender of a start the state of its lease.
+// deliverOutcome reports the state of a lease to the instance that sent the start.
 func (w *world) deliverOutcome() {
 	s, ok := pull(w, &w.unresolvedStarts, true)
 	if !ok {
@@ -342,8 +345,8 @@
 	w.perform(e, s.byTakeover)
 }
 
-// barUnseenLease looks up a lease that its upstream has not seen, which bars it,
-// and requeues the task.
+// barUnseenLease lets the sender of a start look up the lease before the upstream has
+// received the start. The lookup bars the lease, and the task is requeued.
 func (w *world) barUnseenLease() {
 	s, ok := pick(w, w.unresolvedStarts)
 	if !ok {
