--- a/placement/broker.go
+++ b/placement/broker.go
@@ -12,23 +12,25 @@
 	// OrderFIFO grants requests slots in their order of arrival.
 	OrderFIFO Order = "fifo"
 	// OrderLeastRemaining grants slots first to the request with the fewest tasks
-	// still waiting, so that jobs complete early. Requests that have waited longer
-	// than agingAfterMs precede all others, in their order of arrival, so that none
-	// starves.
+	// still waiting, so that jobs that are almost done complete early. Requests that
+	// have waited longer than agingAfterMs precede all others, in their order of
+	// arrival, so that none waits forever.
 	OrderLeastRemaining Order = "least_remaining"
 )
 
-// BrokerConfig configures a Broker.
+// BrokerConfig sets how a Broker orders and limits its queue, when it ejects upstreams,
+// and how long it waits before it grants the slots of a lost home again.
 type BrokerConfig struct {
 	Order     Order
 	MaxQueued int // maximum number of tasks waiting for slots
 	Health    HealthConfig
-	// LostHomeReleaseDelayMs is how long the slots of a lost home remain in use, in
-	// milliseconds: the upstreams are still running its tasks.
+	// LostHomeReleaseDelayMs is how long, in milliseconds, the slots of a lost home
+	// count as in use. The upstreams are still running its tasks and would refuse
+	// others.
 	LostHomeReleaseDelayMs int64
 }
 
-// DefaultBrokerConfig is the configuration for brokers for which none is given.
+// DefaultBrokerConfig is the configuration of a broker unless another one is given.
 var DefaultBrokerConfig = BrokerConfig{Order: OrderFIFO, MaxQueued: 20000, Health: DefaultHealthConfig, LostHomeReleaseDelayMs: 1000}
 
 // Request asks for a slot for each of Count tasks of one job that have the same needs.
@@ -48,7 +50,7 @@
 // UpstreamSlots is a number of slots of one upstream.
 type UpstreamSlots struct {
 	Upstream string
-	Service  string // service whose tasks hold the slots; only used by Broker.Sync
+	Service  string // service whose tasks use the slots; only set for Broker.Sync
 	Count    int
 }
 
@@ -72,8 +74,8 @@
 	RetryAfterMs int64 // if refused, the estimated time until a new request can succeed
 }
 
-// ReleasedSlots returns slots of one upstream to the broker, and reports what became of
-// the tasks that they were granted for.
+// ReleasedSlots returns slots of one upstream to the broker, and reports how the tasks
+// ended for which the slots were granted.
 type ReleasedSlots struct {
 	Upstream string
 	Needs    Resources // of each task
@@ -81,8 +83,8 @@
 	Count    int     // slots, one for each task
 	RunMs    float64 // sum of the run times of the tasks that ran; 0 if none did
 	Failed   int     // number of tasks that failed, or whose start did not reach the upstream
-	// HoldMs is set if the tasks did not run, or if it is unknown whether they did.
-	// The slots are not granted again for this time, in milliseconds.
+	// HoldMs is how long, in milliseconds, the slots are not granted again. It is set
+	// if the tasks did not run, or if it is unknown whether they did; otherwise it is 0.
 	HoldMs  int64
 	Leaving bool // the upstream has answered that it is shutting down
 }
@@ -125,8 +127,8 @@
 	// slotOverhead is the ratio between the time that slots are in use and the run
 	// times of their tasks, from 1 to maxSlotOverhead.
 	slotOverhead    float64
-	pacesComparedMs int64 // Unix milliseconds of the last comparePaces
-	grantsFromMs    int64 // Unix milliseconds, before which nothing is granted
+	pacesComparedMs int64 // Unix milliseconds; when comparePaces last ran
+	grantsFromMs    int64 // Unix milliseconds; no slot is granted before this time
 }
 
 // NewBroker returns a broker without upstreams. It grants nothing before
@@ -226,12 +228,14 @@
 }
 
 // maxWaitShare is the share of the time until its deadline within which a request must be
-// expected to complete. It is below 1 because estimates err in both directions, and under
-// overload the expected time of nearly every admitted request is close to this limit.
+// expected to complete; otherwise it is refused. Under overload, nearly all admitted
+// requests are expected to complete only shortly before this limit. With a share of 1, all
+// of them whose time is underestimated would miss their deadlines. The remaining quarter is
+// the margin for such errors.
 const maxWaitShare = 0.75
 
 // estimateWait estimates how long r would wait, in milliseconds, and reports whether r has
-// to be refused, because it would be late or the queue would exceed its limit.
+// to be refused, because it would miss its deadline or the queue would exceed its limit.
 func (b *Broker) estimateWait(r *Request, now int64) (int64, bool) {
 	runMs, tailMs := b.estimates.runTime(r.Service, r.RunMs)
 	waitMs := int64(max(b.timeToFree(b.queuedTasks+r.Count-b.FreeSlots(), runMs, b.usableSlots()), b.waitWithinShare(r, runMs)))
@@ -239,9 +243,10 @@
 	return max(waitMs, 1), tooLate || b.queuedTasks+r.Count > b.cfg.MaxQueued
 }
 
-// timeToFree estimates how long it takes until the missing slots become free, in
-// milliseconds. The slots that may become free are all in use, by tasks with a run time of
-// runMs.
+// timeToFree estimates how long it takes, in milliseconds, until as many slots as are
+// missing become free. It assumes that slots is the number of slots in use, and that each is
+// used for runMs by one task after another. If slots is 0, there is no rate to calculate
+// with, and the estimate is the run time of one task.
 func (b *Broker) timeToFree(missing int, runMs float64, slots int) float64 {
 	switch {
 	case missing <= 0:
@@ -253,9 +258,9 @@
 	}
 }
 
-// waitWithinShare estimates how long r would wait, in milliseconds, for the slots to which
-// its service is entitled: its fair share, or more if the other services use less than
-// theirs, but at most its MaxSlots.
+// waitWithinShare estimates how long r would wait, in milliseconds, if its service could
+// use only the slots to which it is entitled: its fair share, or more if other services
+// leave slots unused, but at most its MaxSlots.
 func (b *Broker) waitWithinShare(r *Request, runMs float64) float64 {
 	s := b.getOrCreateService(r.Service)
 	slots := b.usableSlots()
@@ -276,8 +281,8 @@
 	return used
 }
 
-// fairSlots returns how many of the slots the weight of s entitles it to, compared with the
-// weights of the services that have tasks waiting.
+// fairSlots returns the number of slots that s gets if all slots are divided, in proportion
+// to the weights, between s and the other services that have tasks waiting.
 func (b *Broker) fairSlots(s *serviceState, slots int) int {
 	weights := s.weight()
 	for _, other := range b.services {
@@ -297,7 +302,8 @@
 	}
 }
 
-// addQueued adds count, which may be negative, to the number of waiting tasks.
+// addQueued adds count, which may be negative, to the numbers of waiting tasks of the broker
+// and of the service.
 func (b *Broker) addQueued(q *queuedRequest, count int) {
 	b.queuedTasks += count
 	b.getOrCreateService(q.Service).queuedTasks += count
@@ -309,8 +315,8 @@
 	b.queue = slices.DeleteFunc(b.queue, func(other *queuedRequest) bool { return other == q })
 }
 
-// Release frees slots of a home and records how their tasks ended. It grants nothing. Tick
-// does, so that slots that are released shortly after one another are granted together.
+// Release frees slots of a home and records how their tasks ended. The slots are granted
+// again by the next call of Tick, so that several releases before it are granted together.
 func (b *Broker) Release(home string, released []ReleasedSlots, now int64) {
 	for i := range released {
 		b.release(home, &released[i], now)
@@ -340,8 +346,9 @@
 	u.free(freed, count)
 }
 
-// Tick frees the slots whose delay has passed, compares the paces of the upstreams, and
-// grants what can be granted now. It has to be called regularly.
+// Tick frees the slots that were kept back until now (see HoldMs and
+// LostHomeReleaseDelayMs), updates which upstreams count as slow, and grants what can be
+// granted now. It has to be called regularly.
 func (b *Broker) Tick(now int64) []Grant {
 	b.pendingReleases = slices.DeleteFunc(b.pendingReleases, func(r pendingRelease) bool {
 		if r.dueMs > now {
@@ -357,8 +364,8 @@
 }
 
 // grantQueued grants slots to queued requests, one at a time, until no more can be granted.
-// Each goes to the service that uses the fewest in proportion to its weight, and within the
-// service to the first request in the configured order.
+// Each slot goes to the service that uses the fewest slots in proportion to its weight, and
+// within the service to the first request in the configured order.
 func (b *Broker) grantQueued(now int64) []Grant {
 	if b.queuedTasks == 0 || now < b.grantsFromMs {
 		return nil
@@ -387,8 +394,8 @@
 	}
 }
 
-// buildGrants returns the grants of a round, numbered, and removes the requests from the
-// queue that have no more tasks waiting.
+// buildGrants numbers and returns the grants of a round. It removes the requests that have
+// no more tasks waiting from the queue.
 func (b *Broker) buildGrants(r *grantRound, now int64) []Grant {
 	var list []Grant
 	for _, q := range r.ordered {
--- a/placement/broker_test.go
+++ b/placement/broker_test.go
@@ -75,8 +75,8 @@
 	return fallback
 }
 
-// upstreams reads one upstream per line: ID, zone, slots, CPU cores, accelerators, and any
-// further word if it is leaving.
+// upstreams reads one upstream per line: ID, zone, slots, CPU cores, accelerators. A further
+// word, whatever it is, means that the upstream is leaving.
 func (s *scenario) upstreams(t *testing.T, d *datadriven.TestData) []Upstream {
 	var list []Upstream
 	for line := range strings.Lines(d.Input) {
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// Penalties added to the score of an upstream. The score is its share of slots in use.
+// Penalties added to the score of an upstream, which is the share of its slots that would be
+// in use with one more task. The upstream with the lowest score gets the task.
 const (
 	// acceleratorPenalty is for upstreams with accelerators if the task needs none, so
 	// that the accelerators stay available for tasks that need them.
 	acceleratorPenalty = 100
-	// otherZonePenalty is for upstreams outside the zone of the home. It equals about
-	// one of 8 slots.
+	// otherZonePenalty is for upstreams outside the zone of the home. It is about as
+	// much as one used slot of an upstream with 8 slots.
 	otherZonePenalty = 0.13
 )
 
@@ -39,8 +40,8 @@
 	return score
 }
 
-// usable reports whether u may get a task of q now, regardless of the resources that the
-// task needs.
+// usable reports whether u may get a task of q now. It does not check whether the resources
+// that the task needs are free.
 func (b *Broker) usable(u *upstreamState, q *queuedRequest, now int64) bool {
 	switch {
 	case !u.listed || u.Leaving || u.usedSlots >= u.Slots:
@@ -60,9 +61,9 @@
 	}
 }
 
-// worthUsingSlow reports whether a task of q should go to the slow upstream u, either as a
-// probe of whether it is still slow, or because waiting for another upstream would take
-// longer.
+// worthUsingSlow reports whether a task of q should go to the slow upstream u, either to
+// find out whether u is still slow, or because the wait for another upstream would cost more
+// time than the slowness of u.
 func (b *Broker) worthUsingSlow(u *upstreamState, q *queuedRequest, now int64) bool {
 	if u.usedSlots == 0 && now-u.health.lastProbeMs >= slowProbeIntervalMs {
 		return true
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -3,8 +3,8 @@
 import "math"
 
 // estimates predicts the run times and failures of tasks from those of earlier tasks of the
-// same service. A declared run time loses weight only gradually as samples are added, since
-// a single sample is unreliable.
+// same service. A declared run time is replaced only gradually by measured ones, since a
+// single sample is unreliable.
 type estimates struct {
 	byService map[string]*estimate
 }
@@ -17,8 +17,8 @@
 }
 
 const (
-	// samplesToTrust is the number of samples from which on a declared run time is
-	// ignored.
+	// samplesToTrust is the number of samples from which on only measured run times
+	// count, and a declared one is ignored.
 	samplesToTrust = 20
 	// defaultRunMs is the assumed run time if none has been declared or measured.
 	defaultRunMs = 300
@@ -27,19 +27,20 @@
 	// tailDecay is the factor by which the longest run time decays with each sample.
 	tailDecay = 0.995
 	// serviceRunSmoothing is the minimum weight of a new sample in the mean run time of
-	// its service. It is small because run times vary and waiting times are estimated
-	// from their mean.
+	// its service. It is small because run times vary: with a larger weight, each long
+	// or short run would noticeably change the estimated waiting times.
 	serviceRunSmoothing = 0.02
 	// failureSmoothing is the weight of one task in its service's share of failures.
 	failureSmoothing = 0.002
-	// maxChance is the probability at or below which consecutive failures are blamed on
-	// the upstream instead of chance.
+	// maxChance is the probability that decides whether consecutive failures are blamed
+	// on the upstream: they are if they would occur by chance, given the share of
+	// failures of the service, with at most this probability.
 	maxChance = 1e-6
 	// rareFailureShare is the share of failures of a service below which a single
-	// failure makes the upstream suspected.
+	// failure makes the upstream suspected, so that it gets one task at a time.
 	rareFailureShare = 0.004
-	// frequentFailureShare is the share of failures of a service from which on its
-	// failures are not blamed on upstreams.
+	// frequentFailureShare is the share of failures of a service from which on no number
+	// of failures is blamed on an upstream.
 	frequentFailureShare = 0.5
 )
 
@@ -54,7 +55,7 @@
 	return s
 }
 
-// recordRunTimes adds count samples with the given mean run time.
+// recordRunTimes adds the run times of count tasks, of which only the mean is known.
 func (e *estimates) recordRunTimes(service string, meanMs float64, count int) {
 	s := e.of(service)
 	meanMs = max(meanMs, minRunMs)
@@ -78,8 +79,8 @@
 	s.failureShare += failureSmoothing * (sample - s.failureShare)
 }
 
-// failuresToEject returns the number of consecutive failures of tasks of the service from
-// which on they are blamed on the upstream, or 0 if they never are.
+// failuresToEject returns how many tasks of the service have to fail consecutively before
+// the failures are blamed on the upstream, or 0 if they never are.
 func (e *estimates) failuresToEject(service string) int {
 	failureShare := e.of(service).failureShare
 	if failureShare >= frequentFailureShare {
@@ -94,8 +95,8 @@
 	return e.of(service).failureShare < rareFailureShare
 }
 
-// runTime returns the expected run time of a task of the service and an estimate of the
-// longest, in milliseconds.
+// runTime returns the expected run time of a task of the service and an estimate of its
+// longest run time, in milliseconds.
 func (e *estimates) runTime(service string, declaredMs float64) (meanMs, tailMs float64) {
 	if declaredMs <= 0 {
 		declaredMs = defaultRunMs
--- a/placement/fit.go
+++ b/placement/fit.go
@@ -1,14 +1,15 @@
 // Package placement allocates the slots of upstreams to the tasks of jobs.
 //
-// Upstreams are grouped into pools, and one instance is the broker of each pool. The
-// instance that accepted a job, its home, requests slots from a broker for the tasks of the
-// job; a ticket identifies the request. The broker decides which upstream runs each task,
-// which requests go first, which are refused because they would be late, and which
-// upstreams are ejected because their tasks fail.
+// A slot is the capacity of an upstream to run one task. Upstreams are grouped into pools,
+// and one instance is the broker of each pool. The home of a job, the instance that accepted
+// it, requests slots from a broker for the tasks of the job; a ticket identifies the
+// request. The broker decides which upstream runs each task, which requests go first, and
+// which are refused because they would miss their deadlines. It ejects upstreams whose tasks
+// fail: they get no tasks for some time, and then a single task as a probe.
 //
-// The package also chooses the brokers, and the witnesses of homes. A home records the
-// starts of tasks in permit logs; the witness of a log is another instance that keeps a
-// copy of it.
+// The package also chooses the brokers, and the witnesses of permit logs. A permit log is
+// the record in which a home notes the starts of tasks; its witness is another instance,
+// which keeps a copy of it.
 //
 // The package does no I/O and reads no clock: inputs and the time are passed in, and the
 // resulting grants are returned.
@@ -31,8 +32,8 @@
 	return Resources{n.CPU + o.CPU, n.MemoryMB + o.MemoryMB, n.Accelerators + o.Accelerators}
 }
 
-// minus returns the difference, at least 0 for each resource, so that resources that are
-// released twice do no harm.
+// minus returns the difference, with 0 in place of negative values, so that the release of
+// more resources than are in use cannot make the amount negative.
 func (n Resources) minus(o Resources) Resources {
 	return Resources{max(n.CPU-o.CPU, 0), n.MemoryMB - min(o.MemoryMB, n.MemoryMB), n.Accelerators - min(o.Accelerators, n.Accelerators)}
 }
@@ -48,8 +49,9 @@
 	Leaving  bool // it is shutting down and gets no more tasks
 }
 
-// AnyLargeEnough reports whether some upstream could run a task with these needs if it were
-// idle. It also returns true if there are no upstreams, because their list may be outdated.
+// AnyLargeEnough reports whether one of the upstreams could run a task with these needs if
+// the upstream were idle. For an empty list it returns true, because the list may be
+// outdated.
 func AnyLargeEnough(upstreams []Upstream, n Resources) bool {
 	for i := range upstreams {
 		if n.FitsIn(upstreams[i].Capacity) {
--- a/placement/health.go
+++ b/placement/health.go
@@ -1,10 +1,10 @@
 package placement
 
-// HealthConfig configures when upstreams are ejected, which means that they get no tasks
-// for some time.
+// HealthConfig configures when upstreams count as slow and when they are ejected. An ejected
+// upstream gets no tasks for some time, and then a single one as a probe.
 type HealthConfig struct {
 	// FailuresToEject is the minimum number of consecutive failed tasks before an
-	// upstream is ejected. If tasks of the service often fail, it takes more.
+	// upstream is ejected. For a service whose tasks often fail, more are needed.
 	FailuresToEject int
 	// MaxEjected is the maximum share of the upstreams of a pool that are ejected at
 	// the same time.
@@ -25,42 +25,42 @@
 type health struct {
 	consecutiveFailures  int
 	pace                 pace
-	slowdown             float64 // speed of the pool divided by its own: 1 if equal, 0 if unknown
+	slowdown             float64 // speed of the pool divided by that of the upstream; 0 if unknown
 	ejected              bool
 	probeAfterMs         int64 // Unix milliseconds; from then on an ejected upstream may get a probe
 	consecutiveEjections int   // without a success in between
 	lastFailureMs        int64 // Unix milliseconds
 	suspected            bool  // gets one task at a time until one succeeds
-	lastProbeMs          int64 // Unix milliseconds, when it last got a task while slow
+	lastProbeMs          int64 // Unix milliseconds; when it last got a task while it counted as slow
 }
 
 // poolRunSmoothing is the weight of a new sample in the mean run time of the pool's tasks.
 const poolRunSmoothing = 0.1
 
-// slowProbeIntervalMs is how often an idle slow upstream gets a task as a probe of whether
-// it is still slow.
+// slowProbeIntervalMs is the minimum time between two tasks that an idle slow upstream gets
+// only to find out whether it is still slow.
 const slowProbeIntervalMs = 2000
 
-// pace compares how many tasks should have ended on an upstream with how many did. It
-// detects upstreams on which no task ends as well as slow ones, and does so before any task
-// has ended.
+// pace compares the number of tasks that have ended on an upstream with the number that
+// should have ended by now. It detects slow upstreams before their first task ends, and also
+// upstreams on which no task ends at all.
 type pace struct {
-	expectedEnds float64
-	ends         float64
-	updatedMs    int64 // Unix milliseconds, up to which expectedEnds is counted
+	expectedEnds float64 // number of tasks that should have ended
+	ends         float64 // number of tasks that have ended
+	updatedMs    int64   // Unix milliseconds; time up to which expectedEnds is counted
 }
 
 const (
-	// paceWindow is the number of expected ends above which both counters are halved,
-	// so that old ends lose weight.
+	// paceWindow is the value of expectedEnds above which both counters are halved, so
+	// that earlier tasks lose weight.
 	paceWindow = 32
-	// pacePrior is added to both counters, so that a pace with few ends is close to the
-	// expected one.
+	// pacePrior is added to both counters when they are compared, so that their ratio is
+	// close to 1 as long as both are small.
 	pacePrior = 3
 )
 
-// advance adds the ends expected between the last call and now on usedSlots slots with
-// tasks that run for meanMs on average.
+// advance adds to expectedEnds the number of tasks that should have ended since the last
+// call, given that usedSlots slots were in use by tasks that run for meanMs on average.
 func (p *pace) advance(usedSlots int, meanMs float64, now int64) {
 	if p.updatedMs > 0 && now > p.updatedMs {
 		p.expectedEnds += float64(usedSlots) * float64(now-p.updatedMs) / max(meanMs, 1)
@@ -72,20 +72,21 @@
 	}
 }
 
-// slowdown returns the ratio of the expected ends to the actual ones.
+// slowdown returns the ratio of the expected to the actual number of ended tasks.
 func (p *pace) slowdown() float64 { return (p.expectedEnds + pacePrior) / (p.ends + pacePrior) }
 
-// isSlow reports whether the upstream is so much slower than its pool that it counts as
-// slow.
+// isSlow reports whether the upstream is slower than its pool by at least SlowFactor.
 func (h *health) isSlow(cfg *HealthConfig) bool {
 	return h.slowdown >= cfg.SlowFactor
 }
 
-// maxReportDelayMs is how long after the end of a task its home may report it.
+// maxReportDelayMs is the maximum time assumed between the end of a task and the report of
+// the end by its home.
 const maxReportDelayMs = 60
 
-// recordSuccess records that a task has succeeded after runMs. This ends an ejection,
-// unless the task had started before the last failure.
+// recordSuccess records that a task with a run time of runMs has succeeded. This ends an
+// ejection, unless the task may have started before the last failure: then it does not show
+// that the upstream has recovered.
 func (h *health) recordSuccess(now int64, runMs float64) {
 	if now-int64(runMs)-maxReportDelayMs < h.lastFailureMs {
 		return
--- a/placement/held.go
+++ b/placement/held.go
@@ -7,8 +7,8 @@
 // heldKey identifies the slots that a home holds at an upstream for the tasks of a service.
 type heldKey struct{ home, upstream, service string }
 
-// pendingRelease is a number of slots that are no longer held but remain in use until
-// dueMs.
+// pendingRelease is a number of slots that no home holds any more, but that count as in use
+// until dueMs, so that they are not granted again before.
 type pendingRelease struct {
 	upstream  string
 	count     int
@@ -16,8 +16,8 @@
 	dueMs     int64 // Unix milliseconds
 }
 
-// getOrCreateUpstream returns the state of an upstream. It creates one if the upstream is neither
-// listed nor has slots in use.
+// getOrCreateUpstream returns the state of an upstream. If the broker has none, because the
+// upstream is not listed and no slots of it are in use, it creates one.
 func (b *Broker) getOrCreateUpstream(id string) *upstreamState {
 	u := b.upstreams[id]
 	if u == nil {
@@ -51,8 +51,8 @@
 	h.count += count
 }
 
-// removeHeld records that count slots are no longer held under key and returns their share
-// of the resources. The slots remain in use until they are freed.
+// removeHeld records that count slots are no longer held under key, and returns their share
+// of the resources. The slots count as in use until free is called for them.
 func (b *Broker) removeHeld(key heldKey, count int) Resources {
 	h := b.held[key]
 	share := float64(count) / float64(h.count)
@@ -67,7 +67,7 @@
 	return freed
 }
 
-// free frees slots and the resources of the tasks on them.
+// free records that count slots and the given resources are no longer in use.
 func (u *upstreamState) free(freed Resources, count int) {
 	u.usedSlots = max(u.usedSlots-count, 0)
 	u.usedResources = u.usedResources.minus(freed)
@@ -76,7 +76,7 @@
 	}
 }
 
-// HandleHomeLost removes the queued requests of a lost home. The slots that it holds are
+// HandleHomeLost removes the queued requests of a lost home. The slots held by the home are
 // freed after LostHomeReleaseDelayMs.
 func (b *Broker) HandleHomeLost(home string, now int64) []Grant {
 	for _, q := range slices.Clone(b.queue) {
--- a/placement/learn.go
+++ b/placement/learn.go
@@ -21,10 +21,13 @@
 }
 
 // recordFailure records one failure on u, either of a task or of a start that did not reach
-// u. It ejects u if its consecutive failures are too many to be explained by chance. A
-// single failure of a task makes u suspected if the tasks of the service rarely fail. An
-// unreachable upstream is ejected only after more failures, since it may be unreachable
-// only for one home.
+// u:
+//
+//   - If tasks of the service rarely fail, a single failed task makes u suspected.
+//   - After more consecutive failures than chance explains, u is ejected.
+//   - After unreachableToEject consecutive failures, the last of them a start that did not
+//     reach u, u is ejected. It takes this many because u may be unreachable for one home
+//     only.
 func (b *Broker) recordFailure(u *upstreamState, r *ReleasedSlots, now int64) {
 	u.health.consecutiveFailures++
 	u.health.lastFailureMs = now
@@ -39,13 +42,14 @@
 	}
 }
 
-// unreachableToEject is the number of consecutive starts that must fail to reach an
-// upstream before it is ejected.
+// unreachableToEject is the number of consecutive failures before an upstream is ejected
+// because a start did not reach it.
 const unreachableToEject = 6
 
-// mayEject reports whether u may be ejected, or ejected again. It limits the share of the
-// pool that is ejected. While u is ejected, failures of tasks that were started before do
-// not prolong the ejection; the failure of a probe does.
+// mayEject reports whether a failure may cause u to be ejected, or its ejection to be
+// prolonged. At most the share MaxEjected of the upstreams is ejected. An ejection is
+// prolonged only once u may get a probe: earlier failures are those of tasks that were
+// started before the ejection.
 func (b *Broker) mayEject(u *upstreamState, now int64) bool {
 	if u.health.ejected {
 		return now >= u.health.probeAfterMs
@@ -62,8 +66,8 @@
 // paceIntervalMs is the minimum time between two comparisons of paces.
 const paceIntervalMs = 50
 
-// comparePaces updates the slowdown of each upstream, which compares its pace with that of
-// the pool, and slotOverhead.
+// comparePaces updates the slowdown of each upstream, by comparing its pace with that of the
+// whole pool, and updates slotOverhead from the pace of the pool.
 func (b *Broker) comparePaces(now int64) {
 	if now-b.pacesComparedMs < paceIntervalMs {
 		return
--- a/placement/pool.go
+++ b/placement/pool.go
@@ -9,7 +9,8 @@
 )
 
 // MaxPoolSize is the maximum number of upstreams in a pool that spans the zones of a
-// region, and the average that the pools of larger regions do not exceed.
+// region. In regions with more upstreams, it limits the average size of the pools of each
+// zone.
 const MaxPoolSize = 64
 
 // Pool is a set of upstreams whose slots are allocated by one broker.
@@ -23,8 +24,8 @@
 // Pools groups upstreams into pools. A region of up to MaxPoolSize upstreams is one pool:
 // the larger a pool is, the less often a job waits in one pool while another has free
 // slots. In a larger region each zone has its own pools, whose number is a power of two.
-// Upstreams are assigned to them by hash, so that an upstream that is added or removed does
-// not move others between pools, unless the number of pools changes.
+// Upstreams are assigned to the pools of their zone by hash. Other upstreams therefore stay
+// in their pools when one is added or removed, unless the number of pools changes.
 func Pools(upstreams []Upstream) []Pool {
 	inRegion, inZone := map[string]int{}, map[string]int{}
 	for i := range upstreams {
@@ -82,8 +83,9 @@
 	return choosePreferred(p.ID, instances, preferences)
 }
 
-// choosePreferred chooses an instance by rendezvous hashing among those that satisfy the
-// first of the preferences that any instance satisfies.
+// choosePreferred chooses an instance by rendezvous hashing. The preferences are tried in
+// order: the instance is chosen among those that satisfy the first preference that at least
+// one instance satisfies.
 func choosePreferred(name string, instances []InstanceLocation, preferences []func(*InstanceLocation) bool) string {
 	for _, isEligible := range preferences {
 		if chosen := highestScore(name, instances, isEligible); chosen != "" {
@@ -109,11 +111,11 @@
 	return best
 }
 
-// WitnessScope is where the witness of a home may be.
+// WitnessScope is where the witness of a permit log is chosen, relative to the home.
 type WitnessScope string
 
 // The scopes of witnesses. A permit log with a witness survives the loss of any one
-// instance, and what is noted here.
+// instance, and also the larger loss noted at its scope.
 const (
 	WitnessScopeNone   WitnessScope = "none"   // no witness
 	WitnessScopeZone   WitnessScope = "zone"   // another rack of the same zone, if possible: survives the loss of a rack
--- a/placement/round.go
+++ b/placement/round.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// agingAfterMs is how long a request waits before, in the order OrderLeastRemaining, it
-// precedes all newer ones, and before an upstream is reserved for it if none can run its
-// tasks.
+// agingAfterMs is how long a request waits before it counts as aged. An aged request
+// precedes all newer ones in OrderLeastRemaining. If no upstream can run its tasks, one is
+// reserved for it.
 const agingAfterMs = 2000
 
 // grantRound is one pass over the queue that grants slots.
@@ -50,9 +50,10 @@
 
 func (q *queuedRequest) isAged(now int64) bool { return now-q.arrivedMs > agingAfterMs }
 
-// reserve reserves an upstream for the oldest request that has waited for too long, if no
-// upstream has room for one of its tasks now. Otherwise smaller tasks would take up any
-// resources that become free before there are enough for it.
+// reserve reserves an upstream for the oldest aged request whose service may use more slots,
+// if no upstream can run one of its tasks now. Without the reservation, smaller tasks would
+// use the resources that become free, and there might never be enough at once for this
+// request.
 func (b *Broker) reserve(now int64) {
 	for _, u := range b.sortedUpstreams {
 		u.reservedFor = nil
@@ -85,8 +86,8 @@
 	}
 }
 
-// next returns the first request of the service that uses the least in proportion to its
-// weight, or nil if no request can be granted slots in this round.
+// next returns the first request of the service that uses the fewest slots in proportion to
+// its weight, or nil if no request can be granted slots in this round.
 func (r *grantRound) next() *queuedRequest {
 	var first *queuedRequest
 	var leastUse float64
--- a/placement/share.go
+++ b/placement/share.go
@@ -1,6 +1,6 @@
 package placement
 
-// serviceState is the use of the pool by one service, and its Share.
+// serviceState is what a broker keeps about one service.
 type serviceState struct {
 	usedSlots   int
 	queuedTasks int // tasks waiting for slots
@@ -22,8 +22,8 @@
 	return s
 }
 
-// SetShares replaces the shares of all services. A service without a share has weight 1 and
-// no limit.
+// SetShares replaces the shares of all services. A service that is not in shares has
+// weight 1 and no limit.
 func (b *Broker) SetShares(shares map[string]Share) {
 	for _, s := range b.services {
 		s.share = Share{}
@@ -40,8 +40,8 @@
 	return 1
 }
 
-// weightedUse returns the number of slots that the service would use with one more, divided
-// by its weight. The service with the lowest value is granted the next slot.
+// weightedUse returns the number of slots that the service would use after one more grant,
+// divided by its weight. The service with the lowest value is granted the next slot.
 func (s *serviceState) weightedUse() float64 { return float64(s.usedSlots+1) / s.weight() }
 
 // atMaxSlots reports whether the service uses all the slots that it may use.
--- a/placement/sync.go
+++ b/placement/sync.go
@@ -22,13 +22,14 @@
 	return g.sequence
 }
 
-// maxGrantDelayMs is how long a grant may take to arrive. After that it counts as lost.
+// maxGrantDelayMs is how long after it was sent a grant that a home has not received may
+// still be in flight. After that it counts as lost.
 const maxGrantDelayMs = 1000
 
-// Sync replaces the broker's records about a home by the home's own: the slots that it
-// holds and its requests that are waiting. The sequence is the Sequence of the last grant
-// that the home has received. If it is not the last one sent, a grant may still be on its
-// way, and Sync does nothing until maxGrantDelayMs have passed.
+// Sync replaces what the broker has recorded about a home by what the home reports: the
+// slots that it holds, and its requests that are still waiting. The sequence is the number
+// of the last grant that the home has received. If the broker has sent a later grant less
+// than maxGrantDelayMs ago, that grant may be missing from the report, and Sync does nothing.
 func (b *Broker) Sync(home string, sequence uint64, held []UpstreamSlots, waiting []Request, now int64) []Grant {
 	if g := b.homeGrants[home]; g != nil && g.sequence != sequence && now-g.lastMs < maxGrantDelayMs {
 		return nil
