--- a/entry/config.go
+++ b/entry/config.go
@@ -18,9 +18,9 @@
 	"gopkg.in/ini.v1"
 )
 
-// Config is the local configuration of an instance, read from its own file: its identity,
-// its listeners, and its logging and tracing. What operators change for the whole fleet is
-// kept in the settings on the platform instead.
+// Config is the local configuration of an instance, read from a file of its own: identity,
+// listeners, logging, tracing and timeouts. What operators change for the whole fleet is
+// stored in the settings on the platform instead.
 type Config struct {
 	Fleet, Instance, Region, Zone, Rack string
 	// ListenCallers and ListenInner are the addresses, with ports, to listen on for
@@ -31,10 +31,11 @@
 	Tracing                    tracing.Config
 	DrainTimeout               time.Duration // maximum time that a planned shutdown waits for jobs to end
 	HeartbeatInterval          time.Duration
-	// Seeds are addresses, with ports, of other instances from which the list of
-	// instances and the settings are fetched while the platform is unavailable.
+	// Seeds are addresses, with ports, of other instances. This instance fetches the
+	// list of instances and the settings from them if it starts while the platform is
+	// unavailable.
 	Seeds                []string
-	InstancePollInterval time.Duration // between two reads of the platform's list of instances
+	InstancePollInterval time.Duration // minimum time between two reads of the platform's list of instances
 	Membership           membership.Config
 	Dispatch             dispatch.Config
 }
@@ -57,8 +58,8 @@
 
 func isName(v string) bool { return api.CheckName("", v) == nil }
 
-// isInstanceName is isName without dots, because a dot separates the instance name from the
-// boot ID in an incarnation.
+// isInstanceName is like isName but does not allow dots, because a dot separates the name of
+// the instance from the boot ID in an incarnation.
 func isInstanceName(v string) bool { return isName(v) && !strings.Contains(v, ".") }
 
 func isAddress(v string) bool {
@@ -76,7 +77,8 @@
 
 func anyText(string) bool { return true }
 
-// setDuration returns a setter for a duration in milliseconds, from low to high.
+// setDuration returns a setter for a duration, written as a number of milliseconds from low
+// to high.
 func setDuration(into func(*Config) *time.Duration, low, high int64) func(*Config, string) bool {
 	return func(c *Config, v string) bool {
 		n, err := strconv.ParseInt(v, 10, 64)
@@ -167,7 +169,7 @@
 func (o *option) apply(name string, file *ini.File, c *Config) error {
 	section := file.Section(o.section)
 	value := ""
-	if section.HasKey(o.key) { // Key creates a missing key
+	if section.HasKey(o.key) { // section.Key would create a missing key
 		value = section.Key(o.key).String()
 	} else {
 		if o.fallback == "" && !o.optional {
--- a/entry/config_test.go
+++ b/entry/config_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(problems)
 	}
 	if c.Instance != "e1" || c.HeartbeatInterval != 500*time.Millisecond || c.DrainTimeout != 30*time.Second || c.LogFormat != "text" {
-		t.Errorf("config %+v", c)
+		t.Errorf("unexpected default values: %+v", c)
 	}
 }
 
@@ -64,9 +64,9 @@
 
 func TestConfigIsNotINI(t *testing.T) {
 	if _, problems := ParseConfig("e.ini", []byte("[instance\nx")); len(problems) != 1 {
-		t.Errorf("problems %v", problems)
+		t.Errorf("content that is not INI: problems %v, want exactly one", problems)
 	}
 	if _, problems := LoadConfig("no/such/file.ini"); len(problems) != 1 {
-		t.Errorf("problems %v", problems)
+		t.Errorf("missing file: problems %v, want exactly one", problems)
 	}
 }
--- a/entry/http.go
+++ b/entry/http.go
@@ -26,10 +26,10 @@
 	idleTimeout = 2 * time.Minute
 )
 
-// maxBodyRead is the maximum size of a request body that is read, in bytes. It exceeds the
-// allowed size, so that a request that is somewhat too large is read to its end and
-// answered with an error. If it were not read to its end, its caller, still writing, might
-// only see a connection reset.
+// maxBodyRead is the maximum size, in bytes, up to which a request body is read. It exceeds
+// the allowed size api.MaxBody, so that a body that is somewhat too large is read to its end
+// before the error is sent. Otherwise the caller, still sending the body, might see a reset
+// of the connection instead of the error.
 const maxBodyRead = 2 * api.MaxBody
 
 func (n *Node) newApp() *fiber.App {
@@ -72,8 +72,7 @@
 	return c.Send(body)
 }
 
-// problemFromFiber returns the problem document for an error that fiber itself has
-// detected.
+// problemFromFiber returns the problem document for an error of the HTTP framework, fiber.
 func problemFromFiber(e *fiber.Error) *api.Problem {
 	switch e.Code {
 	case http.StatusRequestEntityTooLarge:
@@ -131,8 +130,8 @@
 	return n.submit(c, &s, uint32(tree.Int(path, settings.KeyDeadlineMs)), tree.Float(path, settings.KeyTraceRatio))
 }
 
-// submit submits a checked job, waits for its outcome, and answers with what is known of it
-// then.
+// submit submits a valid job, waits for its outcome, and answers the request. If the caller
+// wants to wait for less time than the job takes, the answer is the progress of the job.
 func (n *Node) submit(c *fiber.Ctx, s *api.Submission, defaultDeadlineMs uint32, traceRatio float64) error {
 	now := time.Now()
 	job := s.Job(now.UnixMilli(), defaultDeadlineMs)
@@ -153,12 +152,12 @@
 	return sendAnswer(c, &r)
 }
 
-// answerGrace is how long after the deadline of its job a call still waits for the outcome,
-// since the outcome may be determined only when the deadline passes.
+// answerGrace is how long a request waits for the outcome beyond the deadline of its job.
+// The outcome of a job that misses its deadline is determined only after the deadline.
 const answerGrace = 2 * time.Second
 
-// callerTrace returns the trace context that the caller has sent, or "" if it sent none.
-// The ratio does not affect the result.
+// callerTrace returns the trace context that the caller has sent, or "" if it has sent none.
+// The result is the same for every value of ratio.
 func callerTrace(c *fiber.Ctx, ratio float64) string {
 	if given := c.Get(api.HeaderTrace); given != "" || ratio == 0 || rand.Float64() >= ratio {
 		return given
@@ -166,8 +165,8 @@
 	return ""
 }
 
-// sendAnswer answers with status 200 and the outcome of a job, or with 202 if it has none
-// yet.
+// sendAnswer answers a request with status 200 and the outcome of the job, or with status
+// 202 and the progress if the job has not ended.
 func sendAnswer(c *fiber.Ctx, r *dispatch.Result) error {
 	answer := api.FromFate(&r.Answer)
 	answer.Done, answer.Total, answer.RetryAfterMs = r.Done, r.Total, r.RetryAfterMs
@@ -181,7 +180,7 @@
 	return c.JSON(answer)
 }
 
-// parseKey returns the job key given in the query parameters.
+// parseKey returns the key of the submission that the query parameters identify.
 func parseKey(c *fiber.Ctx) (fate.Key, error) {
 	key := fate.Key{Session: fate.Session(c.Query("session"))}
 	if _, err := key.Session.Log(); err != nil {
@@ -271,9 +270,9 @@
 	counts map[settings.Node]int64
 }
 
-// admit counts a submission. It returns an Overloaded error if the service or the caller
-// has reached the limit set for it. A resubmission is never refused, because its answer may
-// already exist.
+// admit counts a submission until release is called. It returns an Overloaded error if the
+// service or the caller has as many submissions in flight as the settings allow it. A
+// resubmission is never refused, because its answer may already exist.
 func (f *inFlightCounts) admit(tree *settings.Tree, path settings.Path, attempt uint32) (release func(), err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -302,7 +301,7 @@
 	return failure.Field(failure.Overloaded, field, "%s has reached its limit of %d jobs in flight at this instance", name, limit)
 }
 
-// release uncounts a submission.
+// release removes a submission from the counts of its service and caller.
 func (f *inFlightCounts) release(nodes ...settings.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/main.go
+++ b/entry/main.go
@@ -103,7 +103,7 @@
 // NewLogger returns the logger described by a configuration.
 func NewLogger(cfg Config, out io.Writer) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(cfg.LogLevel)) // validated with the configuration
+	_ = level.UnmarshalText([]byte(cfg.LogLevel)) // cannot fail: ParseConfig has checked the level
 	options := &slog.HandlerOptions{Level: level}
 	if cfg.LogFormat == "json" {
 		return slog.New(slog.NewJSONHandler(out, options))
--- a/entry/node.go
+++ b/entry/node.go
@@ -1,7 +1,12 @@
 // Package entry implements an instance that runs jobs for callers. It serves the HTTP
 // interface of callers and operators, exchanges messages with other instances over the
-// protocol of package inner, and follows the list of instances and the settings on the
+// protocol of package inner, and reads the list of instances and the settings from the
 // platform. The jobs themselves are run by package dispatch.
+//
+// An incarnation is one run of an instance's process. Instances send each other heartbeats;
+// a peer is another instance as known from its heartbeats and the platform's list. A planned
+// shutdown drains an instance: it is leaving while its jobs end. Seeds are configured
+// addresses of other instances, for the time during which the platform is unavailable.
 package entry
 
 import (
@@ -30,8 +35,8 @@
 	"github.com/samber/do/v2"
 )
 
-// Hooks replace parts of an instance that reach other processes, so that tests can cut and
-// delay connections. Nil dialers use plain TCP.
+// Hooks replace the parts of an instance that connect to other processes, so that tests can
+// interrupt and delay connections. Nil dialers use plain TCP.
 type Hooks struct {
 	DialInner    inner.DialFunc
 	DialUpstream func(address string) (net.Conn, error)
@@ -61,7 +66,7 @@
 	viewChanged      chan struct{}          // signals that the dispatcher needs a new view
 	settings         atomic.Pointer[appliedSettings]
 	leaving          atomic.Bool
-	fetchingSettings atomic.Bool  // from another instance
+	fetchingSettings atomic.Bool  // whether a fetch of another instance's settings is running
 	inFlight         atomic.Int64 // calls of callers that are not answered yet
 	jobsInFlight     inFlightCounts
 	ctx              context.Context // cancelled by Kill
@@ -74,7 +79,7 @@
 type appliedSettings struct {
 	received bool // false until settings are received from the platform or another instance
 	revision uint64
-	value    string // as stored on the platform, for instances with an older revision
+	value    string // as stored on the platform; sent to instances that have an older revision
 	tree     *settings.Tree
 }
 
@@ -196,9 +201,9 @@
 // drainPollInterval is how often a planned shutdown checks whether all jobs have ended.
 const drainPollInterval = 10 * time.Millisecond
 
-// Stop performs a planned shutdown. The instance accepts no new sessions and jobs, notifies
-// the other instances, waits for what is in flight, and ends. Stop returns false if ctx was
-// cancelled or the configured DrainTimeout passed before everything had ended.
+// Stop performs a planned shutdown. The instance refuses new sessions and jobs, notifies the
+// other instances, waits until it is idle, and ends. Stop returns false if ctx was cancelled
+// or the configured DrainTimeout passed before the instance was idle.
 func (n *Node) Stop(ctx context.Context) bool {
 	event.Draining.Log(n.log, slog.Int("jobs", n.dispatch.ActiveJobs()))
 	n.leaving.Store(true)
@@ -227,8 +232,8 @@
 	return drained
 }
 
-// awaitHeartbeats waits for two heartbeat intervals, so that the other instances learn that
-// this one is leaving before it ends.
+// awaitHeartbeats waits for two heartbeat intervals. Until then the other instances have been
+// told more than once that this one is leaving, so that they do not take its end for a crash.
 func (n *Node) awaitHeartbeats(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -236,8 +241,9 @@
 	}
 }
 
-// isIdle reports whether the instance can end without harm: it has no calls in flight and
-// no active jobs, neither its own nor those of logs of which it is the witness.
+// isIdle reports whether no job depends on this instance any more: it has no calls in flight
+// and no active jobs, and no other instance has active jobs in a permit log (the record of
+// task starts) of which this instance keeps the copy as the witness.
 func (n *Node) isIdle() bool {
 	return n.inFlight.Load() == 0 && n.dispatch.ActiveJobs() == 0 && n.dispatch.WitnessedJobs() == 0
 }
@@ -260,4 +266,6 @@
 	})
 }
 
+// shutdownTimeout limits how long Kill waits for the HTTP server to end, and then again for
+// the last spans to be exported.
 const shutdownTimeout = time.Second
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -24,7 +24,8 @@
 	return n.table.Address(instance)
 }
 
-// handleHello records what another instance says about itself when it connects.
+// handleHello records the address and location that another instance reports when it
+// connects.
 func (n *Node) handleHello(h *inner.Hello) {
 	who := fate.Incarnation(h.GetIncarnation())
 	n.mu.Lock()
@@ -65,7 +66,8 @@
 	}
 }
 
-// handlePeerChanges logs the changed states of other instances and acts on them.
+// handlePeerChanges logs the changed states of other instances, requests a view that takes
+// them into account, and handles the loss of instances that are now dead.
 func (n *Node) handlePeerChanges(changes []membership.Change) {
 	if len(changes) == 0 {
 		return
@@ -135,8 +137,8 @@
 		}
 	}
 	if !n.leaving.Load() || len(v.Members) == 0 {
-		// If no other instance is alive, this one remains a member while it is leaving,
-		// so that its own jobs can still end.
+		// If no other instance is alive, this one remains a member while it is leaving:
+		// its jobs could not end without a broker to grant them slots.
 		v.Members = append(v.Members, dispatch.Member{
 			InstanceLocation: placement.InstanceLocation{Instance: n.cfg.Instance, Region: n.cfg.Region, Zone: n.cfg.Zone, Rack: n.cfg.Rack},
 			Incarnation:      n.incarnation,
@@ -183,8 +185,8 @@
 	}
 }
 
-// broadcastHeartbeat sends one heartbeat to each other instance, in separate goroutines, so
-// that one that cannot be reached does not delay the others.
+// broadcastHeartbeat sends one heartbeat to each of the other instances. Each is sent in its
+// own goroutine, so that an instance that cannot be reached does not delay the rest.
 func (n *Node) broadcastHeartbeat() {
 	free, queued := n.dispatch.Load()
 	leaving := n.dispatch.LeavingUpstreams()
@@ -203,8 +205,9 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat to another instance. If the process of that instance has
-// certainly ended, its state changes to Dead at once instead of after the time-out.
+// sendHeartbeat sends a heartbeat to another instance. If the error proves that the process
+// of that instance has ended, its state changes to Dead at once instead of after the timeout
+// for missing heartbeats.
 func (n *Node) sendHeartbeat(p membership.Peer, f *inner.Frame) {
 	err := n.mesh.Send(fate.Incarnation(p.Instance), f)
 	if !failure.Is(err, failure.Gone) || p.Incarnation == "" || n.ctx.Err() != nil {
@@ -233,8 +236,9 @@
 	}
 }
 
-// pollInterval returns the time until the next read of the platform's list. It grows with
-// the number of instances in the zone, so that the load on the platform does not.
+// pollInterval returns the time until the next read of the platform's list. It is
+// proportional to the number of instances in the zone, so that the load on the platform does
+// not grow with that number.
 func (n *Node) pollInterval() time.Duration {
 	share := (len(n.aliveZonePeers()) + 1) / watchersPerZone
 	return n.cfg.InstancePollInterval * time.Duration(max(share, 1))
@@ -248,7 +252,8 @@
 	event.PlatformBack.Log(n.log)
 }
 
-// applyInstances puts a new list of instances in force.
+// applyInstances makes list the current list of instances. If it differs from the previous
+// one, a new view and a heartbeat to every instance follow.
 func (n *Node) applyInstances(list []api.PlatformInstance) {
 	entries := lo.FilterMap(list, func(i api.PlatformInstance, _ int) (membership.Listing, bool) {
 		isPeer := i.Role == api.RoleEntry && i.ID != n.cfg.Instance
@@ -277,7 +282,7 @@
 	return lo.EveryBy(b, func(i api.PlatformInstance) bool { return byID[i.ID] == i })
 }
 
-// Peers returns the known states of the other instances.
+// Peers returns what this instance knows about the other instances.
 func (n *Node) Peers() []membership.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -296,7 +301,7 @@
 	return lo.Contains(n.dispatch.LeavingUpstreams(), upstream)
 }
 
-// HeldSlots returns the number of slots of upstreams that this instance's jobs hold.
+// HeldSlots returns the number of slots of upstreams in use by the jobs of this instance.
 func (n *Node) HeldSlots() int { return n.dispatch.HeldSlots() }
 
 // SentBytes returns the number of bytes that this instance has sent to others.
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -19,25 +19,26 @@
 	"github.com/samber/lo"
 )
 
-// Times and numbers for watching the settings on the platform.
+// Parameters of the reading of the settings on the platform.
 const (
 	// maxWatchWait is the longest time for which one watch request waits for a change.
 	maxWatchWait = 10 * time.Second
 	// retryPause is the time between attempts after an error.
 	retryPause = 500 * time.Millisecond
-	// watchersPerZone is the number of instances per zone that watch the settings. The
-	// others learn of a new revision from their heartbeats, so that the load on the
-	// platform does not grow with the fleet, and read the settings themselves only
-	// every restDuration.
+	// watchersPerZone is the number of instances per zone that watch the settings on
+	// the platform. Other instances learn of a new revision from heartbeats, and read
+	// the settings on the platform only every restDuration. The load on the platform
+	// therefore hardly grows with the fleet.
 	watchersPerZone = 2
 	// restDuration is how long an instance that is not a watcher waits between two
-	// reads of the settings, and restCheckInterval how often it checks in the meantime
-	// whether it has become one.
+	// reads of the settings. In the meantime it checks every restCheckInterval whether
+	// it has become a watcher.
 	restDuration      = 30 * time.Second
 	restCheckInterval = 200 * time.Millisecond
 )
 
-// watchSettings puts each revision of the settings on the platform in force.
+// watchSettings reads the settings on the platform, waits for changes, and applies each new
+// revision.
 func (n *Node) watchSettings() {
 	version := uint64(0)
 	for n.ctx.Err() == nil {
@@ -53,8 +54,9 @@
 	}
 }
 
-// watchWait returns how long the next watch request waits for a change: 0, which only reads
-// the current value, if this instance is not a watcher or has no settings yet.
+// watchWait returns how long the next watch request waits for a change. It is 0 if this
+// instance is not a watcher or has no settings yet: the request then returns the current
+// value at once.
 func (n *Node) watchWait() time.Duration {
 	if !n.settings.Load().received || !n.isWatcher() {
 		return 0
@@ -62,15 +64,14 @@
 	return maxWatchWait
 }
 
-// restFromWatching waits for restDuration, or until this instance has to watch for its
-// zone.
+// restFromWatching returns after restDuration, or as soon as this instance is a watcher.
 func (n *Node) restFromWatching() {
 	for until := time.Now().Add(restDuration); !n.isWatcher() && n.ctx.Err() == nil && time.Now().Before(until); {
 		n.sleep(restCheckInterval)
 	}
 }
 
-// sleep waits for d, or until the instance is ended.
+// sleep waits for d, or until Kill is called.
 func (n *Node) sleep(d time.Duration) {
 	select {
 	case <-n.ctx.Done():
@@ -78,8 +79,8 @@
 	}
 }
 
-// isWatcher reports whether this instance watches the settings for its zone: it is one of
-// the first watchersPerZone by name among those that are alive.
+// isWatcher reports whether this instance is one of the watchers of its zone: the first
+// watchersPerZone instances of the zone, by name, among those that are alive.
 func (n *Node) isWatcher() bool {
 	before := 0
 	for _, p := range n.aliveZonePeers() {
@@ -136,8 +137,9 @@
 	return &inner.Frame{Body: &inner.Frame_Known{Known: &inner.Known{HasSettings: current.received, Settings: current.value, Instances: list}}}
 }
 
-// bootstrapFromSeeds fetches the list of instances and the settings from the seeds until
-// both have been received, from the seeds or the platform.
+// bootstrapFromSeeds fetches the list of instances and the settings from the seeds, the
+// configured addresses of other instances. It stops once this instance has both, from the
+// seeds or from the platform.
 func (n *Node) bootstrapFromSeeds() {
 	for n.ctx.Err() == nil && !n.isBootstrapped() {
 		for _, address := range n.cfg.Seeds {
@@ -169,8 +171,8 @@
 }
 
 // applySettings puts a revision of the settings in force and reports whether it did. It
-// ignores revisions that are not newer than the current one, such as those of a platform
-// that was restored from old data.
+// ignores a revision that is not newer than the current one, as read from a platform that
+// was restored from old data.
 func (n *Node) applySettings(value string) bool {
 	head, tree, err := settings.DecodeRevision(value)
 	if err != nil {
@@ -186,14 +188,14 @@
 		if n.settings.CompareAndSwap(current, next) {
 			n.dispatch.SetTuning(n.tuning(tree))
 			event.SettingsApplied.Log(n.log, slog.Uint64("revision", head.Number))
-			n.broadcastHeartbeat() // instances with an older revision then fetch it
+			n.broadcastHeartbeat() // tells instances with an older revision to fetch this one
 			return true
 		}
 	}
 }
 
-// tuning returns the tuning of the dispatcher. Values that are not set in the settings are
-// those of the local configuration.
+// tuning returns the values for the dispatcher that can change while the instance runs. A
+// value that is not set in the settings is that of the local configuration.
 func (n *Node) tuning(tree *settings.Tree) dispatch.Tuning {
 	t := n.dispatch.ConfiguredTuning()
 	t.Shares = n.shares(tree)
@@ -210,7 +212,7 @@
 	return t
 }
 
-// shares returns the share of the fleet's slots of each service that the settings name.
+// shares returns, for each service that the settings name, its share of the fleet's slots.
 func (n *Node) shares(tree *settings.Tree) map[string]placement.Share {
 	shares := map[string]placement.Share{}
 	for _, service := range tree.NodeNames(settings.LevelService) {
