--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -235,8 +235,8 @@
 	d.witnessLogs.tick(now)
 }
 
-// Close stops the dispatcher immediately. It does not wait for open jobs; the
-// witnesses of their logs take them over.
+// Close stops the dispatcher without waiting for open jobs. The witnesses of their
+// logs take these jobs over.
 func (d *Dispatcher) Close() {
 	d.cancel()
 	d.slots.close()
--- a/dispatch/frames.go
+++ b/dispatch/frames.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// sealLogOf seals the log of a key and takes its open jobs over. The home asks for
-// this once it starts no more tasks of the log itself.
+// sealLogOf seals the log of a key and takes its open jobs over. The home requests
+// this after it has stopped starting tasks of the log.
 func (d *Dispatcher) sealLogOf(key fate.Key) {
 	log, err := key.Session.Log()
 	if err != nil {
--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -103,8 +103,8 @@
 	l.home.Close()
 }
 
-// actions lists the consequences of an input that are carried out after the lock of
-// the log is released.
+// actions lists what has to be done after a call of fate.Home, once the lock of the
+// log is released.
 type actions struct {
 	starts         []startOrder
 	stops          []fate.Start
@@ -346,10 +346,10 @@
 	return awaited
 }
 
-// requeue requests another slot for a task that provably did not start. At the
-// attempt maxAttempts it ends the job instead, and asks the caller to retry after
-// UpstreamLostAfter, the time after which an upstream without an answer counts as
-// lost.
+// requeue requests another slot for a task that provably did not start. If the start
+// was already attempted maxAttempts times, it ends the job as overloaded instead. The
+// caller may then retry after UpstreamLostAfter, by when an upstream that does not
+// answer counts as lost.
 func (l *homeLog) requeue(lease fate.Lease) {
 	requeued := false
 	l.apply(func(h *fate.Home) (e fate.Effects) {
--- a/fate/check_test.go
+++ b/fate/check_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// resolveTask looks up, at the upstreams, one task that the lost home may have
-// started, of a job that was taken over.
+// resolveTask picks a task of a taken-over job that the lost home may have started,
+// and looks up its outcome at the upstreams.
 func (w *world) resolveTask() {
 	key, ok := pick(w, w.keys)
 	if !ok || !w.witnessUp || len(w.recoveredPermits[key]) == 0 {
--- a/fate/verdict.go
+++ b/fate/verdict.go
@@ -42,8 +42,8 @@
 }
 
 // needsWitness reports whether the decision has to be left to the witness, because
-// the log is sealed and cannot record the verdict v. A failed task is an exception:
-// the witness cannot arrive at Complete either, so this home decides.
+// the log is sealed and cannot record the verdict v. There is one exception: if a
+// task has failed, no instance can decide Complete any more, so this home decides.
 func (h *Home) needsWitness(j *homeJob, v *Answer) bool {
 	return h.sealed && h.witnessMayKnow(j) && v.Reason != ReasonTaskFailed
 }
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -37,7 +37,7 @@
 	// failures of the service, with at most this probability.
 	maxChance = 1e-6
 	// rareFailureShare is the share of failures of a service below which a single
-	// failure makes the upstream suspected, so that it gets one task at a time.
+	// failure makes the upstream suspected (see failsRarely).
 	rareFailureShare = 0.004
 	// frequentFailureShare is the share of failures of a service from which on no number
 	// of failures is blamed on an upstream.
@@ -90,7 +90,7 @@
 }
 
 // failsRarely reports whether tasks of the service fail so rarely that a single failure
-// makes an upstream suspected.
+// makes the upstream suspected. A suspected upstream gets one task at a time.
 func (e *estimates) failsRarely(service string) bool {
 	return e.of(service).failureShare < rareFailureShare
 }
--- a/placement/health.go
+++ b/placement/health.go
@@ -75,7 +75,7 @@
 // slowdown returns the ratio of the expected to the actual number of ended tasks.
 func (p *pace) slowdown() float64 { return (p.expectedEnds + pacePrior) / (p.ends + pacePrior) }
 
-// isSlow reports whether the upstream is slower than its pool by at least SlowFactor.
+// isSlow reports whether the upstream is at least SlowFactor times slower than its pool.
 func (h *health) isSlow(cfg *HealthConfig) bool {
 	return h.slowdown >= cfg.SlowFactor
 }
