--- a/dispatch/appender.go
+++ b/dispatch/appender.go
@@ -192,8 +192,8 @@
 	a.flush(false)
 }
 
-// markUnsent corrects the records of the home for appends that UnackedForResend has
-// counted as sent, but that resend did not get to.
+// markUnsent marks appends as not sent. UnackedForResend has counted them as sent, but
+// resend stopped before it sent them.
 func (a *appender) markUnsent(list []fate.Append) {
 	a.log.mu.Lock()
 	defer a.log.mu.Unlock()
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -66,8 +66,8 @@
 	// UpstreamLostAfter is how long an upstream may leave lookups of a lease
 	// unanswered before the outcome of the task counts as unknown.
 	UpstreamLostAfter time.Duration
-	// WitnessTimeout is how long the home of a log waits for an answer of the witness,
-	// and the witness for one of the home, before it considers the other lost.
+	// WitnessTimeout is how long the home and the witness of a log wait for an answer
+	// of the other before they consider it lost.
 	WitnessTimeout time.Duration
 	// ResultAppendDelay is how long task results wait to be sent to the witness
 	// together with a permit or a decided fate. After that they are sent alone.
--- a/dispatch/homelog.go
+++ b/dispatch/homelog.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// expired reports whether the log can be removed: it stopped accepting jobs, at
-// 2*RotateLogsAfter, longer ago than the maximum age of answers, and has no open
-// jobs.
+// expired reports whether the log can be removed: it has no open jobs, and at least
+// the maximum age of answers has passed since it stopped accepting jobs, which was at
+// 2*RotateLogsAfter.
 func (l *homeLog) expired(now time.Time) bool {
 	retention := time.Duration(l.d.tuning.Load().Retention.MaxAgeMs) * time.Millisecond
 	if now.Sub(l.openedAt) < 2*l.d.cfg.RotateLogsAfter+retention {
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -36,9 +36,9 @@
 	// OtherInstances is the number of other instances that the platform lists, or -1
 	// while that is unknown.
 	OtherInstances int
-	// ZonesWithInstances holds the zones that have instances, alive or not. A zone
-	// whose instances are all not alive counts as partitioned, and its upstreams are
-	// not used.
+	// ZonesWithInstances holds the zones that have instances, alive or not. If none
+	// of a zone's instances is alive, the zone counts as partitioned, and its
+	// upstreams are not used.
 	ZonesWithInstances map[string]bool
 
 	instances        []placement.InstanceLocation
--- a/entry/node.go
+++ b/entry/node.go
@@ -232,8 +232,8 @@
 	return drained
 }
 
-// awaitHeartbeats waits for two heartbeat intervals. Until then the other instances have been
-// told more than once that this one is leaving, so that they do not take its end for a crash.
+// awaitHeartbeats waits for two heartbeat intervals, during which the other instances learn
+// that this one is leaving.
 func (n *Node) awaitHeartbeats(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/fate/check_test.go
+++ b/fate/check_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// resubmitToWitness resubmits a job to the witness, as a caller does that cannot reach
-// the home.
+// resubmitToWitness resubmits a job to the witness, like a caller that cannot reach the
+// home.
 func (w *world) resubmitToWitness() {
 	key := Key{Session: "s", Sequence: uint64(1 + w.choose.below(4))}
 	if a, ok := w.witnessAnswer(key); ok {
--- a/fate/takeover.go
+++ b/fate/takeover.go
@@ -1,8 +1,8 @@
 package fate
 
 // TakeOver continues a job whose home is lost and whose log is sealed. The log of h
-// must have no witness. Tasks that the lost home may have started stay unresolved
-// until ResolveTask is called with what their upstreams have answered.
+// must have no witness. A task that the lost home may have started stays unresolved
+// until ResolveTask records the answers of the upstreams concerned.
 func (h *Home) TakeOver(key Key, recovered *RecoveredJob) Effects {
 	var e Effects
 	if h.jobs[key] != nil {
