--- a/dispatch/release.go
+++ b/dispatch/release.go
@@ -13,7 +13,7 @@
 	released []placement.ReleasedSlots
 	timer    *time.Timer
 	sendAt   time.Time // when the timer fires
-	hurry    bool      // release without delay: tasks are queued at the broker, or it needs the information
+	hurry    bool      // release without delay: tasks are queued at the broker, or the broker should soon know of failures
 }
 
 // hurryRelease makes the next release of a pool's free slots take place without
