--- a/placement/held.go
+++ b/placement/held.go
@@ -7,8 +7,8 @@
 // heldKey identifies the slots that a home holds at an upstream for the tasks of a service.
 type heldKey struct{ home, upstream, service string }
 
-// pendingRelease is a number of slots that are no longer held but remain in use until
-// dueMs.
+// pendingRelease is a number of slots that no home holds any more, but that count as in use
+// until dueMs, so that they are not granted again before.
 type pendingRelease struct {
 	upstream  string
 	count     int
@@ -16,9 +16,9 @@
 	dueMs     int64 // Unix milliseconds
 }
 
-// upstreamState returns the state of an upstream. It creates one if the upstream is neither
-// listed nor has slots in use.
-func (b *Broker) upstreamState(id string) *upstreamState {
+// getOrCreateUpstream returns the state of an upstream. If the broker has none, because the
+// upstream is not listed and no slots of it are in use, it creates one.
+func (b *Broker) getOrCreateUpstream(id string) *upstreamState {
 	u := b.upstreams[id]
 	if u == nil {
 		u = &upstreamState{Upstream: Upstream{ID: id}}
@@ -37,7 +37,7 @@
 // need n each.
 func (b *Broker) addHeld(home string, u *upstreamState, service string, n Resources, count int) {
 	key := heldKey{home, u.ID, service}
-	b.serviceState(service).usedSlots += count
+	b.getOrCreateService(service).usedSlots += count
 	h := b.held[key]
 	if h == nil {
 		h = &heldSlots{}
@@ -51,8 +51,8 @@
 	h.count += count
 }
 
-// removeHeld records that count slots are no longer held under key and returns their share
-// of the resources. The slots remain in use until they are freed.
+// removeHeld records that count slots are no longer held under key, and returns their share
+// of the resources. The slots count as in use until free is called for them.
 func (b *Broker) removeHeld(key heldKey, count int) Resources {
 	h := b.held[key]
 	share := float64(count) / float64(h.count)
@@ -62,12 +62,12 @@
 	if h.count <= 0 {
 		delete(b.held, key)
 	}
-	s := b.serviceState(key.service)
+	s := b.getOrCreateService(key.service)
 	s.usedSlots = max(s.usedSlots-count, 0)
 	return freed
 }
 
-// free frees slots and the resources of the tasks on them.
+// free records that count slots and the given resources are no longer in use.
 func (u *upstreamState) free(freed Resources, count int) {
 	u.usedSlots = max(u.usedSlots-count, 0)
 	u.usedResources = u.usedResources.minus(freed)
@@ -76,7 +76,7 @@
 	}
 }
 
-// HandleHomeLost removes the queued requests of a lost home. The slots that it holds are
+// HandleHomeLost removes the queued requests of a lost home. The slots held by the home are
 // freed after LostHomeReleaseDelayMs.
 func (b *Broker) HandleHomeLost(home string, now int64) []Grant {
 	for _, q := range slices.Clone(b.queue) {
