--- a/cli/lab.go
+++ b/cli/lab.go
@@ -117,7 +117,7 @@
 		m := r.Metrics
 		fmt.Fprintf(t, "%s\t%.4f\t%+.4f\t%.4f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.4f\t%.4f\t%.4f\t%.3f\t%.2f\t%.2f\t%.0f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%.1f\t%.1f\t\n",
 			r.Name, m.Worth, r.Gain, r.HalfInterval, m.PeakWorth, m.Bound, m.InTime, m.Late, m.Refused, m.RefusedWithRoom, m.GivenUp, m.Failed, m.Wasted,
-			m.UnservedP50, m.UnservedP90, m.UnservedP99Ms, m.WorstKind, m.WorstLarge, m.WorstZone, m.ServedLater, m.ServedLaterSeconds, m.FalseEjections, m.FalseSilences)
+			m.UnservedResponseP50, m.UnservedResponseP90, m.UnservedResponseP99Ms, m.WorstKind, m.WorstLarge, m.WorstZone, m.ServedLater, m.ServedLaterSeconds, m.FalseEjections, m.FalseSilences)
 	}
 	return t.Flush()
 }
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -83,8 +83,8 @@
 func TestCrowdedDays(t *testing.T) {
 	m := Compare(Setup{Fault: NoFault, Load: 1.6}, 1, 3, variants(t))[0].Metrics
 	unserved := m.Refused + m.GivenUp
-	if m.UnservedP50 > 0.5 || m.UnservedP90 > 1 {
-		t.Errorf("time to the response of jobs not served: median %.2f objectives, 90th percentile %.2f objectives", m.UnservedP50, m.UnservedP90)
+	if m.UnservedResponseP50 > 0.5 || m.UnservedResponseP90 > 1 {
+		t.Errorf("time to the response of jobs not served: median %.2f objectives, 90th percentile %.2f objectives", m.UnservedResponseP50, m.UnservedResponseP90)
 	}
 	if m.GivenUp > unserved/10 {
 		t.Errorf("share of jobs given up after they started is %.4f, of %.4f not served", m.GivenUp, unserved)
--- a/lab/metrics.go
+++ b/lab/metrics.go
@@ -20,26 +20,26 @@
 // Metrics describes the performance of one variant on one deployment, or the means over
 // several deployments. Fields without another unit are shares of all jobs.
 type Metrics struct {
-	Worth              float64 `json:"worth"`             // share of the worth of all jobs that was earned
-	PeakWorth          float64 `json:"worth_crowded"`     // Worth, for jobs sent in the peak period only
-	Bound              float64 `json:"bound"`             // upper bound of Worth for any policy
-	InTime             float64 `json:"in_time"`           // completed within the objective
-	Late               float64 `json:"late"`              // completed after the objective
-	Refused            float64 `json:"refused"`           // ended before any task started
-	RefusedWithRoom    float64 `json:"refused_with_room"` // refused although all tasks would have fitted at that time
-	GivenUp            float64 `json:"given_up"`          // ended when some tasks may have started, but not all completed
-	Failed             float64 `json:"failed"`
-	Wasted             float64 `json:"wasted"`            // CPU time of runs that did not end as done, as a share of the CPU time of all jobs
-	UnservedP50        float64 `json:"tell_p50"`          // median time to the response of refused and given up jobs, divided by their objectives
-	UnservedP90        float64 `json:"tell_p90"`          // 90th percentile of the time to the response of these jobs, divided by their objectives
-	UnservedP99Ms      float64 `json:"tell_p99_ms"`       // 99th percentile of the time to the response of these jobs, milliseconds
-	WorstKind          float64 `json:"worst_kind"`        // lowest Worth of any kind of job
-	WorstLarge         float64 `json:"worst_large"`       // lowest Worth of the largest tenth of the jobs of any kind
-	WorstZone          float64 `json:"worst_zone"`        // lowest Worth of any zone
-	ServedLater        float64 `json:"served_later"`      // share of the refused jobs that completed when resubmitted
-	ServedLaterSeconds float64 `json:"later_s"`           // mean time of these jobs from the first submission to completion, seconds
-	FalseEjections     float64 `json:"doubts_of_sound"`   // ejections of upstreams without a fault, per deployment
-	FalseSilences      float64 `json:"silences_of_sound"` // times that upstreams without a fault counted as silent, per deployment
+	Worth                 float64 `json:"worth"`             // share of the worth of all jobs that was earned
+	PeakWorth             float64 `json:"worth_crowded"`     // Worth, for jobs sent in the peak period only
+	Bound                 float64 `json:"bound"`             // upper bound of Worth for any policy
+	InTime                float64 `json:"in_time"`           // completed within the objective
+	Late                  float64 `json:"late"`              // completed after the objective
+	Refused               float64 `json:"refused"`           // ended before any task started
+	RefusedWithRoom       float64 `json:"refused_with_room"` // refused although all tasks would have fitted at that time
+	GivenUp               float64 `json:"given_up"`          // ended when some tasks may have started, but not all completed
+	Failed                float64 `json:"failed"`
+	Wasted                float64 `json:"wasted"`            // CPU time of runs that did not end as done, as a share of the CPU time of all jobs
+	UnservedResponseP50   float64 `json:"tell_p50"`          // median time to the response of refused and given up jobs, divided by their objectives
+	UnservedResponseP90   float64 `json:"tell_p90"`          // 90th percentile of the time to the response of these jobs, divided by their objectives
+	UnservedResponseP99Ms float64 `json:"tell_p99_ms"`       // 99th percentile of the time to the response of these jobs, milliseconds
+	WorstKind             float64 `json:"worst_kind"`        // lowest Worth of any kind of job
+	WorstLarge            float64 `json:"worst_large"`       // lowest Worth of the largest tenth of the jobs of any kind
+	WorstZone             float64 `json:"worst_zone"`        // lowest Worth of any zone
+	ServedLater           float64 `json:"served_later"`      // share of the refused jobs that completed when resubmitted
+	ServedLaterSeconds    float64 `json:"later_s"`           // mean time of these jobs from the first submission to completion, seconds
+	FalseEjections        float64 `json:"doubts_of_sound"`   // ejections of upstreams without a fault, per deployment
+	FalseSilences         float64 `json:"silences_of_sound"` // times that upstreams without a fault counted as silent, per deployment
 }
 
 // earned returns the worth that was earned with a job. A job whose tasks always fail counts as
@@ -106,7 +106,7 @@
 	}
 	m.Worth, m.PeakWorth = total.value(), peak.value()
 	m.WorstKind, m.WorstLarge, m.WorstZone = lowest(byKind), lowest(largeByKind), lowest(byZone)
-	m.UnservedP50, m.UnservedP90, m.UnservedP99Ms = quantile(unservedRatios, 0.5), quantile(unservedRatios, 0.9), quantile(unservedMs, 0.99)
+	m.UnservedResponseP50, m.UnservedResponseP90, m.UnservedResponseP99Ms = quantile(unservedRatios, 0.5), quantile(unservedRatios, 0.9), quantile(unservedMs, 0.99)
 	m.Wasted = sim.wastedCoreSeconds / lo.SumBy(sim.deployment.jobs, (*customerJob).coreSeconds)
 	if refused := m.Refused * n; refused > 0 && sim.servedLater > 0 {
 		m.ServedLater, m.ServedLaterSeconds = float64(sim.servedLater)/refused, sim.servedLaterSeconds/float64(sim.servedLater)
--- a/node/node.go
+++ b/node/node.go
@@ -291,7 +291,7 @@
 	for _, g := range n.ownedGroups() {
 		delays := g.CallDelays()
 		fmt.Fprintf(w, "sedgehatch_group_overdue_ms{group=%q} %d\nsedgehatch_group_link_wait_ms{group=%q} %d\n",
-			g.Name, delays.OverdueAfter.Milliseconds(), g.Name, delays.LinkWait.Milliseconds())
+			g.Name, delays.OverdueAfter.Milliseconds(), g.Name, delays.LinkDelay.Milliseconds())
 	}
 }
 
--- a/owner/group.go
+++ b/owner/group.go
@@ -340,7 +340,7 @@
 // CallDelays holds the current limits and delays of a group's calls.
 type CallDelays struct {
 	OverdueAfter time.Duration // time after which a start is overdue
-	LinkWait     time.Duration // until the network link has transmitted what is queued on it
+	LinkDelay    time.Duration // until the network link has transmitted what is queued on it
 }
 
 // CallDelays returns the current limits and delays of the group's calls.
@@ -348,7 +348,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Now()
-	return CallDelays{OverdueAfter: g.rtt.timeout(now), LinkWait: g.pool.LinkDelay(now)}
+	return CallDelays{OverdueAfter: g.rtt.timeout(now), LinkDelay: g.pool.LinkDelay(now)}
 }
 
 // Close stops the group: it makes no further calls, and its open offers end with outcome
