--- a/ingress/policy.go
+++ b/ingress/policy.go
@@ -1,6 +1,16 @@
-// Package ingress serves the requests of customers. The instance that accepts a job
-// coordinates it: it offers the tasks to the owners of upstream groups, collects the
-// results, and responds to the customer.
+// Package ingress serves the requests of customers: it accepts their jobs, has the tasks run
+// on upstreams, and responds. These terms are used throughout the package:
+//   - The coordinator of a job is the instance that accepted the job from the customer.
+//   - A group is a set of upstreams in one availability zone. One instance at a time, the
+//     owner of the group, decides which tasks run on them.
+//   - An offer hands tasks of a job from its coordinator to the owner of a group. The owner
+//     runs the tasks or returns them. Returned tasks are offered to other owners.
+//   - A withdrawal cancels an offer: the owner drops the waiting tasks and stops the running
+//     ones.
+//   - The verdict is the final outcome of a job, on which the response to the customer is
+//     based. A job is open until it has a verdict.
+//   - An owner runs the tasks of a coordinator under a lease. If the coordinator stops
+//     renewing it, the owner starts no more of these tasks and finally stops the running ones.
 package ingress
 
 import "time"
@@ -9,64 +19,74 @@
 type OwnerLoad struct {
 	Group    string
 	Zone     string
-	Free     int   // number of tasks of the usual size that would fit now
-	Waiting  int   // number of queued tasks
-	Capacity int64 // total capacity of the upstreams, in thousandths of a core
-	Closed   bool  // no task may start on any upstream of the group
-	Age      time.Duration
+	Free     int           // number of tasks of average size that would fit now
+	Waiting  int           // number of tasks in the owner's queue
+	Capacity int64         // total capacity of the upstreams, in thousandths of a core
+	Closed   bool          // no task may start on any upstream of the group
+	Age      time.Duration // time since the owner reported the load
 }
 
-// Choice tells which owner to offer a job's unassigned tasks to next, and how.
+// Choice is the group whose owner receives the next offer of a job's unassigned tasks, and
+// the options of that offer.
 type Choice struct {
 	Group string
-	// MayQueue lets the tasks wait in the owner's queue, because no owner has free capacity.
+	// MayQueue lets the tasks wait in the owner's queue. It is set if no owner has free
+	// capacity. Without it, the owner returns tasks that cannot start at once.
 	MayQueue bool
-	// AllOrNothing makes the owner start all of the tasks at once, or none.
+	// AllOrNothing makes the owner return all of the tasks unless it can start all at once.
 	AllOrNothing bool
 }
 
-// remoteZonePenalty is the number of tasks added to the queue length of a group in another
-// zone when queues are compared: a job that runs in another zone costs a round trip and
-// traffic between zones.
+// remoteZonePenalty is the number of tasks by which the queue of a group in another zone
+// counts as longer than it is, because running a job there costs a round trip and traffic
+// between zones.
 const remoteZonePenalty = 2
 
-// Policy enables the rules by which a coordinator chooses owners. Package lab measures the
-// effect of each rule by disabling it.
+// Policy enables the rules by which a coordinator chooses owners. A rule applies while its
+// field is set. Package lab measures the effect of a rule by disabling it.
 type Policy struct {
-	// OwnZoneFirst offers a job to the owner in the coordinator's zone before others.
+	// OwnZoneFirst offers a job to an owner in the coordinator's zone first, even if owners in
+	// other zones have more free capacity.
 	OwnZoneFirst bool
-	// Spill offers tasks for which the coordinator's zone has no free capacity to owners in
-	// other zones that have some.
+	// Spill also lets owners in other zones receive offers on account of their free capacity.
+	// Without it, only those in the coordinator's zone do.
 	Spill bool
-	// ShortestQueue queues tasks that fit nowhere in the group with the fewest waiting tasks
-	// for its capacity. Without it they are queued in the coordinator's zone.
+	// ShortestQueue determines where tasks are queued if no owner has free capacity for them:
+	// in the group with the fewest waiting tasks per capacity. Without it, they are queued in
+	// the coordinator's zone.
 	ShortestQueue bool
-	// WholeJobs offers a job to a single owner that has free capacity for all of it, and
-	// splits it only if the owners together have enough. Otherwise the whole job is queued
-	// with one owner.
+	// WholeJobs offers all tasks of a job to one owner that has free capacity for them. If
+	// there is none, the job is split if the owners together have enough free capacity, and
+	// otherwise queued as a whole with one owner.
 	WholeJobs bool
-	// SpreadReturns spreads the retries of rejected customers over time, at the rate at
-	// which jobs are being completed.
+	// SpreadReturns spreads retries over time (see retryPlan) when customers are rejected for
+	// lack of capacity. Without it, all of them are told to retry after minRetryAfter.
 	SpreadReturns bool
-	// BoundAsks rejects a job once maxOwnersWithoutCapacity owners expect no free capacity
-	// for it in time, without offering it to others.
+	// BoundAsks rejects a job once maxOwnersWithoutCapacity owners have returned it because
+	// they expect no free capacity in time. It is not offered to the remaining owners.
 	BoundAsks bool
 }
 
-// maxOwnersWithoutCapacity is how many owners may expect no free capacity in time before a
-// job is rejected. The first one has the shortest queue, so the others are less likely to
-// have capacity, and each offer sends the whole job over two network links while the
-// customer waits. Two owners would be too few to judge a fleet of four groups.
+// maxOwnersWithoutCapacity is how many owners must expect no free capacity in time before a
+// job is rejected. A higher limit rarely finds capacity, because the first owner asked has
+// the shortest queue, and each further offer sends the whole job over two network links
+// while the customer waits. A limit of two would be too low: in a fleet of four groups, it
+// would reject jobs that the other two groups could run.
 const maxOwnersWithoutCapacity = 3
 
 // DefaultPolicy enables all rules.
 var DefaultPolicy = Policy{OwnZoneFirst: true, Spill: true, ShortestQueue: true, WholeJobs: true, SpreadReturns: true, BoundAsks: true}
 
-// choose picks an owner for the given number of tasks of a job. It prefers the given zone,
-// then the group with the most free capacity, and skips the groups in tried. If no group
-// has free capacity, the tasks are queued in the group with the fewest waiting tasks for
-// its capacity, tried or not. Begun reports whether other tasks of the job may have begun.
-// The result is false if no owner has any capacity.
+// choose picks an owner for the given number of tasks of a job whose coordinator is in the
+// given zone. Begun reports whether other tasks of the job may have begun, so that there is
+// no whole job to place. With all rules enabled, the choice is, in this order of preference:
+//   - unless begun, a group with free capacity for all of the tasks
+//   - a group with free capacity for one of the tasks; unless begun, only if the groups
+//     together have enough for all of them
+//   - the group with the shortest queue, where the tasks then wait
+//
+// The first two choices skip the groups in tried, the last one does not. The result is false
+// if no group has upstreams that can run tasks.
 func (p Policy) choose(loads []OwnerLoad, zone string, tried map[string]bool, tasks int, begun bool) (Choice, bool) {
 	totalFree := 0
 	for _, l := range loads {
@@ -88,9 +108,9 @@
 	return p.shortestQueue(loads, zone)
 }
 
-// mostFree returns a group not in tried with free capacity for the given number of tasks:
-// one in the given zone if possible, otherwise the one with the most free capacity. It
-// returns "" if there is none.
+// mostFree returns a group that is not in tried and has free capacity for the given number
+// of tasks: one in the given zone if possible, otherwise the one with the most free capacity.
+// It returns "" if there is no such group.
 func (p Policy) mostFree(loads []OwnerLoad, zone string, tried map[string]bool, tasks int) string {
 	best := -1
 	for i, l := range loads {
@@ -110,8 +130,9 @@
 	return loads[best].Group
 }
 
-// shortestQueue chooses the group with the fewest waiting tasks for its capacity. Groups in
-// other zones than the given one count remoteZonePenalty more tasks.
+// shortestQueue chooses the group with the fewest waiting tasks per capacity. In groups of
+// other zones than the given one, remoteZonePenalty tasks are counted in addition. It returns
+// false if no group has capacity.
 func (p Policy) shortestQueue(loads []OwnerLoad, zone string) (Choice, bool) {
 	best := -1
 	var shortest float64
--- a/ingress/search.go
+++ b/ingress/search.go
@@ -6,29 +6,29 @@
 	"github.com/samber/lo"
 )
 
-// ownerSearch records what a job has learned about the groups while looking for an owner for
-// its tasks. It is guarded by the job's lock.
+// ownerSearch records for one job which groups have been tried while owners for its tasks were
+// sought, and with which results. It is guarded by the job's lock.
 type ownerSearch struct {
-	tried       map[string]bool // groups that the job's tasks have been offered to; cleared by allowRetries
-	neverFits   map[string]bool // groups in which no task of the job can ever fit
+	tried       map[string]bool // groups that have received an offer; cleared by allowRetries
+	neverFits   map[string]bool // groups without an upstream that is large enough for a task
 	unreachable map[string]bool // groups whose owner could not be reached; cleared by allowRetries
-	noCapacity  map[string]bool // groups that expect no free capacity in time
-	offered     []string        // the first groups that received an offer, in order, for the log
-	ownerCount  int             // owners passed to the last refresh
-	loadAge     time.Duration   // age of the oldest load report passed to the last refresh
+	noCapacity  map[string]bool // groups whose owner expects no free capacity in time
+	offered     []string        // groups of the first maxOfferedGroups offers, in order, for the log
+	ownerCount  int             // number of loads passed to the last refresh
+	loadAge     time.Duration   // age of the oldest of these loads
 	allClosed   bool            // at the last refresh, no task could start in any group
 }
 
-// maxOfferedGroups is the maximum length of ownerSearch.offered.
+// maxOfferedGroups limits ownerSearch.offered, and so the length of a log record.
 const maxOfferedGroups = 8
 
 func newOwnerSearch() ownerSearch {
 	return ownerSearch{tried: map[string]bool{}, neverFits: map[string]bool{}, unreachable: map[string]bool{}, noCapacity: map[string]bool{}}
 }
 
-// refresh records the current owners and returns those that may receive an offer: it omits
-// groups that can never run the job, that expect no free capacity in time, or whose owner
-// could not be reached.
+// refresh records the number and age of the current loads and returns the loads of the groups
+// that may receive an offer. It omits a group if its upstreams are too small for the job, if
+// its owner expects no free capacity in time, or if its owner could not be reached.
 func (s *ownerSearch) refresh(loads []OwnerLoad) []OwnerLoad {
 	s.ownerCount = len(loads)
 	s.allClosed = len(loads) > 0 && lo.EveryBy(loads, func(l OwnerLoad) bool { return l.Closed })
@@ -51,13 +51,14 @@
 
 const (
 	noneReachable    searchOutcome = iota // no owner could be reached
-	tooLarge                              // no task can ever fit in any group
-	noCapacityInTime                      // owners expect no free capacity in time
+	tooLarge                              // no upstream is large enough for a task
+	noCapacityInTime                      // at least one owner expects no free capacity in time
 	allGroupsClosed                       // no task may start on any upstream
 )
 
-// outcome returns the reason why no owner is left to offer tasks to. A job that has begun
-// is never too large, because a task of it has fitted somewhere.
+// outcome returns the reason why no owner is left to offer tasks to. Begun reports whether a
+// task of the job may have begun: then the outcome is never tooLarge, because the task has
+// fitted on an upstream.
 func (s *ownerSearch) outcome(begun bool) searchOutcome {
 	switch {
 	case len(s.noCapacity) > 0:
@@ -71,7 +72,7 @@
 	}
 }
 
-// allowRetries makes the groups that were tried or unreachable eligible for offers again.
+// allowRetries lets groups receive offers again that have been tried or were unreachable.
 func (s *ownerSearch) allowRetries() {
 	clear(s.unreachable)
 	clear(s.tried)
