--- a/ingress/coordinator.go
+++ b/ingress/coordinator.go
@@ -18,8 +18,8 @@
 type Owners interface {
 	// Loads returns the last reported load of each reachable owner.
 	Loads() []OwnerLoad
-	// Offer hands tasks to the owner of a group. After an error none of the tasks has
-	// begun, and the callbacks are not called.
+	// Offer hands tasks to the owner of a group. If it returns an error, none of the tasks
+	// has begun or will begin, and the callbacks are never called.
 	Offer(group string, o schedule.Offer, callbacks owner.OfferCallbacks) error
 	// Withdraw cancels an offer.
 	Withdraw(group string, key schedule.JobKey, reason string)
@@ -30,8 +30,8 @@
 
 const (
 	Completed Verdict = "completed"
-	// Failed means that the job cannot complete: a task failed or crashed its upstream too
-	// often, no upstream is large enough, or the customer cancelled the job.
+	// Failed means that the job cannot complete. Either a task failed or crashed its upstream
+	// too often, no upstream is large enough for a task, or the customer cancelled the job.
 	Failed       Verdict = "failed"
 	NotRun       Verdict = "not_run" // no task has begun, and none will
 	Unknown      Verdict = "unknown" // tasks may have run, but the job is not complete
@@ -43,32 +43,35 @@
 	Verdict Verdict
 	Reason  string
 	Begun   bool // a task of the job may have begun
-	// RetryAfter is how long the customer should wait before it sends the job again; 0
-	// unless the verdict is NotRun.
+	// RetryAfter is how long the customer should wait before it sends the job again. It is 0
+	// for all verdicts but NotRun.
 	RetryAfter time.Duration
 	Offers     int    // number of offers made to owners
 	Groups     string // comma-separated groups that received offers, in order
-	// Owners is the number of owners whose load was known when the job last looked for one.
+	// Owners is the number of owners whose load was known when an owner was last chosen for
+	// tasks of the job.
 	Owners    int
-	OwnersAge time.Duration // age of the oldest of their load reports
+	OwnersAge time.Duration // age of the oldest load report used for that choice
 }
 
-// Request is a job submitted by a customer, with its route.
+// Request is one submission of a job by a customer, with the route that it matches.
 type Request struct {
 	Job   *fleet.Job
 	Route *fleet.Route
 	// Timeout is how long the customer waits for the response.
 	Timeout time.Duration
 	// Disconnected reports, without blocking, whether the customer's connection has ended;
-	// nil means that it never ends. It is called before each offer: after a pause, an
-	// instance reads requests whose customers have already sent them to another instance,
-	// and would run them a second time.
+	// nil means that it never ends. It is called before each offer. An instance that resumes
+	// after a pause may read a request that its customer has meanwhile sent to another
+	// instance; an offer would run the job a second time.
 	Disconnected func() bool
 }
 
+// shardCount is the number of locks over which the open jobs are spread.
 const shardCount = 16
 
-// Clock is the source of time of a Coordinator; simulations replace it.
+// Clock is the source of time and of timers of a Coordinator. Simulations provide one with
+// virtual time.
 type Clock interface {
 	Now() time.Time
 	AfterFunc(d time.Duration, f func())
@@ -81,22 +84,22 @@
 
 func (systemClock) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
-// Coordinator coordinates the jobs that this instance accepts: it offers their tasks to
-// owners of upstreams until each job has a verdict.
+// Coordinator coordinates the jobs that this instance accepts: it offers the tasks of each
+// job to owners of upstream groups until the job has a verdict.
 type Coordinator struct {
 	zone       string
 	owners     Owners
 	clock      Clock
 	policy     Policy
 	retries    retryPlan
-	offersMade atomic.Uint32 // number of the last offer
-	// sendsInFlight counts the goroutines that have decided to make or withdraw offers and
-	// may not have sent the messages yet.
+	offersMade atomic.Uint32 // offers made so far by all jobs; also the number of the newest offer
+	// sendsInFlight counts the goroutines that have decided to make or withdraw an offer, but
+	// may not have sent the message to the owner yet.
 	sendsInFlight atomic.Int32
 	shards        [shardCount]jobShard
 }
 
-// jobShard holds a part of the open jobs under a lock of its own.
+// jobShard holds the open jobs of one hash value of the job id, under a lock of its own.
 type jobShard struct {
 	mu   sync.Mutex
 	jobs map[string]*openJob // by job id
@@ -107,7 +110,8 @@
 	return NewSimulatedCoordinator(zone, owners, systemClock{}, DefaultPolicy)
 }
 
-// NewSimulatedCoordinator is like NewCoordinator, with the given clock and policy.
+// NewSimulatedCoordinator is like NewCoordinator, but uses the given clock and policy instead
+// of the system's clock and DefaultPolicy.
 func NewSimulatedCoordinator(zone string, owners Owners, clock Clock, policy Policy) *Coordinator {
 	c := &Coordinator{zone: zone, owners: owners, clock: clock, policy: policy}
 	for i := range c.shards {
@@ -122,9 +126,10 @@
 	return &c.shards[h.Sum32()%shardCount]
 }
 
-// Run coordinates a job until it has a verdict, the customer's timeout has passed, or
-// disconnected is closed. If a job with the same id is open, no second one is started: all
-// its customer's connections receive the response to the open one.
+// Run coordinates a job and returns the response once the job has a verdict, the customer's
+// timeout has passed, or disconnected is closed. If a job with the same id is already open,
+// Run starts no second one: it waits for the open job, and each of the waiting connections
+// receives the same response.
 func (c *Coordinator) Run(r Request, disconnected <-chan struct{}) Response {
 	j, w, created := c.attachOrCreate(r)
 	if created {
@@ -133,8 +138,10 @@
 	return j.awaitResponse(w, disconnected, r.Timeout)
 }
 
-// Start coordinates a job without blocking, and calls onResponse once it has a verdict. A
-// simulation calls timeOut when the customer's timeout has passed.
+// Start is used in place of Run by simulations, in which nothing may block. It starts to
+// coordinate a job and calls onResponse, possibly before Start returns, when the job gets its
+// verdict. The simulation must call timeOut when the customer's timeout has passed. The job
+// is not registered: the methods that act on open jobs do not see it.
 func (c *Coordinator) Start(r Request, onResponse func(Response)) (timeOut func()) {
 	j, w := c.newJob(r)
 	j.onResponse = onResponse
@@ -170,7 +177,8 @@
 	return j, w, true
 }
 
-// remove deletes a job from the open ones, unless a newer job has the same id.
+// remove deletes a job from its shard, unless a newer job with the same id has replaced it
+// there.
 func (c *Coordinator) remove(j *openJob) {
 	s := c.shard(j.Job.ID)
 	s.mu.Lock()
@@ -180,7 +188,8 @@
 	}
 }
 
-// State returns the state of a job, or false if the job is not open.
+// State returns the state of an open job: running if tasks of it are in an open offer, queued
+// otherwise. It returns false if no job with this id is open.
 func (c *Coordinator) State(id string) (fleet.State, bool) {
 	s := c.shard(id)
 	s.mu.Lock()
@@ -197,7 +206,7 @@
 	return fleet.StateQueued, true
 }
 
-// Cancel ends a job, and reports whether it was open.
+// Cancel ends a job with the verdict Failed, and reports whether it was open.
 func (c *Coordinator) Cancel(id string) bool {
 	s := c.shard(id)
 	s.mu.Lock()
@@ -210,10 +219,12 @@
 	return true
 }
 
-// EndDisconnected ends the jobs all of whose customer connections have ended, as far as the
-// operating system knows now. It reports whether every offer and withdrawal decided so far
-// has been sent. If it reports false, leases must not be renewed: a renewal that overtakes
-// a withdrawal would tell the owner that a disconnected customer still waits.
+// EndDisconnected ends each job whose customer has no open connection left, as far as the
+// operating system knows now, and withdraws the job's offers. It must be called before the
+// renewal of a lease, which tells the owner that the customers of all jobs not withdrawn
+// still wait. The result is true if every offer and withdrawal decided so far has been sent.
+// If it is false, the lease must not be renewed: the renewal could overtake a
+// withdrawal, and the owner would start tasks for a customer that has disconnected.
 func (c *Coordinator) EndDisconnected() (sent bool) {
 	for _, j := range c.sortedJobs() {
 		j.detachDisconnected()
@@ -221,8 +232,9 @@
 	return c.sendsInFlight.Load() == 0
 }
 
-// EndTimedOut ends the jobs whose customers' timeouts have passed. Timers end them as well,
-// but after a suspension of the machine they fire late by the length of the suspension.
+// EndTimedOut ends the jobs whose customers' timeouts have passed. Normally timers do that.
+// EndTimedOut must be called after a suspension of the machine, because a timer that runs
+// during a suspension fires late by its length.
 func (c *Coordinator) EndTimedOut() {
 	now := c.clock.Now()
 	for _, j := range c.sortedJobs() {
@@ -237,7 +249,7 @@
 	}
 }
 
-// WaitingJobs returns the number of open jobs of a route without an open offer.
+// WaitingJobs returns the number of open jobs of the given route that have no open offer.
 func (c *Coordinator) WaitingJobs(route string) int {
 	n := 0
 	c.forEachJob(func(j *openJob) {
@@ -250,7 +262,7 @@
 	return n
 }
 
-// OpenJobs returns the number of jobs without a verdict.
+// OpenJobs returns the number of open jobs of all routes.
 func (c *Coordinator) OpenJobs() int {
 	n := 0
 	c.forEachJob(func(*openJob) { n++ })
@@ -276,9 +288,10 @@
 	}
 }
 
-// retryAfter returns how long a customer should wait before it sends its job again, or 0 if
-// it should not, given the outcome of the job's search for an owner. It also counts
-// completed jobs in the completion rate.
+// retryAfter returns how long a customer should wait before it sends its job again, given the
+// verdict on the job and the reason why no owner was found. It returns 0 if the customer need
+// not send the job again. It must be called once per job, because it also records completed
+// jobs in the completion rate, from which the retries are planned.
 func (c *Coordinator) retryAfter(v Verdict, outcome searchOutcome) time.Duration {
 	switch {
 	case v == Completed:
@@ -295,8 +308,9 @@
 	}
 }
 
-// Objective returns the latency objective of the job, computed from the customer's estimate
-// and the route.
+// Objective returns the latency objective of the job: the time within which it should
+// complete. It is the customer's estimate of a task's duration times the route's stretch,
+// plus the route's slack.
 func (r *Request) Objective() time.Duration { return objective(r.Job, r.Route) }
 
 func objective(job *fleet.Job, route *fleet.Route) time.Duration {
--- a/ingress/job.go
+++ b/ingress/job.go
@@ -18,15 +18,15 @@
 	Request
 	coordinator *Coordinator
 	acceptedAt  time.Time
-	done        chan struct{}  // closed once response is set
-	response    Response       // must not be read before done is closed
+	done        chan struct{}  // closed when response has been set
+	response    Response       // may be read only after done is closed
 	onResponse  func(Response) // called with the response; may be nil
 
 	mu         sync.Mutex
 	unfinished map[int]bool                 // tasks that are not done, by index
-	history    map[int]schedule.TaskHistory // earlier runs of the tasks that owners have returned
+	history    map[int]schedule.TaskHistory // runs of returned tasks so far, by task index
 	unassigned []int                        // tasks that are in no open offer
-	offers     map[int]*openOffer           // offers that have not ended, by number
+	offers     map[int]*openOffer           // open offers, by number
 	search     ownerSearch
 	begun      bool // a task of the job may have begun
 	offerCount int  // offers made so far
@@ -37,7 +37,7 @@
 	retryScheduled bool      // a timer will offer the unassigned tasks again
 }
 
-// openOffer is an offer of some of a job's tasks that has not ended.
+// openOffer is an offer of some of a job's tasks whose result has not arrived yet.
 type openOffer struct {
 	number   int // unique among the offers of the coordinator
 	group    string
@@ -46,11 +46,13 @@
 	sent     bool // the offer has been sent and can be withdrawn
 }
 
-// ownerRetryDelay is the delay before owners are tried again after none could be reached. A
-// lost owner is replaced within a second.
+// ownerRetryDelay is the delay before tasks are offered again when no owner could be reached.
+// It is short against the second within which a lost owner is replaced, so that a job loses
+// little more time than the replacement takes.
 const ownerRetryDelay = 25 * time.Millisecond
 
-// settle gives the job its verdict, unless it has one, and withdraws its open offers.
+// settle gives the job its verdict, unless it has one already, and withdraws those of its open
+// offers that have been sent. An Unknown verdict becomes NotRun if no task can have begun.
 func (j *openJob) settle(v Verdict, reason string) {
 	j.mu.Lock()
 	if j.settled {
@@ -85,8 +87,8 @@
 }
 
 // markSent marks an offer as sent. If the job was settled while the offer was being sent,
-// settle could not withdraw it, so markSent does: otherwise its tasks would run at the same
-// time as those of the job that the customer has sent to another instance.
+// settle has not withdrawn the offer, so markSent does. Otherwise the offered tasks could run
+// while the same job, sent again by its customer, runs for another instance.
 func (j *openJob) markSent(offer *openOffer) {
 	j.mu.Lock()
 	offer.sent = true
@@ -140,8 +142,8 @@
 }
 
 // chooseOwner chooses the owner to offer the unassigned tasks to. It returns false if no
-// owner is left to try, or if enough owners expect no free capacity in time and no task of
-// the job has begun. The lock must be held.
+// owner is left to try. It also returns false if no task of the job has begun and
+// maxOwnersWithoutCapacity owners expect no free capacity in time. The lock must be held.
 func (j *openJob) chooseOwner() (Choice, bool) {
 	begun := j.begun || len(j.offers) > 0
 	loads := j.search.refresh(j.coordinator.owners.Loads())
@@ -151,8 +153,9 @@
 	return j.coordinator.policy.choose(loads, j.coordinator.zone, j.search.tried, len(j.unassigned), begun)
 }
 
-// newOffer creates an offer of the unassigned tasks. AliveAt is a time at which the
-// customer was known to be connected. The lock must be held.
+// newOffer creates an offer of all unassigned tasks to the chosen group and records it as
+// open. AliveAt is the time before the last check of the customer's connection; the owner
+// must not start the tasks when that time is too long ago. The lock must be held.
 func (j *openJob) newOffer(choice Choice, aliveAt time.Time) (*openOffer, schedule.Offer) {
 	step := j.Job.Steps[0]
 	now := j.coordinator.clock.Now()
@@ -172,17 +175,18 @@
 	return offer, o
 }
 
-// undoOffer makes the tasks of an offer that could not be sent unassigned again.
+// undoOffer handles an offer that could not be sent: its tasks become unassigned again, and
+// the group counts as unreachable.
 func (j *openJob) undoOffer(offer *openOffer) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.unassign(offer, lo.Keys(offer.tasks))
 	delete(j.offers, offer.number)
-	j.search.unreachable[offer.group] = true // until no other owner is left to try
+	j.search.unreachable[offer.group] = true // until handleNoOwner allows retries
 }
 
-// unassign moves those of the tasks that are still in the offer back to the unassigned ones.
-// The lock must be held.
+// unassign moves tasks from an offer back to the unassigned tasks. Tasks that are not in the
+// offer any more are ignored. The lock must be held.
 func (j *openJob) unassign(offer *openOffer, tasks []int) {
 	for _, t := range tasks {
 		if _, has := offer.tasks[t]; has {
@@ -193,9 +197,13 @@
 	slices.Sort(j.unassigned)
 }
 
-// handleNoOwner settles the job, or schedules a retry, when no owner is left to offer the
-// unassigned tasks to. If no owner could be reached, it retries for as long as the job could
-// still meet its latency objective.
+// handleNoOwner is called when no owner is left to offer the unassigned tasks to:
+//   - If the job has begun and an owner expects no free capacity in time for the rest, the job
+//     is settled.
+//   - If other offers of the job are open, the unassigned tasks wait until one of them ends.
+//   - If no owner could be reached, the tasks are offered again after ownerRetryDelay, unless
+//     the latency objective has passed.
+//   - Otherwise the job is settled.
 func (j *openJob) handleNoOwner() {
 	j.mu.Lock()
 	otherOffersOpen := len(j.offers) > 0
@@ -207,7 +215,7 @@
 	case outcome == noCapacityInTime && begun:
 		j.settle(Unknown, "no room in time for all of it")
 	case otherOffersOpen:
-		return // when one of the open offers ends, these tasks are offered again
+		return // the unassigned tasks are offered again when one of the open offers ends
 	case outcome == tooLarge:
 		j.settle(Failed, "no upstream is large enough")
 	case outcome == noCapacityInTime:
@@ -225,7 +233,8 @@
 	}
 }
 
-// scheduleRetry sets a timer that offers the unassigned tasks again, unless one is set.
+// scheduleRetry sets a timer that offers the unassigned tasks again after ownerRetryDelay. It
+// does nothing if the timer is already set.
 func (j *openJob) scheduleRetry() {
 	j.mu.Lock()
 	alreadyScheduled := j.retryScheduled
@@ -242,19 +251,19 @@
 	})
 }
 
-// handleReturned offers tasks to other owners that an owner has returned: they do not run
-// there and never will.
+// handleReturned processes the return of some tasks of an offer, which do not run at the
+// owner and never will. It offers them to other owners.
 func (j *openJob) handleReturned(offer *openOffer, r schedule.Result) {
 	j.mu.Lock()
 	maps.Copy(j.history, r.History)
 	j.unassign(offer, r.Returned)
-	j.begun = j.begun || r.Begun || len(offer.tasks) > 0 // the owner runs the tasks that it kept
+	j.begun = j.begun || r.Begun || len(offer.tasks) > 0 // the owner may have started the tasks that it keeps
 	j.mu.Unlock()
 	j.offerUnassigned()
 }
 
-// handleEnded processes the result of an offer: it settles the job or offers the tasks that
-// are left to other owners.
+// handleEnded processes the end of an offer. It settles the job if all tasks are done or the
+// rest cannot be completed, and otherwise offers the remaining tasks to other owners.
 func (j *openJob) handleEnded(offer *openOffer, r schedule.Result) {
 	j.mu.Lock()
 	delete(j.offers, offer.number)
@@ -265,7 +274,7 @@
 		delete(offer.tasks, t)
 	}
 	if r.Outcome == schedule.Completed || !r.Begun {
-		j.unassign(offer, lo.Keys(offer.tasks)) // none of them runs at that owner
+		j.unassign(offer, lo.Keys(offer.tasks)) // the owner runs none of the tasks that are left
 	}
 	switch r.Outcome {
 	case schedule.NeverFits:
--- a/ingress/retryplan.go
+++ b/ingress/retryplan.go
@@ -6,31 +6,34 @@
 	"time"
 )
 
-// retryPlan decides when rejected customers should send their jobs again. It assigns to each
-// of the next seconds only as many retries as can be served in addition to new jobs, in the
-// order in which the customers were rejected.
+// retryPlan decides when rejected customers should send their jobs again. It assigns a limited
+// number of retries to each of the next seconds, the earliest second first: as many as can
+// probably be served in addition to new jobs, a share of the jobs completed per second lately.
 type retryPlan struct {
 	mu               sync.Mutex
-	completionRate   float64 // jobs completed per second as of rateUpdated, an exponentially decaying average
+	completionRate   float64 // exponentially decaying average of the jobs completed per second, at rateUpdated
 	rateUpdated      time.Time
-	retriesPerSecond [planSeconds]int // retries assigned to each second, from firstSecond on
-	firstSecond      int64            // Unix time in seconds
+	retriesPerSecond [planSeconds]int // retries assigned so far to each second from firstSecond on
+	firstSecond      int64            // first planned second, as Unix time
 }
 
 const (
-	// planSeconds is how many seconds ahead retries are planned. Customers do not wait longer.
+	// planSeconds is how many seconds ahead retries are planned. If all of them are full, the
+	// customer is told to retry after planSeconds, regardless of the plan.
 	planSeconds = 30
-	// retryShare is the share of the completion rate that is assigned to retries.
+	// retryShare is the number of retries assigned to a second, as a share of the jobs that
+	// are completed per second. The rest of the capacity is left to new jobs.
 	retryShare = 0.25
-	// rateTimeConstant is the time constant of the exponential decay of the completion rate.
+	// rateTimeConstant is the time within which the weight of a completed job in the
+	// completion rate decays to 1/e.
 	rateTimeConstant = 3 * time.Second
-	// minRetryAfter is used for rejections that are not caused by load: this or another
-	// instance will serve the job in about a second. It is also the smallest unit of the
-	// Retry-After header.
+	// minRetryAfter is used for rejections that are not caused by load, for example because
+	// no owner could be reached: about a second later, this or another instance can serve the
+	// job. The Retry-After header cannot express a shorter time, as it counts in seconds.
 	minRetryAfter = time.Second
 	// closedRetryAfter is used if no task may start on any upstream, because operators have
-	// evacuated every availability zone. An evacuation lasts some seconds at least and its
-	// end is not known, so earlier retries would only be rejected again.
+	// evacuated every availability zone. Nobody knows when an evacuation ends, but it lasts
+	// several seconds at least, so earlier retries would only be rejected again.
 	closedRetryAfter = 3 * time.Second
 )
 
@@ -42,7 +45,7 @@
 	r.rateUpdated = now
 }
 
-// decayedRate returns the completion rate at the given time.
+// decayedRate returns the completion rate, decayed from rateUpdated to the given time.
 func (r *retryPlan) decayedRate(now time.Time) float64 {
 	if r.rateUpdated.IsZero() {
 		return 0
@@ -50,8 +53,8 @@
 	return r.completionRate * math.Exp(-now.Sub(r.rateUpdated).Seconds()/rateTimeConstant.Seconds())
 }
 
-// nextRetryAfter assigns a retry to the earliest second that has a slot left, and returns the
-// time until then.
+// nextRetryAfter assigns one more retry to the earliest second that is not full, and returns
+// the time from now to that second.
 func (r *retryPlan) nextRetryAfter(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +69,8 @@
 	return planSeconds * time.Second
 }
 
-// advance moves the start of the plan to the given Unix time and drops the seconds before it.
+// advance makes the given Unix time the first second of the plan. The retries assigned to
+// earlier seconds are dropped.
 func (r *retryPlan) advance(from int64) {
 	passed := from - r.firstSecond
 	r.firstSecond = from
--- a/ingress/waiter.go
+++ b/ingress/waiter.go
@@ -7,22 +7,23 @@
 )
 
 // waiter is a customer connection that waits for the response to a job. A job has several
-// waiters if its customer has sent it again while it was open here. The job goes on until
-// the last waiter is detached, because only then may the customer send it to another
-// instance.
+// waiters if its customer has sent it to this instance again while it was open. The job goes
+// on until the last waiter is detached: as long as a connection is open, the customer does
+// not send the job to another instance.
 type waiter struct {
 	disconnected func() bool // Request.Disconnected
 	deadline     time.Time   // when the customer stops waiting
 
 	// The fields below are guarded by the job's lock.
-	checked  bool // the connection has been checked for its end at least once
-	detached bool // the customer does not wait on this connection any more
+	checked  bool // disconnected has been called at least once
+	detached bool // this waiter has timed out or disconnected and needs no response any more
 }
 
 const (
 	reasonDisconnected = "the customer has left"
 	// reasonDisconnectedUnread is for a request that was read only after its connection had
-	// ended: the instance was paused, and another one may have served the customer since.
+	// ended, because the instance was paused. The customer may have sent the job to another
+	// instance since.
 	reasonDisconnectedUnread = "the customer left before its request was read"
 	reasonTimedOut           = "the customer's deadline has passed"
 )
@@ -42,7 +43,7 @@
 }
 
 // awaitResponse waits until the job has a verdict, the customer disconnects or the timeout
-// passes, and returns the response for the connection.
+// passes, and returns the response to send on the waiter's connection.
 func (j *openJob) awaitResponse(w *waiter, disconnected <-chan struct{}, timeout time.Duration) Response {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -59,8 +60,8 @@
 // timeOut detaches a waiter whose customer's timeout has passed.
 func (j *openJob) timeOut(w *waiter) Response { return j.detach(w, Unknown, reasonTimedOut) }
 
-// detach marks a waiter as no longer waiting. When the last one is detached, the job is
-// settled with the given verdict.
+// detach marks a waiter as no longer waiting, and returns the response for its connection. If
+// it is the last waiter of the job, the job is settled with the given verdict.
 func (j *openJob) detach(w *waiter, v Verdict, reason string) Response {
 	j.mu.Lock()
 	w.detached = true
@@ -84,8 +85,8 @@
 	}
 }
 
-// detachDisconnected detaches the waiters whose connections have ended, as far as the
-// operating system knows now.
+// detachDisconnected detaches the waiters whose connections the customer has closed, as far as
+// the operating system knows now.
 func (j *openJob) detachDisconnected() {
 	j.mu.Lock()
 	attached := lo.Filter(j.waiters, func(w *waiter, _ int) bool { return !w.detached && w.disconnected != nil })
@@ -98,8 +99,9 @@
 	}
 }
 
-// markChecked records that the connection is being checked for its end, and returns the
-// reason to report if it has ended. The job's lock must be held.
+// markChecked records that disconnected is about to be called, and returns the reason to
+// report if the connection turns out to have ended. If it has ended by the first check, the
+// request was read too late. The job's lock must be held.
 func (w *waiter) markChecked() string {
 	first := !w.checked
 	w.checked = true
