--- a/ingress/server.go
+++ b/ingress/server.go
@@ -27,16 +27,16 @@
 	Response
 	Took          time.Duration // from reading the request to the response
 	Timeout       time.Duration // how long the customer waits, as stated in its request
-	Objective     time.Duration // latency objective, computed from the customer's estimate; 0 if the job was not accepted
+	Objective     time.Duration // latency objective of the job; 0 if it was rejected at once
 	Late          bool          // Took exceeds Objective
 	Tasks         int           // number of tasks of the job
-	ConfigVersion uint64
+	ConfigVersion uint64        // version of the configuration under which the job was handled
 }
 
 // ShutdownStatus reports whether a planned shutdown of the instance is under way, and how
-// much time is left for jobs until it ends. Customers keep using their open connections
-// during a shutdown, so an instance that is shutting down still accepts jobs that can end in
-// time. It closes each connection after the response.
+// much time is left for jobs until the instance exits. Customers keep sending jobs on their
+// open connections during a shutdown. The instance accepts those jobs that can complete in
+// the time that is left, and closes each connection after a response.
 type ShutdownStatus func() (left time.Duration, stopping bool)
 
 // ConfigSource returns the current configuration, or nil if none has been received yet.
@@ -45,13 +45,14 @@
 const (
 	// defaultTimeout is how long a customer waits that does not state a timeout.
 	defaultTimeout = 5 * time.Second
-	// responseMargin is how long before the customer's deadline the response is sent: it
-	// takes up to a round trip to arrive.
+	// responseMargin is how long before the customer's deadline a job is timed out, so that
+	// the response still arrives in time. It may take up to a round trip.
 	responseMargin = 30 * time.Millisecond
-	// maxBodyBytes is the maximum size of a request body, whatever the configuration allows.
+	// maxBodyBytes is the maximum size of a request body. The configuration can only set a
+	// lower limit.
 	maxBodyBytes = 1 << 20
-	// readBufferBytes is the size of the read buffer, which has to hold the whole header of
-	// a request.
+	// readBufferBytes is the size of the read buffer, and so the maximum size of the header
+	// of a request.
 	readBufferBytes = 16 << 10
 	// idleTimeout is how long a customer's connection may be idle before it is closed.
 	idleTimeout = 2 * time.Minute
@@ -66,7 +67,7 @@
 	http           *fasthttp.Server
 }
 
-// NewServer returns a Server. Serve starts it.
+// NewServer returns a Server that is not serving yet. Call Serve to start it.
 func NewServer(coordinator *Coordinator, config ConfigSource, shutdownStatus ShutdownStatus, recorder Recorder) *Server {
 	s := &Server{coordinator: coordinator, config: config, recorder: recorder, shutdownStatus: shutdownStatus}
 	s.http = &fasthttp.Server{
@@ -77,9 +78,10 @@
 	return s
 }
 
-// Serve serves the connections that l accepts until l is closed. It returns an Internal
-// error and serves nothing if the end of a connection could not be detected: a job would
-// then run for a customer that has already sent it to another instance.
+// Serve serves the connections that l accepts until l is closed. If the operating system
+// cannot report whether the peer has closed a connection, Serve returns an Internal error and
+// serves nothing. Otherwise a job could run here for a customer that has disconnected and
+// sent the job to another instance.
 func (s *Server) Serve(l net.Listener) error {
 	watched, err := newWatchedListener(l)
 	if err != nil {
@@ -128,7 +130,8 @@
 	}
 }
 
-// handleQueue responds with the number of waiting jobs of a route.
+// handleQueue responds to a GET request for the path prefix of a route with the number of
+// jobs of the route that are waiting here.
 func (s *Server) handleQueue(ctx *fasthttp.RequestCtx, route *fleet.Route) {
 	if !ctx.IsGet() {
 		ctx.SetStatusCode(fasthttp.StatusMethodNotAllowed)
@@ -182,8 +185,8 @@
 	s.recordResponse(record, config, route, ctx, receivedAt)
 }
 
-// parseJob decodes a job. It returns a TooLarge error if the body is larger than the
-// configuration allows.
+// parseJob decodes the body of a job. It returns a TooLarge error if the body exceeds the
+// limit in the configuration.
 func parseJob(config *fleet.Config, id string, body []byte) (*fleet.Job, error) {
 	if config.MaxBodyBytes > 0 && len(body) > config.MaxBodyBytes {
 		return nil, failure.Field(failure.TooLarge, "body", "has %d bytes, over %d", len(body), config.MaxBodyBytes)
@@ -191,7 +194,8 @@
 	return platform.ParseJob(id, body)
 }
 
-// rejectReason returns the reason to reject a job without coordinating it, or "".
+// rejectReason returns why a job must be rejected before any offer is made, or "" if the job
+// is acceptable.
 func (s *Server) rejectReason(job *fleet.Job, route *fleet.Route) string {
 	switch {
 	case s.shutsDownBefore(job, route):
@@ -205,9 +209,9 @@
 	}
 }
 
-// shutsDownBefore reports whether a planned shutdown ends before the latency objective of a
-// job has passed. Jobs that have enough time are accepted, because their customers would
-// otherwise have to send them to another instance.
+// shutsDownBefore reports whether the instance will exit, in a planned shutdown, before the
+// latency objective of a job has passed. A job with enough time is accepted, which saves its
+// customer from having to send it to another instance.
 func (s *Server) shutsDownBefore(job *fleet.Job, route *fleet.Route) bool {
 	left, stopping := s.shutdownStatus()
 	return stopping && left < objective(job, route)
@@ -220,7 +224,8 @@
 	s.recorder.RecordResponse(r)
 }
 
-// writeResponse writes the HTTP response for a verdict.
+// writeResponse writes the HTTP response for a verdict. CustomerLeft and Unknown result in
+// status 504.
 func writeResponse(ctx *fasthttp.RequestCtx, r Response) {
 	switch r.Verdict {
 	case Completed:
@@ -234,14 +239,15 @@
 	}
 }
 
-// writeUnavailable responds that no task of the job has run or will run, and when the
-// customer should send it again.
+// writeUnavailable responds with status 503, which means that no task of the job has run or
+// will run, and with the time after which the customer should send the job again.
 func writeUnavailable(ctx *fasthttp.RequestCtx, reason string, retryAfter time.Duration) {
 	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(retryAfter.Seconds()))))
 	ctx.Error(reason, fasthttp.StatusServiceUnavailable)
 }
 
-// writeError responds to an invalid request.
+// writeError responds to an invalid request, with status 413 for a TooLarge error and 400 for
+// all others.
 func writeError(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
 	if failure.Is(err, failure.TooLarge) {
--- a/ingress/watch.go
+++ b/ingress/watch.go
@@ -18,8 +18,8 @@
 type watchedListener struct{ net.Listener }
 
 // newWatchedListener returns a listener that wraps the connections of l. It returns an
-// Internal error if the operating system cannot report the state of the sockets: l is a
-// wrapper that hides the file descriptor, or poll fails.
+// Internal error if the state of its socket cannot be queried, either because l is a wrapper
+// that hides the file descriptor or because poll fails.
 func newWatchedListener(l net.Listener) (*watchedListener, error) {
 	raw, err := connset.Socket(l)
 	if err != nil {
@@ -42,20 +42,21 @@
 	}
 	raw, err := connset.Socket(c)
 	if err != nil {
-		_ = c.Close() // nothing was read from it, and err reports the failure
+		_ = c.Close() // an error does not matter: nothing was read from the connection
 		return nil, err
 	}
 	return &watchedConn{Conn: c, raw: raw}, nil
 }
 
-// watchedConn is a connection that reads one byte ahead to detect its end while it is
-// watched. The next Read returns that byte.
+// watchedConn is a connection that can be watched for its end while a request is being
+// handled. A goroutine of watchDisconnect does this by reading one byte ahead. If a byte
+// arrives, it belongs to the next request, and the next Read returns it.
 type watchedConn struct {
 	net.Conn
 	raw      syscall.RawConn
 	mu       sync.Mutex
-	buffered []byte
-	readErr  error
+	buffered []byte // the byte read ahead, if any
+	readErr  error  // with which reading ahead ended
 }
 
 // Read implements net.Conn.
@@ -74,20 +75,22 @@
 }
 
 // isPeerClosed reports whether the peer has closed or reset the connection, as far as the
-// operating system knows now. The goroutine of watchDisconnect may not have been scheduled
-// yet, or has ended because the next request has arrived. isPeerClosed reads nothing. A
-// connection whose state cannot be queried counts as closed: a task that is not started can
-// be sent again, but one that runs twice cannot be undone.
+// operating system knows now. It reads nothing. It is needed in addition to watchDisconnect,
+// whose goroutine may not have noticed the end: it may not have been scheduled since, or it
+// has stopped because a byte of the next request has arrived. A connection whose state cannot
+// be queried counts as closed, because a job that does not run can be sent again, whereas a
+// task that runs twice cannot be undone.
 func (c *watchedConn) isPeerClosed() bool {
 	closed := true
 	err := c.raw.Control(func(fd uintptr) {
 		hungUp, pollErr := pollPeerClosed(int32(fd))
 		closed = hungUp || pollErr != nil
 	})
-	return closed || err != nil // an error means that this side has closed the connection
+	return closed || err != nil // err is set if this side has closed the connection
 }
 
-// pollPeerClosed reports whether the peer of a socket has closed or reset it.
+// pollPeerClosed reports, without waiting, whether the peer of a socket has closed or reset
+// the connection.
 func pollPeerClosed(fd int32) (bool, error) {
 	fds := []unix.PollFd{{Fd: fd, Events: unix.POLLRDHUP}}
 	for {
@@ -100,7 +103,8 @@
 }
 
 // disconnectCheck returns a function that reports, without blocking, whether the peer of
-// conn has closed it. The function always returns true if conn is not a watchedConn.
+// conn has closed it. If conn is not a watchedConn, this is unknown and the function always
+// returns true, so that no job runs for a customer that may have disconnected.
 func disconnectCheck(conn net.Conn) func() bool {
 	c, watched := conn.(*watchedConn)
 	if !watched {
@@ -109,8 +113,9 @@
 	return c.isPeerClosed
 }
 
-// watchDisconnect returns a channel that is closed once the peer of conn has closed it. The
-// caller must call stop before it reads from conn again.
+// watchDisconnect watches conn and returns a channel that is closed once the peer has closed
+// conn. The caller must call stop before it reads from conn again. If conn is not a
+// watchedConn, the channel is never closed.
 func watchDisconnect(conn net.Conn) (disconnected <-chan struct{}, stop func()) {
 	closed := make(chan struct{})
 	c, watched := conn.(*watchedConn)
@@ -125,13 +130,14 @@
 		}
 	}()
 	return closed, func() {
-		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // interrupts the read; an error means that it has failed already
+		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // interrupts readAhead; an error means that the connection is closed, so that readAhead fails anyway
 		<-finished
-		_ = c.Conn.SetReadDeadline(time.Time{}) // fails only on a closed connection, as the next read will
+		_ = c.Conn.SetReadDeadline(time.Time{}) // fails only on a closed connection; the next read then fails too
 	}
 }
 
-// readAhead waits for one byte, and reports whether the connection ended before one arrived.
+// readAhead reads one byte ahead, until stop interrupts it. It returns true if the connection
+// has ended, and false if a byte has arrived or the read was interrupted.
 func (c *watchedConn) readAhead() bool {
 	var b [1]byte
 	n, err := c.Conn.Read(b[:])
