--- a/ingress/disconnect_test.go
+++ b/ingress/disconnect_test.go
@@ -8,10 +8,10 @@
 	"github.com/sedgehatch/sedgehatch/schedule"
 )
 
-// TestLeavesWhileOffered guards against a job that runs although its customer has
-// disconnected, possibly at the same time as on another instance. The customer disconnects
-// after the decision to make an offer and before the offer has been sent, when there is
-// nothing to withdraw yet. The offer must be withdrawn once it has been sent.
+// TestLeavesWhileOffered guards against a job that runs although its customer has disconnected
+// and may have sent it to another instance. The customer disconnects while an offer is being
+// sent. The offer cannot be withdrawn at that moment, because the owner has not received it
+// yet, so it must be withdrawn after it has been sent.
 func TestLeavesWhileOffered(t *testing.T) {
 	disconnected := make(chan struct{})
 	response := make(chan Response, 1)
@@ -27,23 +27,23 @@
 		}
 		close(disconnected)
 		if got := <-response; got.Verdict != CustomerLeft {
-			t.Errorf("response %+v", got)
+			t.Errorf("response %+v, want verdict left", got)
 		}
 		f.mu.Lock()
-		f.withdrawn = nil // there was nothing to withdraw yet
+		f.withdrawn = nil // count only withdrawals after this offer has been sent
 		f.mu.Unlock()
 		return nil
 	}
 	go func() { response <- NewCoordinator("a", f).Run(newRequest(1), disconnected) }()
 	<-offered
 	if len(f.withdrawn) != 1 {
-		t.Errorf("%d offers were withdrawn after they were sent", len(f.withdrawn))
+		t.Errorf("%d withdrawals after the offer was sent, want 1", len(f.withdrawn))
 	}
 }
 
-// TestSentAgainAndLeft checks that a job ends if its customer has sent it twice to the same
-// instance and both connections end, the second one first. The customer may then send the job
-// to another instance.
+// TestSentAgainAndLeft checks that a job ends once all connections of its customer have ended,
+// because the customer may then send it to another instance. The customer has sent the job to
+// the same instance on two connections, of which the second ends first.
 func TestSentAgainAndLeft(t *testing.T) {
 	offered := make(chan struct{}, 1)
 	f := &fakeOwners{loads: twoZoneLoads(), offer: func(string, schedule.Offer, owner.OfferCallbacks) error { offered <- struct{}{}; return nil }}
@@ -56,21 +56,22 @@
 	<-offered
 	close(second)
 	if got := c.Run(r, second); got.Verdict != CustomerLeft {
-		t.Errorf("response on the second connection: %+v", got)
+		t.Errorf("response on the second connection: %+v, want verdict left", got)
 	}
 	close(first)
 	if got := <-response; got.Verdict != CustomerLeft || len(f.withdrawn) != 1 {
-		t.Errorf("response on the first connection: %+v, %d offers withdrawn", got, len(f.withdrawn))
+		t.Errorf("response on the first connection: %+v, %d offers withdrawn; want verdict left, 1 withdrawn", got, len(f.withdrawn))
 	}
 }
 
-// TestNoLeaseAheadOfWithdrawals checks that a lease is not renewed between the verdict on a
-// job and the withdrawal of its offers.
+// TestNoLeaseAheadOfWithdrawals checks that the lease at an owner is not renewed between the
+// verdict on a job and the withdrawal of its offers.
 //
-// Different threads do the two, and the process may be paused between them. After the pause,
-// the thread that processes the owner's heartbeats may run first, find no disconnected
-// customer among the open jobs, and renew the lease. The owner, which was paused as well,
-// would then start the waiting tasks while the job runs on another instance.
+// The failure needs a pause of the process between the two. After the pause, the goroutine
+// that processes the owner's heartbeats may run before the one that sends the withdrawal. It
+// finds no disconnected customer among the open jobs and renews the lease. An owner that was
+// paused as well then starts the waiting tasks, while the customer has already sent the job to
+// another instance.
 func TestNoLeaseAheadOfWithdrawals(t *testing.T) {
 	disconnected, withdrawing, resume := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	offered := make(chan struct{})
@@ -85,17 +86,18 @@
 	close(disconnected)
 	<-withdrawing
 	if c.EndDisconnected() {
-		t.Error("a lease may be renewed while an offer is being withdrawn")
+		t.Error("EndDisconnected allows the renewal of a lease while an offer is being withdrawn")
 	}
 	close(resume)
 	<-response
 	if c.sendsInFlight.Load() != 0 {
-		t.Errorf("%d sends are still in flight", c.sendsInFlight.Load())
+		t.Errorf("%d sends are counted as in flight after the withdrawal was sent", c.sendsInFlight.Load())
 	}
 }
 
-// TestNoLeaseWhileOffering checks that a lease is not renewed while an offer is being sent: if
-// the job gets its verdict meanwhile, the offer is withdrawn only after it has been sent.
+// TestNoLeaseWhileOffering checks that the lease at an owner is not renewed while an offer is
+// being sent. If the job gets its verdict meanwhile, the offer is withdrawn only after it has
+// been sent, and the renewal must not overtake that withdrawal.
 func TestNoLeaseWhileOffering(t *testing.T) {
 	disconnected, offering, resume := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	f := &fakeOwners{loads: twoZoneLoads(), offer: func(string, schedule.Offer, owner.OfferCallbacks) error {
@@ -108,13 +110,13 @@
 	go func() { response <- c.Run(newRequest(1), disconnected) }()
 	<-offering
 	if c.EndDisconnected() {
-		t.Error("a lease may be renewed while an offer is being sent")
+		t.Error("EndDisconnected allows the renewal of a lease while an offer is being sent")
 	}
 	close(resume)
 	close(disconnected)
 	<-response
 	if !c.EndDisconnected() {
-		t.Error("no lease may be renewed although nothing is being sent")
+		t.Error("EndDisconnected prevents the renewal of a lease although nothing is being sent")
 	}
 }
 
@@ -131,10 +133,10 @@
 	f.fakeOwners.Withdraw(group, key, reason)
 }
 
-// TestReasonsOfLeaving checks that reasonDisconnectedUnread is reported only for requests that
-// were read after their connections had ended, and not if the customer disconnects while its
-// job waits for an owner. Operators count the former to see how often customers have gone to
-// another instance before their request is read.
+// TestReasonsOfLeaving checks that reasonDisconnectedUnread is reported for a request that was
+// read after its connection had ended, and reasonDisconnected for a customer that disconnects
+// while its job waits for an owner. Operators count the first reason to see how many requests
+// instances read too late.
 func TestReasonsOfLeaving(t *testing.T) {
 	for name, c := range map[string]struct {
 		checksBefore int
@@ -149,7 +151,7 @@
 		r.Disconnected = func() bool { checks++; return checks > c.checksBefore }
 		noOwners := &fakeOwners{} // the job waits for an owner
 		if got := NewCoordinator("a", noOwners).Run(r, nil); got.Verdict != CustomerLeft || got.Reason != c.want || got.Offers != 0 {
-			t.Errorf("%s: response %+v", name, got)
+			t.Errorf("%s: response %+v, want verdict left with the reason of this case and no offers", name, got)
 		}
 	}
 }
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -13,6 +13,7 @@
 	"github.com/sedgehatch/sedgehatch/schedule"
 )
 
+// TestChoose checks the choice of an owner with the default policy, for a coordinator in zone a.
 func TestChoose(t *testing.T) {
 	groupLoad := func(group string, free, waiting int) OwnerLoad {
 		return OwnerLoad{Group: group, Zone: group[:1], Free: free, Waiting: waiting, Capacity: 100}
@@ -43,7 +44,7 @@
 			tried[g] = true
 		}
 		if got, found := DefaultPolicy.choose(c.loads, "a", tried, c.tasks, c.begun); got != c.want || found != c.found {
-			t.Errorf("%s: %+v %v, want %+v %v", name, got, found, c.want, c.found)
+			t.Errorf("%s: choice %+v, found %v; want %+v, found %v", name, got, found, c.want, c.found)
 		}
 	}
 }
@@ -88,7 +89,7 @@
 	callbacks.OfferEnded(r, schedule.Load{})
 }
 
-// TestRun checks the verdict on a job of three tasks for each kind of result from owners.
+// TestRun checks the verdict on a job of three tasks for each way in which its offers can end.
 func TestRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		loads []OwnerLoad
@@ -169,7 +170,7 @@
 			coordinator := NewCoordinator("a", &fakeOwners{loads: c.loads, offer: c.offer})
 			got := coordinator.Run(newRequest(3), nil)
 			if got.Verdict != c.want || got.Begun != c.begun {
-				t.Errorf("response %+v, want %s, begun %v", got, c.want, c.begun)
+				t.Errorf("response %+v, want verdict %s, begun %v", got, c.want, c.begun)
 			}
 			if coordinator.OpenJobs() != 0 {
 				t.Error("the job is still open")
@@ -189,17 +190,18 @@
 	go func() { response <- c.Run(newRequest(1), disconnected) }()
 	<-offered
 	if state, open := c.State("0000000000000001"); !open || state != fleet.StateRunning {
-		t.Errorf("the job is %s, open %v", state, open)
+		t.Errorf("the job is %s, open %v; want running, open true", state, open)
 	}
 	close(disconnected)
 	if got := <-response; got.Verdict != CustomerLeft {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want verdict left", got)
 	}
 	if len(f.withdrawn) != 1 {
-		t.Errorf("%d offers were withdrawn", len(f.withdrawn))
+		t.Errorf("%d offers were withdrawn, want 1", len(f.withdrawn))
 	}
 }
 
+// TestCancel checks that cancelling an open job ends it as failed and withdraws its offer.
 func TestCancel(t *testing.T) {
 	offered := make(chan struct{}, 1)
 	f := &fakeOwners{loads: twoZoneLoads(), offer: func(string, schedule.Offer, owner.OfferCallbacks) error { offered <- struct{}{}; return nil }}
@@ -208,15 +210,15 @@
 	go func() { response <- c.Run(newRequest(1), nil) }()
 	<-offered
 	if !c.Cancel("0000000000000001") || c.Cancel("0000000000000002") {
-		t.Error("only the open job can be cancelled")
+		t.Error("Cancel did not report the first job as open and the second one as unknown")
 	}
 	if got := <-response; got.Verdict != Failed || len(f.withdrawn) != 1 {
-		t.Errorf("response %+v, %d offers withdrawn", got, len(f.withdrawn))
+		t.Errorf("response %+v, %d offers withdrawn; want verdict failed, 1 withdrawn", got, len(f.withdrawn))
 	}
 }
 
 // TestStopping checks that during a planned shutdown a job is accepted only if its latency
-// objective ends before the shutdown does.
+// objective is no longer than the time left until the instance exits.
 func TestStopping(t *testing.T) {
 	short := newRequest(1)
 	short.Job.Steps[0].Estimate = 50 * time.Millisecond
@@ -240,14 +242,15 @@
 		r.Job.Steps[0].Estimate = c.estimate
 		s := &Server{shutdownStatus: func() (time.Duration, bool) { return c.left, c.stopping }}
 		if reason := s.rejectReason(r.Job, r.Route); (reason != "") != c.rejected {
-			t.Errorf("%s: reason %q", name, reason)
+			t.Errorf("%s: unexpected reason to reject the job %q, which is empty if it is accepted", name, reason)
 		}
 	}
 }
 
 // TestOverloadRejectedAfterFewOffers checks that a job is rejected after
-// maxOwnersWithoutCapacity offers if all 12 groups of a fleet are full. Each offer sends the
-// whole job over two network links, and the queues of the remaining groups are longer.
+// maxOwnersWithoutCapacity offers if all 12 groups of a fleet are full. Further offers would
+// be wasted: the remaining groups have longer queues, and each offer sends the whole job over
+// two network links.
 func TestOverloadRejectedAfterFewOffers(t *testing.T) {
 	var loads []OwnerLoad
 	for i := range 12 {
@@ -261,15 +264,16 @@
 	}})
 	got := coordinator.Run(newRequest(3), nil)
 	if got.Verdict != NotRun || got.RetryAfter == 0 {
-		t.Errorf("response %+v, want not run and a time to retry after", got)
+		t.Errorf("response %+v, want verdict not_run and a time to retry after", got)
 	}
 	if offers != maxOwnersWithoutCapacity {
-		t.Errorf("the job was offered to %d owners", offers)
+		t.Errorf("the job was offered %d times, want maxOwnersWithoutCapacity", offers)
 	}
 }
 
-// TestEvacuatedAll checks that a job is rejected at once, with a time to retry after and
-// without an offer, if operators have evacuated every availability zone.
+// TestEvacuatedAll checks the response to a job if operators have evacuated every availability
+// zone: it is rejected at once without having been offered, and the customer is told to retry
+// after closedRetryAfter.
 func TestEvacuatedAll(t *testing.T) {
 	closed := []OwnerLoad{{Group: "a/0", Zone: "a", Closed: true}, {Group: "b/0", Zone: "b", Closed: true}}
 	c := NewSimulatedCoordinator("a", &fakeOwners{loads: closed, offer: func(group string, _ schedule.Offer, _ owner.OfferCallbacks) error {
@@ -284,15 +288,15 @@
 }
 
 // TestBegunJobMoves checks that a job completes if its zone is evacuated after some of its
-// tasks have begun: a waiting task and a task whose run has failed are offered to the other
-// zone, the latter with its history.
+// tasks have begun. A task that was still waiting and a task whose run has failed must be
+// offered to the other zone, the failed one with the history of its runs.
 func TestBegunJobMoves(t *testing.T) {
 	moved := map[int]schedule.TaskHistory{}
 	f := &fakeOwners{loads: twoZoneLoads()}
 	f.offer = func(group string, o schedule.Offer, cb owner.OfferCallbacks) error {
 		if group == "b/0" {
 			if !o.Begun {
-				t.Errorf("the offer of tasks %v does not say that their job has begun", o.Tasks)
+				t.Errorf("Begun is not set in the offer of tasks %v, although their job has begun", o.Tasks)
 			}
 			maps.Copy(moved, o.History)
 			endOffer(cb, schedule.Result{Outcome: schedule.Completed, Done: o.Tasks, Begun: true})
@@ -306,9 +310,9 @@
 	}
 	got := NewCoordinator("a", f).Run(newRequest(3), nil)
 	if got.Verdict != Completed || !got.Begun {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want verdict completed, begun true", got)
 	}
 	if len(moved) != 1 || moved[2] != (schedule.TaskHistory{LastRun: 1, FailedRuns: 1}) {
-		t.Errorf("the tasks were offered with histories %v", moved)
+		t.Errorf("the tasks were offered with histories %v, want one failed run of task 2", moved)
 	}
 }
--- a/ingress/retryplan_test.go
+++ b/ingress/retryplan_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRetryPlan checks that customers retry in the order in which they were rejected, and that
-// each second is assigned no more than retryShare of the completion rate.
+// TestRetryPlan checks that customers are told to retry in the order in which they were
+// rejected, and that the number of retries per second is retryShare of the completion rate.
 func TestRetryPlan(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var r retryPlan
@@ -23,7 +23,7 @@
 	for range 3 * slots {
 		after := r.nextRetryAfter(now)
 		if after < last {
-			t.Errorf("retry after %v follows one after %v: a later customer retries before an earlier one", after, last)
+			t.Errorf("a customer is told to retry after %v, the one rejected before it after %v", after, last)
 		}
 		last = after
 		retries[after]++
@@ -35,12 +35,12 @@
 	}
 	now = now.Add(2 * time.Second)
 	if after := r.nextRetryAfter(now); after != 2*time.Second {
-		t.Errorf("two seconds later the next customer retries after %v, want 2s", after)
+		t.Errorf("two seconds later, with one planned second still full, the next customer retries after %v, want 2s", after)
 	}
 }
 
-// TestRetryPlanBounds checks that no customer waits longer than planSeconds, and that a plan
-// without any completed jobs still assigns one retry to each second.
+// TestRetryPlanBounds checks that no customer is told to wait longer than planSeconds, and that
+// one retry is assigned to each second even if no jobs are being completed.
 func TestRetryPlanBounds(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var r retryPlan
@@ -51,7 +51,7 @@
 		}
 	}
 	if after := r.nextRetryAfter(now.Add(time.Hour)); after != time.Second {
-		t.Errorf("retry after %v an hour later", after)
+		t.Errorf("an hour later a customer retries after %v, want 1s", after)
 	}
 }
 
@@ -62,23 +62,24 @@
 
 func (stoppedClock) AfterFunc(time.Duration, func()) {}
 
-// TestRetryAfter checks that only rejections for lack of capacity are spread over time.
+// TestRetryAfter checks that retries are spread over time only after rejections for lack of
+// capacity, and that only rejected customers are told to retry.
 func TestRetryAfter(t *testing.T) {
 	c := NewSimulatedCoordinator("a", &fakeOwners{}, stoppedClock{}, DefaultPolicy)
 	for range 3 {
 		if after := c.retryAfter(NotRun, noneReachable); after != minRetryAfter {
-			t.Errorf("no owner reachable: retry after %v", after)
+			t.Errorf("no owner reachable: retry after %v, want minRetryAfter each time", after)
 		}
 	}
 	if first, second := c.retryAfter(NotRun, noCapacityInTime), c.retryAfter(NotRun, noCapacityInTime); first != time.Second || second != 2*time.Second {
-		t.Errorf("no capacity in time: retries after %v, %v", first, second)
+		t.Errorf("no capacity in time: retries after %v and %v, want 1s and 2s", first, second)
 	}
 	if after := c.retryAfter(NotRun, allGroupsClosed); after != closedRetryAfter {
-		t.Errorf("all groups closed: retry after %v", after)
+		t.Errorf("all groups closed: retry after %v, want closedRetryAfter", after)
 	}
 	for _, v := range []Verdict{Completed, Failed, Unknown, CustomerLeft} {
 		if after := c.retryAfter(v, noCapacityInTime); after != 0 {
-			t.Errorf("%s: retry after %v", v, after)
+			t.Errorf("verdict %s: retry after %v, want 0", v, after)
 		}
 	}
 }
--- a/ingress/search_test.go
+++ b/ingress/search_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestSearch checks which owners a job may be offered to, and the reason if none is left.
+// TestSearch checks which groups remain candidates for an offer, and which reason is given if
+// no owner is left to try.
 func TestSearch(t *testing.T) {
 	loads := []OwnerLoad{{Group: "a/0", Age: time.Second}, {Group: "b/0", Age: 2 * time.Second}, {Group: "c/0", Closed: true}}
 	closed := []OwnerLoad{{Group: "a/0", Closed: true}, {Group: "b/0", Closed: true}}
@@ -32,7 +33,7 @@
 			c.prepare(&s)
 		}
 		if candidates := s.refresh(c.loads); len(candidates) != c.candidates || s.ownerCount != len(c.loads) {
-			t.Errorf("%s: %d of %d owners are candidates", name, len(candidates), s.ownerCount)
+			t.Errorf("%s: unexpected number of candidates: %d of %d owners", name, len(candidates), s.ownerCount)
 		}
 		if outcome := s.outcome(c.begun); outcome != c.outcome {
 			t.Errorf("%s: outcome %d, want %d", name, outcome, c.outcome)
@@ -41,15 +42,15 @@
 	s := newOwnerSearch()
 	s.refresh(loads)
 	if s.loadAge != 2*time.Second {
-		t.Errorf("the age of the oldest load report is %v", s.loadAge)
+		t.Errorf("the age of the oldest load report is %v, want 2s", s.loadAge)
 	}
 	for range maxOfferedGroups + 1 {
 		s.markOffered("a/0")
 	}
 	if s.unreachable["a/0"] = true; len(s.offered) != maxOfferedGroups || !s.tried["a/0"] {
-		t.Errorf("%d groups are recorded as offered", len(s.offered))
+		t.Errorf("%d offers are recorded for the log, want maxOfferedGroups, and group a/0 as tried", len(s.offered))
 	}
 	if s.allowRetries(); len(s.refresh(loads)) != 3 || s.tried["a/0"] {
-		t.Error("a group that was unreachable is not a candidate again")
+		t.Error("after allowRetries, a group that was unreachable is not a candidate or still counts as tried")
 	}
 }
--- a/ingress/watch_test.go
+++ b/ingress/watch_test.go
@@ -22,8 +22,8 @@
 // RecordResponse implements Recorder.
 func (c recordChan) RecordResponse(r Record) { c <- r }
 
-// pausedInstance is an instance that does not read requests until resume is called. The
-// operating system accepts its connections meanwhile.
+// pausedInstance is an instance that does not read requests until resume is called. Until then
+// the operating system accepts connections in its place and buffers what they send.
 type pausedInstance struct {
 	t        *testing.T
 	owners   *fakeOwners
@@ -45,8 +45,8 @@
 	return &pausedInstance{t: t, owners: &fakeOwners{loads: twoZoneLoads(), offer: offered}, listener: listener, records: make(recordChan, 1)}
 }
 
-// resume starts serving, until the end of the test, and returns a channel that receives the
-// result of Serve.
+// resume makes the instance serve requests until the test ends. It returns a channel that
+// receives the result of Serve.
 func (s *pausedInstance) resume() <-chan error {
 	config := &fleet.Config{Version: 1, Routes: []fleet.Route{{Name: "r", Host: "desk.example", PathPrefix: "/checks/", Stretch: 1.6, MaxAttempts: 2}}}
 	config.Index()
@@ -59,7 +59,8 @@
 	return ended
 }
 
-// sendJob sends a job of one task, and returns the customer's connection.
+// sendJob sends a job of one task to the instance and returns the customer's connection. It does
+// not wait for a response.
 func (s *pausedInstance) sendJob() *net.TCPConn {
 	customer, err := net.Dial("tcp4", s.listener.Addr().String())
 	if err != nil {
@@ -72,9 +73,9 @@
 	return customer.(*net.TCPConn)
 }
 
-// TestReadAfterCustomerLeft guards against two simultaneous runs of one task, which occur if a
-// request is offered to owners although its customer has closed the connection before the
-// request was read, and may have sent it to another instance.
+// TestReadAfterCustomerLeft guards against two simultaneous runs of one task. They occur if an
+// instance reads a request whose connection the customer has already closed, and offers the
+// job: the customer may have sent it to another instance.
 func TestReadAfterCustomerLeft(t *testing.T) {
 	instance := newPausedInstance(t)
 	customer := instance.sendJob()
@@ -83,13 +84,13 @@
 	}
 	instance.resume()
 	if got := <-instance.records; got.Verdict != CustomerLeft || got.Offers != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("record %+v, want verdict left and no offers", got)
 	}
 }
 
-// TestReadAfterReset guards against two simultaneous runs of one task, as
-// TestReadAfterCustomerLeft does, after a connection was reset. The operating system still
-// delivers bytes that were received before the reset.
+// TestReadAfterReset is like TestReadAfterCustomerLeft, but the connection is reset. The instance
+// can still read the request, because the operating system delivers bytes that were received
+// before the reset.
 func TestReadAfterReset(t *testing.T) {
 	instance := newPausedInstance(t)
 	customer := instance.sendJob()
@@ -98,13 +99,13 @@
 	}
 	instance.resume()
 	if got := <-instance.records; got.Verdict != CustomerLeft || got.Offers != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("record %+v, want verdict left and no offers", got)
 	}
 }
 
-// TestResetBehindNextRequest checks that the end of a connection is detected although there
-// are unread bytes on it: while a job is being offered, its customer sends the next request
-// without waiting for the response, and then the connection is reset.
+// TestResetBehindNextRequest checks that the end of a connection is detected even if unread
+// bytes precede it. While its job is being offered, the customer sends part of its next request
+// and then resets the connection. No second offer may follow.
 func TestResetBehindNextRequest(t *testing.T) {
 	instance := newPausedInstance(t)
 	customer := instance.sendJob()
@@ -117,12 +118,12 @@
 	}
 	instance.resume()
 	if got := <-instance.records; got.Verdict != CustomerLeft || got.Offers != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("record %+v, want verdict left and one offer", got)
 	}
 }
 
-// opaqueListener hides its socket and those of its connections, as the wrappers of TLS and
-// other libraries do.
+// opaqueListener hides its socket and those of its connections, as wrappers
+// such as TLS listeners do.
 type opaqueListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -134,15 +135,15 @@
 // opaqueConn hides the socket of a connection.
 type opaqueConn struct{ net.Conn }
 
-// socketListener exposes its own socket and hides those of its connections.
+// socketListener exposes its own socket but hides those of its connections.
 type socketListener struct{ opaqueListener }
 
 // SyscallConn implements syscall.Conn.
 func (l socketListener) SyscallConn() (syscall.RawConn, error) { return connset.Socket(l.Listener) }
 
-// TestServesOnlySockets checks that Serve fails and serves no request if the operating system
-// cannot be asked whether a connection has ended. A request that is read late would otherwise
-// be treated as if its customer still waited.
+// TestServesOnlySockets checks that Serve fails and serves no request if the socket of the
+// listener or of a connection is hidden. Without it, the instance cannot find out whether the
+// customer of a request that it reads late still waits.
 func TestServesOnlySockets(t *testing.T) {
 	for name, hide := range map[string]func(net.Listener) net.Listener{
 		"listener":   func(l net.Listener) net.Listener { return opaqueListener{l} },
@@ -168,7 +169,7 @@
 }
 
 // TestUnqueryableCountsAsClosed checks that a connection counts as closed by the peer if its
-// state cannot be queried, because this side has closed it or because it is not a watchedConn.
+// state cannot be queried: either this side has closed it, or it is not a watchedConn.
 func TestUnqueryableCountsAsClosed(t *testing.T) {
 	instance := newPausedInstance(t)
 	customer := instance.sendJob()
