--- a/owner/group.go
+++ b/owner/group.go
@@ -1,5 +1,16 @@
-// Package owner runs tasks on a group of upstreams: it makes the calls that a schedule.Pool
-// decides on, and passes the responses back to the pool.
+// Package owner runs tasks on a group of upstreams, a set of upstreams in one availability zone
+// that one instance, its owner, schedules. Package schedule makes the decisions: a
+// schedule.Pool holds the state of the group and says which calls to make. Package owner makes
+// the calls and passes the responses back to the pool. Its terms are:
+//   - A coordinator is the instance that accepted a job from a customer. It hands tasks of the
+//     job to the owner in an offer, which it can withdraw.
+//   - A run is one attempt to execute a task on an upstream. A start is the call that begins
+//     it, a stop the call that ends it early.
+//   - An upstream ends a run when the lease of the run expires. A start grants the first lease.
+//   - A hold is a call that renews the leases of all runs on an upstream and requests a report
+//     about them. A poll is a hold that only requests a report, to be sent at once.
+//   - A fencing token is a number that is higher for each new owner of a group. An upstream
+//     rejects calls with a token lower than the highest that it has seen.
 package owner
 
 import (
@@ -14,19 +25,21 @@
 	"golang.org/x/time/rate"
 )
 
-// UpstreamClient makes calls to upstreams. The errors are Gone if the upstream process has
-// ended or restarted, Conflict if the upstream has seen a higher fencing token, Refused if it
-// declines the call, and Lost if it did not respond within the timeout, in which case the
-// connection is closed.
+// UpstreamClient makes calls to upstreams. The errors are:
+//   - Gone if the upstream process has ended or restarted
+//   - Conflict if the upstream has seen a higher fencing token
+//   - Refused if the upstream declines the call
+//   - Lost if the upstream has not responded within the timeout; the connection is closed
 type UpstreamClient interface {
 	Start(to fleet.Upstream, o fleet.StartOrder, timeout time.Duration) (fleet.Refusal, error)
 	Stop(to fleet.Upstream, run fleet.Run, token uint64, timeout time.Duration) error
-	// Hold renews the leases of all runs on an upstream, unless the order has no lease, and
-	// returns the upstream's report. The upstream may delay the report until a run ends, by
-	// up to o.WaitMs; the call times out timeout after that.
+	// Hold renews the leases of all runs on an upstream, if the order has a lease, and returns
+	// the upstream's report. The upstream may delay the report by up to o.WaitMs, until a run
+	// ends. The call times out after o.WaitMs plus timeout.
 	Hold(to fleet.Upstream, o fleet.HoldOrder, timeout time.Duration) (fleet.Report, error)
 	// CloseIdleConnections closes the connections to an upstream on which no call is in
-	// flight, because they may have gone silent.
+	// flight. It is called after an overdue call, whose cause may be that the network
+	// silently drops the packets of existing connections.
 	CloseIdleConnections(to fleet.Upstream)
 }
 
@@ -35,31 +48,35 @@
 	DecisionMade(group string, token uint64, d schedule.Decision)
 	// CallEnded is called when a call of a kind ("start", "stop" or "hold") has ended.
 	CallEnded(kind string, err error, took time.Duration)
-	// CallOverdue is called when a call becomes overdue; CallEnded follows later.
+	// CallOverdue is called when a call has taken longer than recent calls lead to expect and
+	// is treated as lost (see await.go). CallEnded follows when the call ends or times out.
 	CallOverdue(kind string)
 }
 
 const (
-	// minLongPollOverdue is the minimum time after which a hold with a wait is overdue,
-	// counted from the end of that wait.
+	// minLongPollOverdue is the minimum time after which a hold is overdue if the upstream may
+	// delay its report (HoldOrder.WaitMs). It counts from the end of that delay.
 	minLongPollOverdue = 150 * time.Millisecond
-	// minPollOverdue is the minimum time after which a hold without a wait is overdue.
+	// minPollOverdue is the minimum time after which a hold is overdue if the upstream must
+	// report at once.
 	minPollOverdue = 75 * time.Millisecond
-	// holdOverdueFactor is how many times longer than a start a hold may take before it is
-	// overdue, if that is longer than the minimum.
+	// holdOverdueFactor is the ratio of the time after which a hold is overdue to that for a
+	// start, unless the minimum above is longer.
 	holdOverdueFactor = 2
-	// holdRetryDelay is the delay before a failed hold is repeated.
+	// holdRetryDelay is the delay before the next hold to an upstream after one has failed.
 	holdRetryDelay = 20 * time.Millisecond
 	// tickInterval is the interval between calls of Pool.Tick.
 	tickInterval = 25 * time.Millisecond
 )
 
-// OfferCallbacks receives the results of an offer, with the load of the group at that time.
+// OfferCallbacks holds the functions to which the results of an offer are passed, with the load
+// of the group at that time.
 type OfferCallbacks struct {
-	// TasksReturned is called, possibly several times during an offer, for tasks that do not
-	// run in the group and never will.
+	// TasksReturned is called for tasks that do not run in the group and never will. It may be
+	// called several times during an offer.
 	TasksReturned func(schedule.Result, schedule.Load)
-	// OfferEnded is called once, when the offer has ended, unless it is withdrawn before.
+	// OfferEnded is called once, when the offer has ended. It is not called for a withdrawn
+	// offer.
 	OfferEnded func(schedule.Result, schedule.Load)
 }
 
@@ -73,15 +90,15 @@
 
 	mu           sync.Mutex // guards pool, rtt, callbacks, holding and closed
 	pool         *schedule.Pool
-	rtt          rttEstimator  // response times of starts
+	rtt          rttEstimator  // estimates from the response times of starts
 	closeLimiter *rate.Limiter // limits calls of CloseIdleConnections
 	callbacks    map[schedule.JobKey]OfferCallbacks
 	holding      map[string]bool // ids of upstreams with a running holdLoop
-	closed       bool
-	done         chan struct{} // closed by Close
+	closed       bool            // Close has been called
+	done         chan struct{}   // closed by Close
 }
 
-// NewGroup returns a running group. Close stops it.
+// NewGroup returns a group without upstreams and starts its periodic work. Close ends that work.
 func NewGroup(name string, cfg schedule.Config, token uint64, client UpstreamClient, observer Observer) *Group {
 	g := &Group{
 		Name: name, Token: token, client: client, observer: observer,
@@ -113,7 +130,7 @@
 		return
 	}
 	now := clock.Now()
-	g.pool.SetAnswerTimeout(g.rtt.timeout(now))
+	g.pool.SetAnswerTimeout(g.rtt.overdueAfter(now))
 	effects := input(g.pool, now)
 	notify := g.takeNotifications(&effects)
 	g.mu.Unlock()
@@ -123,9 +140,9 @@
 	g.execute(&effects)
 }
 
-// takeNotifications returns the calls of offer callbacks for the results in effects, and
-// removes the callbacks of offers that have ended. The lock must be held; the returned
-// functions must be called without it.
+// takeNotifications returns functions that each pass one of the results in effects to the
+// callbacks of its offer. It removes the callbacks of offers that have ended. The lock must be
+// held, but not when the returned functions are called.
 func (g *Group) takeNotifications(effects *schedule.Effects) []func() {
 	if len(effects.Returns) == 0 && len(effects.Results) == 0 {
 		return nil
@@ -146,6 +163,8 @@
 	return notify
 }
 
+// execute makes the calls to upstreams in effects, without waiting for the responses, and passes
+// the decisions to the observer.
 func (g *Group) execute(effects *schedule.Effects) {
 	for _, s := range effects.Starts {
 		go g.start(s)
@@ -167,12 +186,13 @@
 	err     error
 }
 
-// start makes the call to start a run. An overdue call is reported to the pool as lost, but
-// a response that arrives later is still passed to the pool.
+// start makes the call to start a run and passes the response to the pool. When the call becomes
+// overdue, it passes a Lost error to the pool instead. The response is still passed on if it
+// arrives later.
 func (g *Group) start(s schedule.Start) {
 	overdueAfter, timeout := g.callTimeouts()
 	sent := clock.Now()
-	if sent.After(s.SendBy) { // this process was paused
+	if sent.After(s.SendBy) { // the process was paused, and the lease in the order has expired
 		g.handleStartResponse(s, startResponse{refusal: fleet.RefusedLate}, 0)
 		return
 	}
@@ -183,7 +203,7 @@
 	}
 	handle := func(r startResponse) { g.handleStartResponse(s, r, clock.Since(sent)-s.LinkDelay) }
 	response, inTime := await(overdueAfter+s.LinkDelay, call, func(late startResponse) {
-		if !failure.Is(late.err, failure.Lost) { // the pool already has a Lost error, errOverdue
+		if !failure.Is(late.err, failure.Lost) { // errOverdue has already told the pool that the call is lost
 			handle(late)
 		}
 	})
@@ -195,8 +215,8 @@
 	g.handleStartResponse(s, startResponse{err: errOverdue}, 0)
 }
 
-// handleStartResponse passes the response to a start to the pool. Took is the response time
-// without the delay of the network link.
+// handleStartResponse passes the response to a start to the pool and records its response time.
+// Took is that time without the delay in the queue of the network link.
 func (g *Group) handleStartResponse(s schedule.Start, r startResponse, took time.Duration) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		g.rtt.observe(now, took, r.err == nil)
@@ -220,7 +240,7 @@
 	ok = ok && !g.closed
 	g.mu.Unlock()
 	if ok {
-		_ = g.hold(u, order) // the pool has received the error and polls again
+		_ = g.hold(u, order) // hold passes the error to the pool, which decides whether to poll again
 	}
 }
 
@@ -230,8 +250,8 @@
 	err    error
 }
 
-// hold sends an order to an upstream that requests a report and, unless it is a poll, renews
-// the leases there. An overdue call is treated as in start.
+// hold sends a hold or a poll to an upstream and passes the report, or the error, to the pool. It
+// treats an overdue call as start does, and returns errOverdue for it.
 func (g *Group) hold(u fleet.Upstream, order fleet.HoldOrder) error {
 	overdueAfter, timeout := g.holdTimeouts(order)
 	sent := clock.Now()
@@ -241,7 +261,7 @@
 		return holdResponse{report, err}
 	}
 	response, inTime := await(overdueAfter, call, func(late holdResponse) {
-		if !failure.Is(late.err, failure.Lost) { // the pool already has a Lost error, errOverdue
+		if !failure.Is(late.err, failure.Lost) { // errOverdue has already told the pool that the call is lost
 			g.handleHoldResponse(u, sent, late)
 		}
 	})
@@ -254,16 +274,15 @@
 	return errOverdue
 }
 
-// handleHoldResponse passes the response to a hold to the pool. Sent is when the hold was
-// sent.
+// handleHoldResponse passes the response to a hold that was sent at the given time to the pool.
 func (g *Group) handleHoldResponse(u fleet.Upstream, sent time.Time, r holdResponse) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		return p.HandleHoldResponse(now, u.Incarnation(), sent, r.report, r.err)
 	})
 }
 
-// holdLoop sends one hold after the other to an upstream, to renew its leases and read its
-// reports, until the upstream does not belong to the group any more.
+// holdLoop sends one hold after the other to an upstream, to renew the leases of its runs and to
+// get its reports, as long as the upstream belongs to the group.
 func (g *Group) holdLoop(id string) {
 	for {
 		g.mu.Lock()
@@ -287,7 +306,8 @@
 	}
 }
 
-// SetUpstreams sets the group's upstreams to those listed in the store.
+// SetUpstreams replaces the group's list of upstreams, and starts sending holds to those that are
+// new.
 func (g *Group) SetUpstreams(list []fleet.Upstream) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		added, effects := p.SetUpstreams(now, list)
@@ -301,13 +321,14 @@
 	})
 }
 
-// Drain stops the group from starting further tasks.
+// Drain makes the group start no more tasks and return the waiting ones, so that another instance
+// can take over its upstreams. Runs go on until they end.
 func (g *Group) Drain() {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects { return p.Drain(now) })
 }
 
-// Release removes the upstreams on which nothing runs from a draining group, and returns
-// their ids.
+// Release removes from a draining group the upstreams on which nothing runs, and returns their
+// ids. Another owner may use them from then on.
 func (g *Group) Release() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -322,8 +343,8 @@
 }
 
 // FencedAt returns when the group lost its first upstream to an owner with a higher fencing
-// token, or the zero time if it has lost none, and whether any upstream has ever accepted
-// the group's own token.
+// token, or the zero time if it has lost none. It also reports whether any upstream has ever
+// accepted the group's own token.
 func (g *Group) FencedAt() (at time.Time, accepted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -337,22 +358,22 @@
 	return g.pool.Load(clock.Now())
 }
 
-// CallDelays holds the current limits and delays of a group's calls.
+// CallDelays shows how slow the calls of a group currently are.
 type CallDelays struct {
-	OverdueAfter time.Duration // time after which a start is overdue
-	LinkDelay    time.Duration // until the network link has transmitted what is queued on it
+	OverdueAfter time.Duration // time after which a start is overdue, without LinkDelay
+	LinkDelay    time.Duration // time until the network link has transmitted the orders queued on it
 }
 
-// CallDelays returns the current limits and delays of the group's calls.
+// CallDelays returns the current values for the group.
 func (g *Group) CallDelays() CallDelays {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Now()
-	return CallDelays{OverdueAfter: g.rtt.timeout(now), LinkDelay: g.pool.LinkDelay(now)}
+	return CallDelays{OverdueAfter: g.rtt.overdueAfter(now), LinkDelay: g.pool.LinkDelay(now)}
 }
 
-// Close stops the group: it makes no further calls, and its open offers end with outcome
-// Unknown.
+// Close stops the group. It makes no further calls to upstreams, and its open offers end with
+// outcome Unknown, because their runs may go on.
 func (g *Group) Close() {
 	g.mu.Lock()
 	if g.closed {
--- a/owner/link_test.go
+++ b/owner/link_test.go
@@ -16,19 +16,20 @@
 	"github.com/samber/lo"
 )
 
-// The load of these tests is that of a small instance that owns the 20 upstreams of its
-// zone. A start consists of the 1,200 bytes of its job and about 260 bytes of overhead. A
-// link of 2 Mbit/s can transmit 170 starts per second and nothing else.
+// The tests in this file simulate an instance with a slow network link of 2 Mbit/s that owns 20
+// upstreams. A start takes about 1,460 bytes, the 1,200 bytes of the job's spec and an overhead
+// of 260 bytes. The link can therefore transmit at most 170 starts per second, even if it
+// transmits nothing else.
 
 const (
 	// slowLinkRate is 2 Mbit/s in bytes per second.
 	slowLinkRate = 250_000
 	// specBytes is the mean size of a job's spec.
 	specBytes = 1200
-	// orderOverheadBytes is the size of an order without the spec: names, token, lease and
-	// headers.
+	// orderOverheadBytes is the size of an order to an upstream without the spec: names,
+	// token, lease and HTTP headers.
 	orderOverheadBytes = 260
-	// connectBytes is the traffic of opening and closing a connection: four packets.
+	// connectBytes is the size of the four packets that open and close a connection.
 	connectBytes = 240
 	// roundTripTime is the round-trip time of an idle link.
 	roundTripTime = 2 * time.Millisecond
@@ -38,7 +39,8 @@
 )
 
 // linkedUpstreams implements UpstreamClient with emulated upstreams behind one network link
-// that transmits one message after the other. It needs the virtual time of a synctest bubble.
+// that transmits one message after the other. It sleeps to simulate the transmission times, so
+// it must be used within a synctest bubble, where time is virtual.
 type linkedUpstreams struct {
 	rate float64 // of the link, in bytes per second
 
@@ -59,8 +61,9 @@
 	return l
 }
 
-// call sends an order over the link and executes it at the upstream, on an idle connection
-// or a new one. After the timeout it returns a Lost error, but the order still arrives.
+// call sends an order over the link, on an idle connection or a new one, and executes it at the
+// upstream. If there is no response within the timeout, it returns a Lost error, but the order
+// still arrives and is executed.
 func (l *linkedUpstreams) call(to fleet.Upstream, bytes int, timeout time.Duration, execute func(*standin.UpstreamModel)) error {
 	responded := make(chan struct{})
 	go func() {
@@ -85,8 +88,8 @@
 	}
 }
 
-// takeIdleConn takes an idle connection to an upstream. It returns false, and counts a new
-// connection, if there is none.
+// takeIdleConn takes an idle connection to an upstream. If there is none, it counts a new
+// connection, which the caller must open, and returns false.
 func (l *linkedUpstreams) takeIdleConn(to fleet.Upstream) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,7 +180,7 @@
 func (noopObserver) CallEnded(string, error, time.Duration)         {}
 func (noopObserver) CallOverdue(string)                             {}
 
-// testOwner is a Group behind a slow link that counts the outcomes of its jobs.
+// testOwner is a Group whose upstreams are behind a slow link. It counts the outcomes of its jobs.
 type testOwner struct {
 	*Group
 	link *linkedUpstreams
@@ -206,8 +209,8 @@
 	return o
 }
 
-// load offers jobs at a constant mean rate for a duration, and returns once all of them have
-// ended.
+// load offers jobs at random times, at a given mean rate and for a given duration. It returns once
+// all offers have ended.
 func (o *testOwner) load(perSecond int, duration time.Duration) {
 	o.mu.Lock()
 	o.results, o.begunNotServed, o.offered = map[schedule.Outcome]int{}, 0, 0
@@ -240,10 +243,11 @@
 	open.Wait()
 }
 
-// TestNarrowLinkRecovers loads a link with 1.6 times its capacity and then with 0.4 times its
-// capacity. During the overload, jobs whose orders the link cannot transmit in time must be
-// rejected before any of their tasks begins. After the load has dropped, nearly all jobs must
-// be served, on connections that are already open.
+// TestNarrowLinkRecovers checks that an owner recovers from an overload of its network link. The
+// load is 1.6 times the capacity of the link at first, and 0.4 times the capacity afterwards.
+// During the overload, jobs whose orders the link cannot transmit in time must be rejected before
+// any of their tasks begins. Afterwards, nearly all jobs must be served, on connections that are
+// already open.
 func TestNarrowLinkRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newTestOwner(slowLinkRate)
@@ -252,23 +256,23 @@
 		o.load(70, 5*time.Second)
 		t.Logf("overload: %d jobs, %v, %d begun but not completed, %d connections opened", o.offered, o.results, o.begunNotServed, o.link.connectionCount())
 		if served := o.results[schedule.Completed]; served < o.offered/3 {
-			t.Errorf("%d of %d jobs were served while the link was overloaded; it can carry half of them", served, o.offered)
+			t.Errorf("only %d of %d jobs were served while the link was overloaded; it can carry half of them", served, o.offered)
 		}
 		if o.link.connectionCount() > 200 {
-			t.Errorf("%d connections to 20 upstreams were opened while the link was overloaded", o.link.connectionCount())
+			t.Errorf("%d connections to 20 upstreams were opened while the link was overloaded, want at most 200", o.link.connectionCount())
 		}
 		if o.begunNotServed > o.offered/50 {
-			t.Errorf("%d of %d jobs began but were not completed", o.begunNotServed, o.offered)
+			t.Errorf("%d of %d jobs began but did not complete, want at most 2%%", o.begunNotServed, o.offered)
 		}
 		time.Sleep(2 * time.Second)
 		opened := o.link.connectionCount()
 		o.load(17, 10*time.Second)
 		t.Logf("after the overload: %d jobs, %v, %d begun but not completed, %d more connections opened", o.offered, o.results, o.begunNotServed, o.link.connectionCount()-opened)
 		if served := o.results[schedule.Completed]; served < o.offered*9/10 {
-			t.Errorf("%d of %d jobs were served after the load had dropped", served, o.offered)
+			t.Errorf("only %d of %d jobs were served after the load had dropped", served, o.offered)
 		}
 		if additional := o.link.connectionCount() - opened; additional > 30 {
-			t.Errorf("%d connections were opened in 10 s at a load that the link can carry", additional)
+			t.Errorf("%d connections were opened in 10 s at a load that the link can carry, want at most 30", additional)
 		}
 	})
 }
--- a/owner/offer.go
+++ b/owner/offer.go
@@ -7,8 +7,8 @@
 	"github.com/sedgehatch/sedgehatch/schedule"
 )
 
-// Offer hands tasks of a job to the group, which reports their results to callbacks. It
-// returns a Stopping error if the group is closed; no task has begun then.
+// Offer hands tasks of a job to the group, which passes the results to callbacks. If the group is
+// closed, Offer returns a Stopping error, and none of the tasks has begun or will begin.
 func (g *Group) Offer(o schedule.Offer, callbacks OfferCallbacks) error {
 	g.mu.Lock()
 	if g.closed {
@@ -21,7 +21,8 @@
 	return nil
 }
 
-// Withdraw cancels an offer that its coordinator does not need any more.
+// Withdraw cancels an offer: its running tasks are stopped, its waiting ones dropped, and its
+// callbacks are not called any more.
 func (g *Group) Withdraw(key schedule.JobKey, reason string) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		delete(g.callbacks, key)
@@ -29,7 +30,7 @@
 	})
 }
 
-// WithdrawAll cancels all offers of a coordinator that is lost.
+// WithdrawAll cancels all offers of a coordinator, which has disconnected or failed.
 func (g *Group) WithdrawAll(coordinator, reason string) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		for key := range g.callbacks {
@@ -41,15 +42,15 @@
 	})
 }
 
-// Renew renews the lease under which the group runs tasks for a coordinator. AliveAt is a
-// time at which the coordinator was known to be alive.
+// Renew renews the lease under which the group runs tasks for a coordinator. The lease counts
+// from aliveAt, a time at which the coordinator was known to be alive.
 func (g *Group) Renew(coordinator string, aliveAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pool.RenewCoordinator(coordinator, aliveAt)
 }
 
-// HasLeasedJobs reports whether the group has jobs of a coordinator that depend on a lease.
+// HasLeasedJobs reports whether the group has jobs that depend on the lease of a coordinator.
 func (g *Group) HasLeasedJobs(coordinator string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/owner/rtt.go
+++ b/owner/rtt.go
@@ -6,45 +6,52 @@
 )
 
 const (
-	// minTimeout and maxTimeout bound the time after which a start is overdue. A round trip
-	// takes about a millisecond. While a start is outstanding its task loses time, but if
-	// the start was only slow, the run is stopped for nothing. On a saturated link or CPU
-	// responses take longer than any constant that suits a healthy network. After half a
-	// second the lease that the start grants has nearly expired.
-	minTimeout = 20 * time.Millisecond
-	maxTimeout = 500 * time.Millisecond
-	// initialTimeout is used until the first response has been measured.
-	initialTimeout = 60 * time.Millisecond
-	// meanShift, deviationShift and deviationFactor are those of TCP's retransmission timer
-	// (RFC 6298): gains of 1/8 and 1/4, and a timeout of the mean plus 4 deviations.
+	// minOverdueAfter and maxOverdueAfter limit the time after which a start is overdue, which
+	// is otherwise estimated from recent response times. An estimate is needed because a
+	// limit that suits a healthy network, where a round trip takes about a millisecond, is
+	// too short when the network link or the CPU is saturated.
+	//
+	// While the response to a lost start is awaited, its task loses time. If on the other
+	// hand a start that was only slow is treated as lost, its run is stopped for nothing.
+	// After half a second, the lease that the start grants has nearly expired.
+	minOverdueAfter = 20 * time.Millisecond
+	maxOverdueAfter = 500 * time.Millisecond
+	// initialOverdueAfter is the time after which a start is overdue until the first response
+	// time has been measured.
+	initialOverdueAfter = 60 * time.Millisecond
+	// meanShift, deviationShift and deviationFactor are the parameters of TCP's retransmission
+	// timer (RFC 6298). A new response time enters the mean with a weight of 1/8 and the
+	// deviation with 1/4. The limit is the mean plus 4 deviations.
 	meanShift       = 3
 	deviationShift  = 2
 	deviationFactor = 4
 )
 
-// rttEstimator estimates from the response times of earlier calls how long a call may take.
-// It is not safe for concurrent use.
+// rttEstimator estimates from the response times of earlier calls how long a call may take before
+// it is overdue. It is not safe for concurrent use.
 type rttEstimator struct {
 	mean, deviation time.Duration
-	backoff         uint          // consecutive calls without a response, at most maxBackoff
+	backoff         uint          // calls without a response since the last response, at most maxBackoff
 	peak            time.Duration // longest recent response time
 	peakAt          time.Time     // when peak was observed
 }
 
 const (
-	// maxBackoff is how many times the timeout derived from the mean may be doubled.
+	// maxBackoff is how many times the limit derived from the mean may be doubled: once for
+	// each call without a response since the last response.
 	maxBackoff = 2
-	// peakHalfLife is the half-life of the peak's exponential decay. On a slow link all
-	// responses to one burst are late and the responses after it are fast again, so the
-	// mean alone forgets the delay too soon.
+	// peakHalfLife is the half-life of the exponential decay of the longest response time. A
+	// limit derived from the mean alone would drop too soon: on a slow link, the responses
+	// during a burst of calls are late, those between two bursts are fast, and the calls of
+	// the next burst would be overdue again.
 	peakHalfLife = 2 * time.Second
-	// peakMargin is the ratio of the timeout to the decayed peak.
+	// peakMargin is the ratio of the lowest limit to the decayed peak.
 	peakMargin = 1.25
 )
 
-// observe records the response time of a call that ended now. Responses that come after the
-// timeout must be recorded too, or the estimate could never rise to their level. A call
-// without a response only lengthens the next timeouts, because this instance itself may be
+// observe records the response time of a call that ended now. It must also be called for the
+// responses to overdue calls, or the estimate could never rise to their level. A call without a
+// response changes no estimate, but doubles the next limits: it may be this instance that is
 // slow.
 func (r *rttEstimator) observe(now time.Time, took time.Duration, responded bool) {
 	if !responded {
@@ -64,18 +71,18 @@
 	r.mean += (took - r.mean) >> meanShift
 }
 
-// decayedPeak returns the peak, decayed to the given time.
+// decayedPeak returns the longest recent response time, decayed since it was observed.
 func (r *rttEstimator) decayedPeak(now time.Time) time.Duration {
 	halfLives := now.Sub(r.peakAt).Seconds() / peakHalfLife.Seconds()
 	return time.Duration(float64(r.peak) * math.Exp2(-halfLives))
 }
 
-// timeout returns the time after which a call is overdue.
-func (r *rttEstimator) timeout(now time.Time) time.Duration {
+// overdueAfter returns how long a call may take before it is overdue.
+func (r *rttEstimator) overdueAfter(now time.Time) time.Duration {
 	if r.mean == 0 {
-		return initialTimeout
+		return initialOverdueAfter
 	}
 	fromPeak := time.Duration(peakMargin * float64(r.decayedPeak(now)))
 	fromMean := (r.mean + deviationFactor*r.deviation) << r.backoff
-	return min(max(fromMean, fromPeak, minTimeout), maxTimeout)
+	return min(max(fromMean, fromPeak, minOverdueAfter), maxOverdueAfter)
 }
