--- a/lab/bound.go
+++ b/lab/bound.go
@@ -8,15 +8,20 @@
 )
 
 const (
-	// boundPeriod is the length of the periods into which worthBound divides the
-	// simulated time.
+	// boundPeriod is the length of the periods into which worthBound divides the simulated
+	// time, and boundPeriods their number.
 	boundPeriod  = 250 * time.Millisecond
 	boundPeriods = int((workloadLength + customerTimeout) / boundPeriod)
-	// The search for prices in worthBound has two stages. The first stage uses one price
-	// from the start of the peak period until some time after its end, and 0 otherwise. It
-	// tries all multiples of priceStep up to maxPrice, and times up to maxTail. The second
-	// stage changes the prices of single periods by refinementStep where that lowers the
-	// bound, refinementRounds times. Prices are in units of worthPerCoreSecond.
+	// The search for CPU prices in worthBound has two stages. Prices are given here as
+	// multiples of worthPerCoreSecond.
+	//
+	// The first stage assumes one price from the start of the peak period until some time
+	// after its end, and a price of 0 at all other times. It tries all multiples of priceStep
+	// up to maxPrice, combined with ends up to maxTail after the peak.
+	//
+	// The second stage goes through the periods refinementRounds times. It raises or lowers
+	// the price of one period at a time by refinementStep, and keeps the change if it lowers
+	// the bound.
 	maxPrice         = 2.0
 	priceStep        = 0.25
 	maxTail          = 4 * time.Second
@@ -24,17 +29,20 @@
 	refinementStep   = 0.15
 )
 
-// worthBound returns an upper bound of the share of the worth of all jobs that any policy
-// can earn. It solves a relaxed problem, in which all arrivals and durations are known in
-// advance, and work can be divided at will and spread over all upstreams. The only
-// constraints are the CPU capacity in each period and the time in which the work of a job
-// must be done: between its sending and its latency objective, or maxLateFactor times the
-// objective for the worth of a late job.
+// worthBound returns an upper bound of the worth that any policy can earn, as a share of the
+// worth of all jobs. It is a bound for a relaxed problem: all arrivals and durations are known
+// in advance, and work can be divided at will and spread over all upstreams. Two constraints
+// remain:
+//   - The work done in a period must not exceed the CPU capacity of that period.
+//   - The work of a job must be done after the job is sent. To earn the full worth, it must be
+//     done within the latency objective; to earn the worth of a late job, within maxLateFactor
+//     times the objective.
 //
-// This is a linear program. By weak duality, any choice of a CPU price for each period
-// yields an upper bound: the price of the whole capacity plus, for each job, its worth less
-// the price of its work in the period in which this difference is largest. The bound is
-// valid for all prices; a search looks for prices that make it low.
+// This is a linear program. By weak duality, any choice of a CPU price for each period gives an
+// upper bound. The bound is the price of the whole capacity plus the surplus of each job, which
+// is its worth less the price of its work in the period in which that is most favourable, and at
+// least 0. Since the bound is valid for all prices, a simple search for prices that make it low
+// is sufficient.
 func (d *deployment) worthBound() float64 {
 	capacity := d.periodCapacities()
 	scale := d.worthPerCoreSecond()
@@ -60,9 +68,9 @@
 	return min(1, bound/total)
 }
 
-// refinePrices raises or lowers the price of each period, one after the other, where that
-// lowers the bound. Bound is the current bound, and scale the unit of refinementStep. It
-// returns the new bound.
+// refinePrices changes the price of one period after the other by refinementStep, up or down, if
+// that lowers the bound. Bound is the bound at the given prices, and scale the unit of
+// refinementStep. It returns the new bound.
 func (d *deployment) refinePrices(prices, capacity []float64, bound, scale float64) float64 {
 	for t := range prices {
 		for _, change := range []float64{-refinementStep, refinementStep} {
@@ -78,7 +86,8 @@
 	return bound
 }
 
-// boundAtPrices returns the upper bound of the worth that results from the given prices.
+// boundAtPrices returns the upper bound of the earned worth that results from the given CPU price
+// of each period.
 func (d *deployment) boundAtPrices(prices, capacity []float64) float64 {
 	bound := 0.0
 	for t, price := range prices {
@@ -90,8 +99,8 @@
 	return bound
 }
 
-// periodCapacities returns the CPU capacity of all upstreams in each period, in
-// core-seconds.
+// periodCapacities returns the CPU capacity of all upstreams together in each period, in
+// core-seconds. Faulty upstreams have none during the fault, or a reduced one if they are slow.
 func (d *deployment) periodCapacities() []float64 {
 	capacity := make([]float64, boundPeriods)
 	for t := range capacity {
@@ -111,7 +120,8 @@
 	return capacity
 }
 
-// worthPerCoreSecond returns the worth of all jobs divided by their work.
+// worthPerCoreSecond returns the worth of all jobs divided by their work, which is the unit of
+// prices.
 func (d *deployment) worthPerCoreSecond() float64 {
 	worth, size := 0.0, 0.0
 	for _, j := range d.jobs {
@@ -121,8 +131,9 @@
 	return worth / size
 }
 
-// maxSurplus returns the largest difference, over all periods, between the worth of a job
-// and the price of its work. It is 0 if the price exceeds the worth in all periods.
+// maxSurplus returns the surplus of a job in its most favourable period: the worth that it earns
+// if it is done in that period, less the price of its work there. It is 0 if the price exceeds
+// the worth in all periods.
 func (d *deployment) maxSurplus(j *customerJob, prices []float64) float64 {
 	objective := j.objective(&d.kinds[j.kind].route)
 	surplus := 0.0
--- a/lab/compare.go
+++ b/lab/compare.go
@@ -19,13 +19,14 @@
 	Policies Policies
 }
 
-// Default returns the policies that are used in production, with all rules on.
+// Default returns the variant with the default policies of the product, in which all rules are
+// enabled.
 func Default() Variant {
 	return Variant{Name: "product", Policies: Policies{Schedule: schedule.DefaultPolicy, Ingress: ingress.DefaultPolicy}}
 }
 
-// Rules returns the names of the rules that can be switched off: the fields of the
-// policies.
+// Rules returns the names of the rules that Without can disable: the names of the fields of
+// schedule.Policy and ingress.Policy.
 func Rules() []string {
 	var names []string
 	for _, policy := range []any{schedule.Policy{}, ingress.Policy{}} {
@@ -37,8 +38,9 @@
 	return lo.Uniq(names)
 }
 
-// Without returns the default policies with some rules switched off. Names holds the names
-// of these rules, separated by commas. The error is InvalidInput if there is no such rule.
+// Without returns the variant of the default policies in which some rules are disabled. Names
+// holds their names, separated by commas. It returns an InvalidInput error if one of them does
+// not exist.
 func Without(names string) (Variant, error) {
 	v := Default()
 	v.Name = "without " + names
@@ -51,8 +53,8 @@
 	return v, nil
 }
 
-// switchOff sets the field of the given name to false in the policy, a pointer to a struct.
-// It returns false if there is no such field.
+// switchOff disables a rule by setting the field of that name to false. Policy is a pointer to
+// the struct. It returns false if the struct has no such field.
 func switchOff(policy any, name string) bool {
 	field := reflect.ValueOf(policy).Elem().FieldByName(name)
 	if !field.IsValid() {
@@ -66,14 +68,14 @@
 type Row struct {
 	Name    string  `json:"name"`
 	Metrics Metrics `json:"figures"` // means over all seeds
-	// Gain is the mean difference in worth to the first variant. HalfInterval is half
-	// the width of its 95% confidence interval.
+	// Gain is the Worth of this variant less that of the first variant, on average over all
+	// seeds. HalfInterval is half the width of the 95% confidence interval of Gain.
 	Gain         float64 `json:"gain"`
 	HalfInterval float64 `json:"half_interval"`
 }
 
-// Compare simulates each variant on the same deployments, which are generated from
-// seedCount consecutive seeds. It returns a row for each variant. Seeds run in parallel.
+// Compare simulates each variant on the same deployments, which are generated from seedCount
+// consecutive seeds, and returns a row for each variant. It simulates several seeds in parallel.
 func Compare(setup Setup, firstSeed uint64, seedCount int, variants []Variant) []Row {
 	metrics := make([][]Metrics, len(variants))
 	for i := range metrics {
@@ -108,7 +110,7 @@
 	return rows
 }
 
-// mean returns the mean of each metric.
+// mean returns the mean of each field over the given metrics.
 func mean(list []Metrics) Metrics {
 	var sum Metrics
 	into := reflect.ValueOf(&sum).Elem()
--- a/lab/deployment.go
+++ b/lab/deployment.go
@@ -1,7 +1,14 @@
-// Package lab compares scheduling policies by simulation in virtual time. The coordinators
-// and pools of the product run on randomly generated deployments, with simulated upstreams
-// and customers. All policies under comparison run on deployments generated from the same
-// seeds. Results are reproducible: the same seed and policy give the same result.
+// Package lab compares scheduling policies by simulation in virtual time. The code under test
+// is that of the product: the coordinators, which accept jobs from customers and offer their
+// tasks to owners (package ingress), and the pools, with which owners decide what runs on the
+// upstreams of their group (package schedule). Upstreams and customers are simulated.
+//
+// A deployment is a randomly generated set of zones and upstreams, with a workload (the jobs
+// that customers send) and a fault. Each variant, a set of policies to compare, runs on
+// deployments generated from the same seeds. Results are reproducible: the same seed and
+// policies give the same result. Variants are compared by the worth that they earn: each job has
+// a worth, which is earned in full if the job completes within its latency objective, and in
+// part if it completes somewhat later.
 package lab
 
 import (
@@ -22,9 +29,9 @@
 const (
 	NoFault              Fault = "none"
 	FailingUpstreams     Fault = "failing"    // all tasks on some upstreams fail
-	SlowUpstreams        Fault = "slow"       // tasks on some upstreams take several times as long
+	SlowUpstreams        Fault = "slow"       // tasks on some upstreams take 3 to 7 times as long
 	StalledUpstreams     Fault = "stalled"    // tasks on some upstreams make no progress
-	UnansweredCalls      Fault = "unanswered" // some calls to all upstreams are executed late and get no response
+	UnansweredCalls      Fault = "unanswered" // a share of the calls to every upstream is executed late and gets no response
 	PartitionedUpstreams Fault = "cut"        // some upstreams are unreachable
 	MixedFaults          Fault = "mixed"
 )
@@ -34,54 +41,55 @@
 
 // Setup holds the parameters with which deployments are generated.
 type Setup struct {
-	// Load is the load in the peak period as a share of the usable capacity; if it is
-	// 0, a random value between 0.5 and 2 is used.
+	// Load is the load in the peak period as a share of the usable capacity (maxUtilization).
+	// If it is 0, a random value between minLoad and maxLoad is used.
 	Load  float64
-	Fault Fault
-	// FaultShare is the share of upstreams that the fault affects. UnansweredCalls affects a
-	// share of FaultShare/2 of the calls to all upstreams instead. If FaultShare is 0, a
-	// random value is used.
+	Fault Fault // "" means MixedFaults
+	// FaultShare is the share of the upstreams that the fault affects. If Fault is
+	// UnansweredCalls, all upstreams are affected, and half of FaultShare is the share of the
+	// calls that get no response. If FaultShare is 0, a random value is used.
 	FaultShare float64
 	// TaskSize is the mean CPU demand of a task as a share of the capacity of the smaller
-	// upstreams; if it is 0, a random value between 0.15 and 0.45 is used.
+	// upstreams. If it is 0, a random value between 0.15 and 0.45 is used.
 	TaskSize float64
-	// Zones is the number of availability zones; if it is 0, there are 2 to 4, at random.
-	// The upstreams of each zone form one group.
+	// Zones is the number of availability zones. If it is 0, a random number from 2 to 4 is
+	// used. The upstreams of each zone form one group, which one owner schedules.
 	Zones int
 	// MaxResubmissions is the maximum number of times that a customer resubmits a job
 	// that has not run, each time after the delay that the response asks for.
 	MaxResubmissions int
 	// CoordinatorsPerZone is the number of coordinators in each zone; 0 means 1. The first
-	// coordinator runs on the same instance as the owner of the zone's group and always
-	// knows the current load of that owner. All other loads are known to coordinators only
-	// from reports.
+	// coordinator of a zone runs on the same instance as the owner of the zone's group, and
+	// always knows the current load of this owner. Apart from that, coordinators know the
+	// loads of owners only from reports.
 	CoordinatorsPerZone int
-	// LoadReportInterval is the interval at which owners report their load to
-	// coordinators; 0 means the intervals of the product, zoneReportInterval within a zone
-	// and remoteReportInterval between zones.
+	// LoadReportInterval is the interval at which owners report their load to coordinators. If
+	// it is 0, the intervals of the product are used: zoneReportInterval within a zone and
+	// remoteReportInterval between zones.
 	LoadReportInterval time.Duration
-	// ShiftedShare is the share of the first zone's jobs that are sent to the second zone
-	// instead during the peak period.
+	// ShiftedShare is the share of the jobs of the first zone's customers that are sent to
+	// coordinators in the second zone during the peak period.
 	ShiftedShare float64
-	// AddedShare is the share of each zone's upstreams that are added only at faultStart.
+	// AddedShare is the share of each zone's upstreams that are missing at first and added at
+	// faultStart.
 	AddedShare float64
 }
 
 // The workload of all deployments starts with a base load, continues with a peak period, and
-// ends with the base load again, so that waiting jobs can finish. Times count from the start
-// of the workload.
+// ends with the base load again, during which the jobs still waiting from the peak can finish.
+// All times count from the start of the workload.
 const (
 	workloadLength = 14 * time.Second
 	peakStart      = 4 * time.Second
 	peakEnd        = 10 * time.Second
-	baseLoad       = 0.7
+	baseLoad       = 0.7 // share of the usable capacity, as Setup.Load
 	faultStart     = 4500 * time.Millisecond
 	faultEnd       = 10 * time.Second
 	minLoad        = 0.5
 	maxLoad        = 2.0
-	taskSigma      = 0.15 // sigma of the lognormal distribution of task durations within a job
-	jobSigma       = 0.4  // sigma of the lognormal distributions of job sizes within a kind, and of declared durations
-	// alwaysFailingShare is the share of jobs whose tasks fail on all upstreams.
+	taskSigma      = 0.15 // sigma of the lognormal distribution of the task durations within a job
+	jobSigma       = 0.4  // the same for the task counts and mean task durations of the jobs of a kind, and for the estimates of customers
+	// alwaysFailingShare is the share of jobs whose tasks fail wherever they run.
 	alwaysFailingShare = 0.002
 )
 
@@ -90,15 +98,15 @@
 	route        fleet.Route
 	taskDuration time.Duration // mean duration of a task
 	taskCount    float64       // mean number of tasks of a job
-	milliCPU     float64       // mean CPU demand of a task, thousandths of a core
-	worth        float64       // worth of a job of mean size
-	arrivalRate  float64       // jobs per second in all zones, at a load of 1
+	milliCPU     float64       // mean CPU demand of a task, in thousandths of a core
+	worth        float64       // worth of a job of mean size, in an arbitrary unit
+	arrivalRate  float64       // jobs per second in all zones together, at a load of 1
 }
 
 // deployment is a randomly generated deployment with its workload and its fault.
 type deployment struct {
 	zones       []string
-	zoneWeights []float64 // relative frequency of jobs, by zone
+	zoneWeights []float64 // relative numbers of jobs of the zones' customers
 	upstreams   []fleet.Upstream
 	kinds       []jobKind
 	load        float64 // load in the peak period
@@ -112,24 +120,25 @@
 // customerJob is a job that a customer sends.
 type customerJob struct {
 	id            string
-	kind          int
-	zone          int
-	sentAt        time.Duration // since the start of the workload
-	demand        fleet.Resources
+	kind          int             // index in deployment.kinds
+	zone          int             // index in deployment.zones of the zone that the job is sent to
+	sentAt        time.Duration   // since the start of the workload
+	demand        fleet.Resources // of each task
 	taskDurations []time.Duration // duration of each task on an upstream without a fault
 	estimate      time.Duration   // duration of a task as declared by the customer
-	worth         float64         // value of the job to its customer, in an arbitrary unit
-	large         bool            // one of the largest tenth of its kind
-	alwaysFails   bool            // its tasks fail on all upstreams
+	worth         float64         // earned in full if the job completes within its latency objective
+	large         bool            // among the tenth of its kind with the most work
+	alwaysFails   bool            // its tasks fail wherever they run
 }
 
-// objective returns the latency objective of the job: a job that completes within this time
-// is in time.
+// objective returns the latency objective of the job, within which it must complete to earn its
+// full worth. It is computed from the real duration of the longest task, whereas the product
+// can only use the customer's estimate.
 func (j *customerJob) objective(r *fleet.Route) time.Duration {
 	return time.Duration(r.Stretch*float64(slices.Max(j.taskDurations))) + r.Slack
 }
 
-// coreSeconds returns the CPU time that all tasks of the job take together.
+// coreSeconds returns the work of the job: the CPU time that all its tasks take together.
 func (j *customerJob) coreSeconds() float64 {
 	sum := 0.0
 	for _, w := range j.taskDurations {
@@ -138,8 +147,8 @@
 	return sum * float64(j.demand.MilliCPU) / 1000
 }
 
-// generate returns a random deployment. Its parameters are those of s, or random where s
-// leaves them open.
+// generate returns a random deployment with the parameters of s. Parameters for which s allows a
+// random value are drawn.
 func generate(seed uint64, s Setup) *deployment {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	d := &deployment{load: s.Load, fault: s.Fault, faultShare: s.FaultShare, setup: s}
@@ -159,20 +168,21 @@
 	return d
 }
 
-// MaxZones is the maximum number of availability zones of a deployment. Simulating 64 zones
-// takes several seconds.
+// MaxZones is the maximum number of availability zones of a deployment. It is limited because
+// the simulation of 64 zones already takes several seconds.
 const MaxZones = 64
 
 // MaxCoordinators is the maximum number of coordinators in a zone. It is limited because each
-// owner reports its load to all coordinators.
+// owner reports its load to all coordinators, so that the time of a simulation grows with their
+// number.
 const MaxCoordinators = 200
 
 // smallUpstreamCPU is the capacity of the smaller upstreams in thousandths of a core. Every
-// third upstream is larger by half.
+// third upstream has one and a half times this capacity.
 const smallUpstreamCPU = 64000
 
-// generateUpstreams generates the zones and their upstreams. It returns the total capacity
-// of the upstreams in thousandths of a core.
+// generateUpstreams generates the zones, their upstreams, and the relative numbers of jobs of
+// their customers. It returns the total capacity of the upstreams in thousandths of a core.
 func (d *deployment) generateUpstreams(rng *rand.Rand) float64 {
 	capacity := 0.0
 	zoneCount, perZone := 2+rng.IntN(3), 8+rng.IntN(13)
@@ -194,14 +204,16 @@
 	return capacity
 }
 
+// service is the service that all upstreams run and that all jobs need.
 const service = "service"
 
-// maxUtilization is the share of the capacity that tasks can use. The rest remains unused
-// because tasks do not fill the upstreams exactly.
+// maxUtilization is the share of the total capacity that counts as usable, which is a load of 1.
+// The rest cannot be used, because tasks do not fill the upstreams exactly.
 const maxUtilization = 0.85
 
-// generateKinds generates the kinds of jobs. At a load of 1, they use the whole capacity
-// together, up to maxUtilization, and the jobs of each kind have the same worth per second.
+// generateKinds generates the kinds of jobs. At a load of 1, the jobs of all kinds together need
+// the usable capacity, and the jobs that arrive within a second have the same worth in total for
+// each kind.
 func (d *deployment) generateKinds(rng *rand.Rand, capacity float64) {
 	n := 2 + rng.IntN(2)
 	size := smallUpstreamCPU * (0.15 + 0.3*rng.Float64())
@@ -230,13 +242,14 @@
 	}
 }
 
-// lognormal returns a lognormally distributed random number with the given mean. Sigma is the
-// standard deviation of its logarithm.
+// lognormal returns a lognormally distributed random number. Mean is the mean of the distribution,
+// and sigma the standard deviation of the logarithm.
 func lognormal(rng *rand.Rand, mean, sigma float64) float64 {
 	return mean * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2)
 }
 
-// generateJobs generates the jobs of the workload, ordered by the time when they are sent.
+// generateJobs generates the jobs of the workload and orders them by the time at which they are
+// sent.
 func (d *deployment) generateJobs(rng *rand.Rand) {
 	for i, k := range d.kinds {
 		for at := time.Duration(0); at < workloadLength; {
@@ -270,7 +283,8 @@
 	return j
 }
 
-// randomZone returns the index of a random zone, distributed by zoneWeights.
+// randomZone returns the index of a random zone, each with a probability proportional to its
+// zoneWeights.
 func (d *deployment) randomZone(rng *rand.Rand) int {
 	sum := 0.0
 	for _, s := range d.zoneWeights {
@@ -285,8 +299,9 @@
 	return len(d.zoneWeights) - 1
 }
 
-// zoneAt returns the zone to which a customer of the given zone sends a job at the given
-// time. It differs from the customer's zone if the job is one of Setup.ShiftedShare.
+// zoneAt returns the index of the zone to which a customer of the given zone sends a job at the
+// given time. It is the customer's zone, or the second zone for the jobs that are shifted
+// (Setup.ShiftedShare).
 func (d *deployment) zoneAt(zone int, at time.Duration, rng *rand.Rand) int {
 	if d.setup.ShiftedShare > 0 && zone == 0 && at >= peakStart && at < peakEnd && rng.Float64() < d.setup.ShiftedShare {
 		return 1
@@ -294,13 +309,13 @@
 	return zone
 }
 
-// isAddedLater reports whether an upstream is added only at faultStart, given its index among
-// the count upstreams of its zone.
+// isAddedLater reports whether an upstream is missing until faultStart (Setup.AddedShare). Index
+// is the upstream's index within its zone, and count the number of upstreams of the zone.
 func (d *deployment) isAddedLater(index, count int) bool {
 	return float64(index) >= (1-d.setup.AddedShare)*float64(count)
 }
 
-// markLarge marks the largest tenth of the jobs of each kind as large.
+// markLarge marks, for each kind, the tenth of the jobs with the most work as large.
 func (d *deployment) markLarge() {
 	for i := range d.kinds {
 		var sizes []float64
--- a/lab/instance.go
+++ b/lab/instance.go
@@ -9,9 +9,10 @@
 	"github.com/sedgehatch/sedgehatch/schedule"
 )
 
-// instance is a coordinator with the loads of owners as it knows them. It always knows the
-// current load of an owner on the same instance. For the other owners, it uses the last load
-// that they reported, less the tasks that it has offered to them since.
+// instance is an instance with a coordinator, and with the owner of a group if it is the first
+// instance of its zone. The coordinator knows the current load of an owner on its own instance.
+// For all other owners, it uses the load that they reported last, less the free capacity for the
+// tasks that it has offered to them since.
 type instance struct {
 	sim           *simulation
 	name          string
@@ -21,8 +22,7 @@
 	reportedLoads map[string]ingress.OwnerLoad // by group
 }
 
-// newInstances returns the instances in the zone of a group. The owner of the group is on the
-// first one.
+// newInstances returns the instances of the zone of a group. The first one owns the group.
 func (sim *simulation) newInstances(g *group, p Policies) []*instance {
 	instances := []*instance{{sim: sim, name: g.name, zone: g.name, localGroup: g}}
 	for i := 1; i < sim.deployment.setup.CoordinatorsPerZone; i++ {
@@ -35,8 +35,8 @@
 	return instances
 }
 
-// reportLoads reports the load of each owner to the coordinators in its own zone, or to those
-// in all other zones, now and then once per interval.
+// reportLoads reports the load of each owner to the coordinators in its own zone if sameZone is
+// set, and otherwise to those in all other zones. It does so at once, and again every interval.
 func (sim *simulation) reportLoads(sameZone bool, interval time.Duration) {
 	for _, g := range sim.groups {
 		load := ownerLoad(g.name, g.pool.Load(sim.Now()))
@@ -71,7 +71,7 @@
 // Offer implements ingress.Owners.
 func (inst *instance) Offer(name string, o schedule.Offer, callbacks owner.OfferCallbacks) error {
 	o.Key.Coordinator = inst.name
-	o.AliveAt = time.Time{} // coordinators do not fail in this simulation
+	o.AliveAt = time.Time{} // makes the pool require no lease of the coordinator, which cannot fail in this simulation
 	target := inst.sim.findGroup(name)
 	if target == inst.localGroup {
 		target.offer(o, callbacks)
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -7,6 +7,7 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
+// encode returns rows as JSON, in which all metrics can be compared at once.
 func encode(t *testing.T, rows []Row) string {
 	t.Helper()
 	text, err := json.Marshal(rows)
@@ -16,8 +17,8 @@
 	return string(text)
 }
 
-// variants returns the default policies and, for each of the names, the variant without the
-// rules of that name.
+// variants returns the default variant and, for each of the names, the variant without the rule
+// of that name.
 func variants(t *testing.T, names ...string) []Variant {
 	t.Helper()
 	list := []Variant{Default()}
@@ -36,12 +37,12 @@
 	setup := Setup{Fault: MixedFaults, Load: 1.2}
 	first := encode(t, Compare(setup, 5, 2, variants(t)))
 	if second := encode(t, Compare(setup, 5, 2, variants(t))); first != second {
-		t.Errorf("two runs differ:\n%s\n%s", first, second)
+		t.Errorf("two comparisons with the same seeds differ:\n%s\n%s", first, second)
 	}
 }
 
-// TestSwitches checks that each rule can be switched off by its name, and that an unknown
-// name is an error.
+// TestSwitches checks that each rule can be disabled by its name, and that an unknown name is an
+// error.
 func TestSwitches(t *testing.T) {
 	if _, err := Without("NoSuchRule"); !failure.Is(err, failure.InvalidInput) || failure.FieldOf(err) != "without" {
 		t.Errorf("unknown rule: error %v, want InvalidInput for the field without", err)
@@ -49,7 +50,7 @@
 	for _, name := range Rules() {
 		v, err := Without(name)
 		if err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("rule %s cannot be disabled: %v", name, err)
 			continue
 		}
 		if v.Policies == Default().Policies {
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestBound checks that the policies do not earn more than the bound, and that the bound falls
-// as the load grows and is below 1 at overload.
+// TestBound checks that the default policies do not earn more than the bound, and that the bound
+// does not rise with the load and is below 1 under overload.
 func TestBound(t *testing.T) {
 	last := 2.0
 	for _, load := range []float64{0.6, 1.6, 2.4} {
@@ -77,72 +78,76 @@
 	}
 }
 
-// TestCrowdedDays checks the behaviour under overload: jobs are refused early, few jobs are
-// given up after they have started, few are refused although they would have fitted, and the
-// worth is close to the bound.
+// TestCrowdedDays checks the behaviour under overload:
+//   - Jobs that are not served get their responses early.
+//   - Few jobs are given up after they have started.
+//   - Few jobs are refused while there is free capacity for them.
+//   - The worth is at least 0.7 times the bound.
 func TestCrowdedDays(t *testing.T) {
 	m := Compare(Setup{Fault: NoFault, Load: 1.6}, 1, 3, variants(t))[0].Metrics
 	unserved := m.Refused + m.GivenUp
 	if m.UnservedResponseP50 > 0.5 || m.UnservedResponseP90 > 1 {
-		t.Errorf("time to the response of jobs not served: median %.2f objectives, 90th percentile %.2f objectives", m.UnservedResponseP50, m.UnservedResponseP90)
+		t.Errorf("response times of jobs not served, as multiples of the objective: median %.2f, want at most 0.5; 90th percentile %.2f, want at most 1", m.UnservedResponseP50, m.UnservedResponseP90)
 	}
 	if m.GivenUp > unserved/10 {
-		t.Errorf("share of jobs given up after they started is %.4f, of %.4f not served", m.GivenUp, unserved)
+		t.Errorf("share of jobs given up after they started is %.4f, want at most a tenth of the %.4f not served", m.GivenUp, unserved)
 	}
 	if m.RefusedWithRoom > unserved/20 {
-		t.Errorf("share of jobs refused with free capacity is %.4f, of %.4f not served", m.RefusedWithRoom, unserved)
+		t.Errorf("share of jobs refused while there was free capacity is %.4f, want at most a twentieth of the %.4f not served", m.RefusedWithRoom, unserved)
 	}
 	if m.Worth > m.Bound || m.Worth < 0.7*m.Bound {
-		t.Errorf("worth %.3f, bound %.3f", m.Worth, m.Bound)
+		t.Errorf("worth %.3f, want at least 0.7 times the bound %.3f and no more than the bound", m.Worth, m.Bound)
 	}
 }
 
-// metricsWithoutFault returns the metrics of the default policies without a fault.
+// metricsWithoutFault returns the metrics of the default policies on a deployment of the given
+// setup, but without a fault.
 func metricsWithoutFault(t *testing.T, s Setup) Metrics {
 	t.Helper()
 	s.Fault = NoFault
 	return Compare(s, 200, 1, variants(t))[0].Metrics
 }
 
-// TestShiftedCustomers checks that zones serve each other's customers: at a load of 0.9, all
-// jobs of one of three zones are sent to the next zone in the peak period. This must cost
-// less than 0.01 of the worth.
+// TestShiftedCustomers checks that zones serve each other's customers. At a load of 0.9, the
+// customers of one of three zones send all their jobs to another zone in the peak period. The
+// worth must not be more than 0.01 lower than if they had not.
 func TestShiftedCustomers(t *testing.T) {
 	s := Setup{Load: 0.9, Zones: 3, CoordinatorsPerZone: 6}
 	stayed := metricsWithoutFault(t, s).Worth
 	s.ShiftedShare = 1
 	if moved := metricsWithoutFault(t, s).Worth; moved < stayed-0.01 {
-		t.Errorf("worth %.4f with shifted customers, %.4f without", moved, stayed)
+		t.Errorf("worth %.4f with shifted customers, %.4f without; want a difference of at most 0.01", moved, stayed)
 	}
 }
 
-// TestViewsOfCoordinators checks that load reports at the intervals of the product are
-// sufficient: with 24 coordinators in each of two zones, the worth is at most 0.01 below
-// that with a single coordinator per zone, on the same instance as the owner. It also checks
-// that the interval has an effect.
+// TestViewsOfCoordinators checks that it is sufficient to report loads at the intervals of the
+// product. A single coordinator per zone always knows the current load of the owner in its
+// zone, because both are on one instance. With 24 coordinators per zone, most know it only from
+// reports; the worth must be at most 0.01 lower. The test also checks that longer intervals make
+// a difference, and so that the simulation depends on the reports.
 func TestViewsOfCoordinators(t *testing.T) {
 	s := Setup{Load: 1.1, Zones: 2}
 	local := metricsWithoutFault(t, s)
 	s.CoordinatorsPerZone = 24
 	reported := metricsWithoutFault(t, s)
 	if reported.Worth < local.Worth-0.01 {
-		t.Errorf("worth %.4f with 24 coordinators per zone, %.4f with one on the owner's instance", reported.Worth, local.Worth)
+		t.Errorf("worth %.4f with 24 coordinators per zone, %.4f with one on the owner's instance; want at most 0.01 less", reported.Worth, local.Worth)
 	}
 	s.LoadReportInterval = 5 * zoneReportInterval
 	if old := metricsWithoutFault(t, s); old == reported {
-		t.Error("load reports at intervals five times as long change nothing")
+		t.Error("the metrics do not change if loads are reported at intervals five times as long")
 	}
 }
 
-// TestAddedUpstreams checks that upstreams that are added during a peak are used: if three
-// tenths of them are added at a load of 1.2, the worth is at most a tenth lower than with all
-// upstreams from the start.
+// TestAddedUpstreams checks that upstreams that are added during a peak are used. At a load of
+// 1.2, three tenths of the upstreams are added only at faultStart. The worth must be at most a
+// tenth lower than with all upstreams from the start.
 func TestAddedUpstreams(t *testing.T) {
 	s := Setup{Load: 1.2, Zones: 2}
 	all := metricsWithoutFault(t, s).Worth
 	s.AddedShare = 0.3
 	added := metricsWithoutFault(t, s).Worth
 	if added < 0.9*all {
-		t.Errorf("worth %.4f with upstreams added later, %.4f with all from the start", added, all)
+		t.Errorf("worth %.4f with upstreams added later, %.4f with all from the start; want at most a tenth less", added, all)
 	}
 }
--- a/lab/metrics.go
+++ b/lab/metrics.go
@@ -11,40 +11,43 @@
 )
 
 const (
-	// lateWorthShare is the share of a job's worth that is earned if it completes after its
-	// objective, but within maxLateFactor times its objective.
+	// lateWorthShare is the share of its worth that a job earns if it completes after its
+	// latency objective, but within maxLateFactor times the objective. A job that completes
+	// even later earns nothing.
 	lateWorthShare = 0.2
 	maxLateFactor  = 3
 )
 
-// Metrics describes the performance of one variant on one deployment, or the means over
-// several deployments. Fields without another unit are shares of all jobs.
+// Metrics describes the performance of one variant on one deployment, or on average on several
+// deployments. Unless its comment states another unit, a field is a share of all jobs. Jobs are
+// counted by the response to their first submission. An objective is the latency objective of a
+// job.
 type Metrics struct {
-	Worth                 float64 `json:"worth"`             // share of the worth of all jobs that was earned
-	PeakWorth             float64 `json:"worth_crowded"`     // Worth, for jobs sent in the peak period only
-	Bound                 float64 `json:"bound"`             // upper bound of Worth for any policy
-	InTime                float64 `json:"in_time"`           // completed within the objective
-	Late                  float64 `json:"late"`              // completed after the objective
-	Refused               float64 `json:"refused"`           // ended before any task started
-	RefusedWithRoom       float64 `json:"refused_with_room"` // refused although all tasks would have fitted at that time
-	GivenUp               float64 `json:"given_up"`          // ended when some tasks may have started, but not all completed
-	Failed                float64 `json:"failed"`
-	Wasted                float64 `json:"wasted"`            // CPU time of runs that did not end as done, as a share of the CPU time of all jobs
-	UnservedResponseP50   float64 `json:"tell_p50"`          // median time to the response of refused and given up jobs, divided by their objectives
-	UnservedResponseP90   float64 `json:"tell_p90"`          // 90th percentile of the time to the response of these jobs, divided by their objectives
-	UnservedResponseP99Ms float64 `json:"tell_p99_ms"`       // 99th percentile of the time to the response of these jobs, milliseconds
-	WorstKind             float64 `json:"worst_kind"`        // lowest Worth of any kind of job
-	WorstLarge            float64 `json:"worst_large"`       // lowest Worth of the largest tenth of the jobs of any kind
-	WorstZone             float64 `json:"worst_zone"`        // lowest Worth of any zone
-	ServedLater           float64 `json:"served_later"`      // share of the refused jobs that completed when resubmitted
-	ServedLaterSeconds    float64 `json:"later_s"`           // mean time of these jobs from the first submission to completion, seconds
-	FalseEjections        float64 `json:"doubts_of_sound"`   // ejections of upstreams without a fault, per deployment
-	FalseSilences         float64 `json:"silences_of_sound"` // times that upstreams without a fault counted as silent, per deployment
+	Worth                 float64 `json:"worth"`             // worth earned, as a share of the worth of all jobs
+	PeakWorth             float64 `json:"worth_crowded"`     // as Worth, but only for jobs sent in the peak period
+	Bound                 float64 `json:"bound"`             // upper bound of Worth that no policy can exceed
+	InTime                float64 `json:"in_time"`           // jobs that completed within their objective
+	Late                  float64 `json:"late"`              // jobs that completed after their objective
+	Refused               float64 `json:"refused"`           // jobs that were rejected before any task started
+	RefusedWithRoom       float64 `json:"refused_with_room"` // refused jobs for which all groups together had enough free capacity at that time
+	GivenUp               float64 `json:"given_up"`          // jobs that ended without completing, after tasks may have started
+	Failed                float64 `json:"failed"`            // jobs whose response said that they failed
+	Wasted                float64 `json:"wasted"`            // CPU time of runs that were stopped, failed or lost their lease, as a share of the work of all jobs
+	UnservedResponseP50   float64 `json:"tell_p50"`          // response time of refused and given-up jobs as a multiple of the job's objective, median
+	UnservedResponseP90   float64 `json:"tell_p90"`          // as UnservedResponseP50, but the 90th percentile
+	UnservedResponseP99Ms float64 `json:"tell_p99_ms"`       // response time of refused and given-up jobs in milliseconds, 99th percentile
+	WorstKind             float64 `json:"worst_kind"`        // Worth of the kind of jobs for which it is lowest
+	WorstLarge            float64 `json:"worst_large"`       // as WorstKind, but only for the tenth of each kind with the most work
+	WorstZone             float64 `json:"worst_zone"`        // Worth of the zone for which it is lowest
+	ServedLater           float64 `json:"served_later"`      // jobs that completed after a resubmission, as a share of the refused jobs
+	ServedLaterSeconds    float64 `json:"later_s"`           // mean time of these jobs from the first submission to the response, in seconds
+	FalseEjections        float64 `json:"doubts_of_sound"`   // number of ejections of upstreams without a fault, per deployment
+	FalseSilences         float64 `json:"silences_of_sound"` // number of times that an upstream without a fault was treated as silent, per deployment
 }
 
-// earned returns the worth that was earned with a job. A job whose tasks always fail counts as
-// served when its response says that it failed.
-func (sim *simulation) earned(o outcome) float64 {
+// earned returns the worth that a job has earned. A job whose tasks always fail cannot complete;
+// it earns its worth if its response says in time that it failed.
+func (sim *simulation) earned(o firstResponse) float64 {
 	objective := o.job.objective(&sim.deployment.kinds[o.job.kind].route)
 	served := o.Verdict == ingress.Completed || o.Verdict == ingress.Failed && o.job.alwaysFails
 	switch {
@@ -57,7 +60,8 @@
 	}
 }
 
-// worthSum sums up the worth that was earned with some jobs, and the worth that was possible.
+// worthSum holds the sum of the worth that some jobs have earned, and the sum of the worth that
+// they could have earned.
 type worthSum struct{ earned, possible float64 }
 
 func (s *worthSum) add(earned, possible float64) {
@@ -65,6 +69,7 @@
 	s.possible += possible
 }
 
+// value returns the earned worth as a share of the possible worth, or 1 if there are no jobs.
 func (s worthSum) value() float64 {
 	if s.possible == 0 {
 		return 1
@@ -74,7 +79,7 @@
 
 func sentInPeak(j *customerJob) bool { return j.sentAt >= peakStart && j.sentAt < peakEnd }
 
-// metrics returns the metrics of a completed simulation, except for Bound.
+// metrics returns the metrics of a completed simulation. Bound is not set.
 func (sim *simulation) metrics() Metrics {
 	var m Metrics
 	var total, peak worthSum
@@ -82,7 +87,7 @@
 	byZone := make([]worthSum, len(sim.deployment.zones))
 	var unservedRatios []float64
 	var unservedMs []float64
-	for _, o := range sim.outcomes {
+	for _, o := range sim.firstResponses {
 		j, earned := o.job, sim.earned(o)
 		total.add(earned, j.worth)
 		byKind[j.kind].add(earned, j.worth)
@@ -100,7 +105,7 @@
 			unservedMs = append(unservedMs, float64(o.responseTime)/float64(time.Millisecond))
 		}
 	}
-	n := float64(len(sim.outcomes))
+	n := float64(len(sim.firstResponses))
 	for _, v := range []*float64{&m.InTime, &m.Late, &m.Refused, &m.RefusedWithRoom, &m.GivenUp, &m.Failed} {
 		*v /= n
 	}
@@ -115,9 +120,9 @@
 	return m
 }
 
-// count adds a job to the counter for its outcome. Until all jobs have been counted, the
-// fields that are shares of jobs hold numbers of jobs.
-func (m *Metrics) count(o outcome, objective time.Duration) {
+// count counts a job in the fields for its response. While jobs are being counted, these fields
+// hold numbers of jobs; afterwards, metrics turns them into shares.
+func (m *Metrics) count(o firstResponse, objective time.Duration) {
 	switch {
 	case o.Verdict == ingress.Completed && o.responseTime <= objective:
 		m.InTime++
@@ -135,12 +140,13 @@
 	}
 }
 
-// lowest returns the lowest share of worth that was earned.
+// lowest returns the lowest of the shares of worth that were earned.
 func lowest(sums []worthSum) float64 {
 	return lo.Min(lo.Map(sums, func(s worthSum, _ int) float64 { return s.value() }))
 }
 
-// quantile returns the quantile q of the values, which it sorts, or 0 if there are none.
+// quantile returns the quantile q of the values, from 0 to 1, or 0 if there are no values. It
+// sorts the values.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -149,11 +155,12 @@
 	return values[int(q*float64(len(values)-1)+0.5)]
 }
 
-// standardErrors95 is half the width of a 95% confidence interval in standard errors.
+// standardErrors95 is half the width of a 95% confidence interval, as a multiple of the standard
+// error of the mean.
 const standardErrors95 = 1.96
 
-// confidenceInterval returns the mean of the values and half the width of its 95% confidence
-// interval. The width is 0 for a single value, which has no confidence interval.
+// confidenceInterval returns the mean of the values and half the width of the 95% confidence
+// interval of that mean. For a single value there is no confidence interval; half is 0.
 func confidenceInterval(values []float64) (mean, half float64) {
 	n := float64(len(values))
 	mean = lo.Sum(values) / n
--- a/lab/plot.go
+++ b/lab/plot.go
@@ -14,19 +14,20 @@
 	barWidth   = 12 * vg.Millimeter
 )
 
-// gains holds the rows to plot. It implements plotter.XYer and plotter.YErrorer with their
-// gains and confidence intervals.
-type gains []Row
+// gainPoints are the rows of the bar chart, one point each. It implements plotter.XYer with
+// their gains, and plotter.YErrorer with the confidence intervals of the gains.
+type gainPoints []Row
 
-func (g gains) Len() int { return len(g) }
+func (g gainPoints) Len() int { return len(g) }
 
-func (g gains) XY(i int) (x, y float64) { return float64(i), g[i].Gain }
+func (g gainPoints) XY(i int) (x, y float64) { return float64(i), g[i].Gain }
 
-func (g gains) YError(i int) (low, high float64) { return g[i].HalfInterval, g[i].HalfInterval }
+func (g gainPoints) YError(i int) (low, high float64) { return g[i].HalfInterval, g[i].HalfInterval }
 
-// Plot writes a bar chart to a file that shows the gain of each row over the first one.
+// Plot writes a bar chart to a file. It shows the gain of each row but the first one, which is the
+// variant that the others are compared with.
 func Plot(rows []Row, file string) error {
-	compared := gains(rows[1:])
+	compared := gainPoints(rows[1:])
 	values, names := plotter.Values{}, []string{}
 	for _, r := range compared {
 		values = append(values, r.Gain)
--- a/lab/simulation.go
+++ b/lab/simulation.go
@@ -14,33 +14,40 @@
 )
 
 const (
-	// messageLatency is the latency of a message from a coordinator to an owner on another
-	// instance, or back.
+	// messageLatency is the latency of a message between a coordinator and an owner on
+	// different instances.
 	messageLatency = 500 * time.Microsecond
 	// zoneReportInterval is the interval at which an owner reports its load to the
-	// coordinators in its zone, and remoteReportInterval to those in other zones.
+	// coordinators in its own zone, remoteReportInterval that to those in other zones.
 	zoneReportInterval   = 100 * time.Millisecond
 	remoteReportInterval = 250 * time.Millisecond
-	// startTimeout, pollTimeout and callTimeout are the timeouts of calls to upstreams, as
-	// the owners of the product use them while the network works normally: of starts, of
-	// reports that the upstream sends at once, and of all other calls.
+	// The timeouts below apply to these calls to upstreams:
+	//   - startTimeout: orders to start a run
+	//   - pollTimeout: requests for a report that the upstream must send at once
+	//   - callTimeout: all other calls
+	//
+	// They stand for the time after which package owner treats such a call as lost while the
+	// network works normally. That package allows somewhat more for polls, at least 75 ms.
 	startTimeout = 20 * time.Millisecond
 	pollTimeout  = 40 * time.Millisecond
 	callTimeout  = 150 * time.Millisecond
-	// maxStopMs is the maximum time that an upstream takes to stop a task, in milliseconds.
+	// maxStopMs is the maximum time, in milliseconds, that an upstream takes to end a run after
+	// a stop order.
 	maxStopMs = 50
-	// pollRetryDelay is the delay before a report is requested again after a failure.
+	// pollRetryDelay is the delay before a report is requested again after a request failed.
 	pollRetryDelay = 20 * time.Millisecond
 	// tickInterval is the interval between calls of Pool.Tick.
 	tickInterval = 25 * time.Millisecond
 	// customerTimeout is how long customers wait for a response.
 	customerTimeout = 10 * time.Second
-	// maxResubmitDelay is the maximum time between a refusal and the resubmission: 30 s as
-	// the longest retry-after delay, and up to 1 s of jitter.
+	// maxResubmitDelay is the maximum time between the refusal of a job and its resubmission.
+	// It is the sum of the longest delay that a refusal asks for, 30 s, and up to 1 s of jitter
+	// that the customer adds.
 	maxResubmitDelay = 31 * time.Second
 )
 
-// simulation simulates a deployment, with a group of upstreams and coordinators in each zone.
+// simulation is one run of the product's coordinators and pools on a deployment. Each zone has a
+// group of upstreams, with the pool of its owner, and one or more instances with a coordinator.
 type simulation struct {
 	*standin.Simulation
 	deployment        *deployment
@@ -48,23 +55,25 @@
 	upstreams         map[string]*standin.SimulatedUpstream
 	groups            []*group
 	instances         [][]*instance // by zone
-	outcomes          []outcome
-	wastedCoreSeconds float64 // by runs that did not end as done
-	// falseEjections and falseSilences count how often upstreams that the fault does not
-	// affect were ejected, or counted as silent.
+	firstResponses    []firstResponse
+	wastedCoreSeconds float64 // CPU time of runs that were stopped, failed or lost their lease
+	// falseEjections and falseSilences are the numbers of wrong decisions of the pools about
+	// upstreams that the fault does not affect: to eject one (give it no work for a while), and
+	// to treat one as silent (not responding).
 	falseEjections, falseSilences int
-	// servedLater is the number of refused jobs that completed when resubmitted, and
-	// servedLaterSeconds the sum of their times from the first submission to completion.
+	// servedLater is the number of jobs that were refused at first and completed after a
+	// resubmission. servedLaterSeconds is the sum of their times from the first submission to
+	// the response.
 	servedLater        int
 	servedLaterSeconds float64
 }
 
-// outcome is the response to the first submission of a job.
-type outcome struct {
+// firstResponse is the response to the first submission of a job.
+type firstResponse struct {
 	ingress.Response
 	job          *customerJob
 	responseTime time.Duration
-	hadRoom      bool // all tasks would have fitted when the response came
+	hadRoom      bool // at the time of the response, there was free capacity for all tasks of the job
 }
 
 // group is the group of upstreams of one zone, with the pool of its owner.
@@ -75,15 +84,17 @@
 	callbacks map[schedule.JobKey]owner.OfferCallbacks
 }
 
-// Policies are the policies of owners and of coordinators in one simulation.
+// Policies holds the policies of the pools (Schedule) and of the coordinators (Ingress) in a
+// simulation.
 type Policies struct {
 	Schedule schedule.Policy
 	Ingress  ingress.Policy
 }
 
-// simulate simulates a deployment with its workload, which starts after one second. The
-// simulation also covers the time in which customers wait for the last responses and resubmit
-// refused jobs.
+// simulate runs the simulation of a deployment. The workload starts after one second, when the
+// pools have received the first reports of the upstreams. The simulation goes on after the end
+// of the workload, to cover the time in which customers wait for responses and resubmit refused
+// jobs.
 func simulate(d *deployment, seed uint64, p Policies) *simulation {
 	start := time.Unix(1_000_000, 0)
 	sim := &simulation{Simulation: standin.NewSimulation(start, seed), deployment: d, startTime: start, upstreams: map[string]*standin.SimulatedUpstream{}}
@@ -113,8 +124,9 @@
 	return sim
 }
 
-// newUpstream returns a simulated upstream that runs tasks of the given jobs, which are
-// indexed by ID. CPU time wasted on the upstream is added to that of the simulation.
+// newUpstream returns a simulated upstream on which tasks take the time and resources given in
+// jobs, which is indexed by job ID. CPU time of runs that do not end as done is added to
+// wastedCoreSeconds.
 func (sim *simulation) newUpstream(u fleet.Upstream, jobs map[string]*customerJob) *standin.SimulatedUpstream {
 	startTimes := map[fleet.Run]time.Time{}
 	s := sim.NewUpstream(u, func(r fleet.Run) (time.Duration, fleet.Resources) {
@@ -135,7 +147,7 @@
 	return s
 }
 
-// setFault starts or ends the fault of the deployment.
+// setFault starts the fault of the deployment if on is set, and ends it otherwise.
 func (sim *simulation) setFault(on bool) {
 	for i, u := range sim.deployment.upstreams {
 		s := sim.upstreams[u.ID]
@@ -155,15 +167,15 @@
 		case UnansweredCalls:
 			s.LateShare = 0
 			if on {
-				s.LateShare = sim.deployment.faultShare / 2
+				s.LateShare = sim.deployment.faultShare / 2 // as documented at Setup.FaultShare
 			}
 		}
 	}
 }
 
-// isFaulty reports whether the fault affects the upstream of the given index. Affected
-// upstreams are spread evenly over the zones. UnansweredCalls affects calls to all upstreams and
-// makes no single one faulty.
+// isFaulty reports whether the fault affects the upstream with the given index. The affected
+// upstreams are spread evenly over the zones. UnansweredCalls affects some calls to every
+// upstream, so no single upstream counts as faulty.
 func (d *deployment) isFaulty(i int) bool {
 	if d.fault == NoFault || d.fault == UnansweredCalls {
 		return false
@@ -171,8 +183,8 @@
 	return int(float64(i+1)*d.faultShare) > int(float64(i)*d.faultShare)
 }
 
-// newGroup returns the group of a zone, without the upstreams that are added later, and
-// starts its ticks.
+// newGroup returns the group of a zone, without the upstreams that are added later, and starts
+// the periodic calls of Pool.Tick.
 func (sim *simulation) newGroup(zone string, p Policies) *group {
 	cfg := schedule.DefaultConfig
 	cfg.Policy = p.Schedule
@@ -182,8 +194,8 @@
 	return g
 }
 
-// setUpstreams sets the upstreams of the group to those of its zone. Those that are added
-// later are included only if all is set.
+// setUpstreams makes the group use all upstreams of its zone, or, if all is not set, all but
+// those that are added later.
 func (g *group) setUpstreams(all bool) {
 	list := lo.Filter(g.sim.deployment.upstreams, func(u fleet.Upstream, _ int) bool { return u.Zone == g.name })
 	count := len(list)
@@ -195,6 +207,7 @@
 	}
 }
 
+// addUpstreams adds the upstreams that are missing at first (Setup.AddedShare) to their groups.
 func (sim *simulation) addUpstreams() {
 	if sim.deployment.setup.AddedShare == 0 {
 		return
@@ -204,17 +217,18 @@
 	}
 }
 
-// submit sends a job for the first time, records the outcome, and resubmits the job if it is
-// refused.
+// submit sends a job for the first time and records the response. If the job is refused, it is
+// resubmitted.
 func (sim *simulation) submit(j *customerJob, to *instance) {
 	firstSent := sim.Now()
-	sim.send(j, to, func(a ingress.Response) {
-		sim.outcomes = append(sim.outcomes, outcome{Response: a, job: j, responseTime: sim.Now().Sub(firstSent), hadRoom: sim.hasRoom(j)})
-		sim.resubmitIfRefused(j, to, a, firstSent, sim.deployment.setup.MaxResubmissions)
+	sim.send(j, to, func(response ingress.Response) {
+		sim.firstResponses = append(sim.firstResponses, firstResponse{Response: response, job: j, responseTime: sim.Now().Sub(firstSent), hadRoom: sim.hasRoom(j)})
+		sim.resubmitIfRefused(j, to, response, firstSent, sim.deployment.setup.MaxResubmissions)
 	})
 }
 
-// send sends a job to the coordinator of an instance and calls onResponse with the response.
+// send sends a job to the coordinator of an instance. OnResponse is called with the response, at
+// the latest after customerTimeout.
 func (sim *simulation) send(j *customerJob, to *instance, onResponse func(ingress.Response)) {
 	k := sim.deployment.kinds[j.kind]
 	job := &fleet.Job{ID: j.id, Steps: []fleet.Step{{Count: len(j.taskDurations), Demand: j.demand, Estimate: j.estimate}}}
@@ -222,22 +236,23 @@
 	sim.AfterFunc(customerTimeout, onTimeout)
 }
 
-// resubmitIfRefused resubmits a refused job after the delay that the response asks for, up to
-// the remaining number of times, and counts a resubmitted job that has completed.
+// resubmitIfRefused handles the response to a submission of a job. A refused job is resubmitted
+// after the delay that the response asks for, as long as resubmissions remain. A job that has
+// completed after at least one resubmission is counted in servedLater.
 func (sim *simulation) resubmitIfRefused(j *customerJob, to *instance, response ingress.Response, firstSent time.Time, remaining int) {
 	switch {
 	case response.Verdict == ingress.Completed && remaining < sim.deployment.setup.MaxResubmissions:
 		sim.servedLater++
 		sim.servedLaterSeconds += sim.Now().Sub(firstSent).Seconds()
 	case response.Verdict == ingress.NotRun && remaining > 0:
-		jitter := time.Duration(sim.Rand.Float64() * float64(time.Second)) // keeps customers from resubmitting all at once
+		jitter := time.Duration(sim.Rand.Float64() * float64(time.Second)) // spreads the resubmissions of customers that were given the same delay
 		sim.AfterFunc(response.RetryAfter+jitter, func() {
-			sim.send(j, to, func(a ingress.Response) { sim.resubmitIfRefused(j, to, a, firstSent, remaining-1) })
+			sim.send(j, to, func(next ingress.Response) { sim.resubmitIfRefused(j, to, next, firstSent, remaining-1) })
 		})
 	}
 }
 
-// hasRoom reports whether all groups together have free capacity for all tasks of a job.
+// hasRoom reports whether the groups together now have free capacity for all tasks of a job.
 func (sim *simulation) hasRoom(j *customerJob) bool {
 	free := 0
 	for _, g := range sim.groups {
@@ -252,12 +267,13 @@
 	g.apply(g.pool.Offer(g.sim.Now(), o))
 }
 
-// apply carries out the effects that the pool has returned: it sends the calls to upstreams
-// and calls the callbacks of offers. It also counts wrong decisions about upstreams.
+// apply carries out the effects that the pool has returned: it makes the calls to upstreams and
+// passes results to the callbacks of offers. It also counts the pool's wrong decisions about
+// upstreams without a fault.
 func (g *group) apply(e schedule.Effects) {
 	for _, d := range e.Decisions {
 		switch {
-		case g.sim.hasFault(d.Upstream):
+		case g.sim.hasFault(d.Upstream): // the decision is right
 		case d.Kind == schedule.DecidedEject:
 			g.sim.falseEjections++
 		case d.Kind == schedule.DecidedSilent:
@@ -282,7 +298,8 @@
 	g.deliverResults(e)
 }
 
-// deliverResults calls the callbacks of the offers that have returned tasks or have ended.
+// deliverResults passes the returned tasks and the ends of offers in the effects to the callbacks
+// of these offers.
 func (g *group) deliverResults(e schedule.Effects) {
 	for _, r := range e.Returns {
 		if callbacks, found := g.callbacks[r.Key]; found {
@@ -297,7 +314,8 @@
 	}
 }
 
-// hasFault reports whether the fault affects the upstream with the given ID.
+// hasFault reports whether the fault affects the upstream with the given ID, regardless of whether
+// the fault is active now.
 func (sim *simulation) hasFault(id string) bool {
 	for i, u := range sim.deployment.upstreams {
 		if u.ID == id {
@@ -307,8 +325,8 @@
 	return false
 }
 
-// sendHoldOrder orders an upstream to renew its lease and to report, and passes the report to
-// the pool. It calls onDone with whether the upstream responded.
+// sendHoldOrder sends an order to renew the leases of its runs and to report to an upstream, and
+// passes the report to the pool. It then calls onDone, with ok set if the upstream responded.
 func (g *group) sendHoldOrder(id string, o fleet.HoldOrder, onDone func(ok bool)) {
 	sent := g.sim.Now()
 	timeout := callTimeout
@@ -321,8 +339,8 @@
 	})
 }
 
-// pollReports requests reports from an upstream, one after the other, as long as it belongs
-// to the pool.
+// pollReports sends one hold order after the other to an upstream, as long as it belongs to the
+// pool. After an order without a response, it waits for pollRetryDelay.
 func (g *group) pollReports(id string) {
 	_, o, found := g.pool.HoldOrder(g.sim.Now(), id)
 	if !found {
@@ -337,7 +355,7 @@
 	})
 }
 
-// scheduleTicks calls Pool.Tick now and then once per tickInterval.
+// scheduleTicks calls Pool.Tick at once, and again every tickInterval.
 func (g *group) scheduleTicks() {
 	g.apply(g.pool.Tick(g.sim.Now()))
 	g.sim.AfterFunc(tickInterval, g.scheduleTicks)
