--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -20,40 +20,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// Config holds the parameters of a run.
+// Config holds the parameters of a soak run.
 type Config struct {
 	Daemon        string        // path of the daemon's executable
 	Dir           string        // directory for settings files and logs
 	Seed          uint64        // determines the sequence of faults and jobs
 	InjectionTime time.Duration // how long new faults are injected
 	Zones         int           // number of availability zones
-	Instances     int           // number per zone
-	Upstreams     int           // number per zone
+	Instances     int           // number of instances per zone
+	Upstreams     int           // number of upstreams per zone
 	Customers     int           // number of customers that send jobs at the same time
-	// Evacuations adds evacuations of zones to the faults. It is optional because it
-	// changes the sequence of faults: seeds that were recorded without it are only
-	// reproduced without it.
+	// Evacuations adds evacuations of zones to the faults. It is optional because the choice
+	// of faults for a seed depends on it: a seed that was recorded without evacuations gives
+	// the same faults only without them.
 	Evacuations bool
-	// RestartsAndResizes adds crashes of upstreams that then restart under the same ID,
-	// and temporary reductions of the capacity of upstreams. It is optional for the same
-	// reason as Evacuations.
+	// RestartsAndResizes adds two kinds of faults: an upstream crashes and restarts under the
+	// same ID, and the capacity of an upstream is reduced for some time. It is optional for
+	// the same reason as Evacuations.
 	RestartsAndResizes bool
 }
 
 const (
-	// taskCPU is the demand of a task, and upstreamCPU the capacity of an upstream, in
-	// thousandths of a core.
+	// taskCPU is the CPU demand of a task, and upstreamCPU the CPU capacity of an upstream, in
+	// thousandths of a core. Three tasks fit on an upstream at the same time.
 	taskCPU     = 6000
 	upstreamCPU = 20000
 	// upstreamMemory is the memory of an upstream in megabytes.
 	upstreamMemory = 1000
-	// customerPort, readinessPort and peerPort are the ports of all instances. The
-	// instances differ in their loopback addresses.
+	// customerPort, readinessPort and peerPort are the ports on which each instance serves
+	// customers, readiness checks and other instances. They are the same for all instances,
+	// which have different loopback addresses.
 	customerPort  = 18161
 	readinessPort = 18167
 	peerPort      = 17720
-	// networkCount is the number of loopback networks. Each run uses one of them, so it is
-	// also the maximum number of concurrent runs on one machine.
+	// networkCount is the number of loopback networks, which differ in the third octet of their
+	// addresses. Each soak run uses one of them, so it limits the number of concurrent soak
+	// runs on a machine.
 	networkCount = 250
 )
 
@@ -68,13 +70,13 @@
 	cmd         *exec.Cmd     // nil while the daemon is not running
 	ended       chan struct{} // closed once cmd has exited
 	paused      bool          // stopped by SIGSTOP
-	signalCount int           // number of signals sent
-	starts      int           // number of times that the daemon was started
+	signalCount int           // number of signals sent so far
+	starts      int           // number of times that the daemon has been started
 }
 
 func (p *process) customerAddress() string { return p.ip + ":" + strconv.Itoa(customerPort) }
 
-// writeSettings writes the writeSettings file of the process.
+// writeSettings writes the settings file that the daemon reads when it starts.
 func (p *process) writeSettings() error {
 	raw, err := standin.Settings(standin.Process{
 		Name: p.name, IP: p.ip, Zone: p.zone, CustomersPort: customerPort, ReadinessPort: readinessPort, PeersPort: peerPort,
@@ -117,9 +119,9 @@
 	return nil
 }
 
-// signal sends signals to the daemon if it is running. It returns the command that received
-// them and a channel that is closed once it has exited, or nil if the daemon is not running.
-// After SIGSTOP, it waits until the daemon has stopped.
+// signal sends signals to the daemon and returns the daemon's command and a channel that is closed
+// once the daemon has exited. If the daemon is not running, it sends nothing and returns nil. After
+// SIGSTOP, it waits until no thread of the daemon runs any more.
 func (p *process) signal(signals ...syscall.Signal) (*exec.Cmd, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,28 +139,29 @@
 	return p.cmd, p.ended
 }
 
-// waitStopped waits until a child process has stopped or exited. After SIGSTOP was sent, the
-// threads of the process continue for a while: for milliseconds on a busy machine.
+// waitStopped waits until a child process that was sent SIGSTOP has stopped, or has exited. This
+// takes time because the threads of the process continue for a while after the signal, on a busy
+// machine for milliseconds.
 func waitStopped(pid int) {
 	for {
 		err := unix.Waitid(unix.P_PID, pid, nil, unix.WSTOPPED|unix.WEXITED|unix.WNOWAIT, nil)
 		if !errors.Is(err, unix.EINTR) {
-			return // other errors mean that the process has exited and was waited for
+			return // any other error means that the process has exited and Wait has collected it
 		}
 	}
 }
 
-// pauseState reports whether the process is paused, and how many signals it has received. If
-// it is paused with the same number of signals later, it has not run in the meantime.
+// pauseState reports whether the daemon is paused, and how many signals it has been sent. If two
+// calls both report a pause and the same number of signals, the daemon has not run between them.
 func (p *process) pauseState() (signals int, paused bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.signalCount, p.cmd != nil && p.paused
 }
 
-// terminate sends a signal that makes the daemon exit, and waits until it has exited. If the
-// daemon is paused, it is resumed first. Several goroutines may terminate the same process at
-// the same time.
+// terminate makes the daemon exit by sending it a signal, and waits until it has exited. A paused
+// daemon is resumed first, because it would not handle the signal. Several goroutines may
+// terminate the same daemon at the same time.
 func (p *process) terminate(signal syscall.Signal) {
 	cmd, ended := p.signal(syscall.SIGCONT, signal)
 	if cmd == nil {
@@ -172,8 +175,9 @@
 	}
 }
 
-// installation consists of the instances, the emulated upstreams and store, and the proxies
-// from each instance to the store and from the instances to each upstream.
+// installation consists of the instances, the emulated store and upstreams, and the proxies
+// between them: each instance connects to the store through a proxy of its own, and all instances
+// connect to an upstream through the proxy of that upstream.
 type installation struct {
 	cfg           Config
 	rng           *rand.Rand
@@ -181,9 +185,9 @@
 	tracker       *standin.RunTracker
 	processes     []*process
 	network       int          // third octet of the addresses of the instances
-	reservation   net.Listener // keeps other runs from using the same network
+	reservation   net.Listener // keeps other soak runs from using the same network
 	configVersion int
-	extraRoutes   int // number of routes in addition to the first
+	extraRoutes   int // number of routes in the configuration besides the first one
 	outages       outages
 
 	mu             sync.Mutex
@@ -197,10 +201,12 @@
 	*standin.Upstream
 	proxy     *Proxy
 	zone      string
-	drainedAt time.Time // zero if it was not drained
-	reserved  bool      // changed by a fault, which other faults must not undo
+	drainedAt time.Time // when its drain began; zero if it has not been drained
+	reserved  bool      // a fault has crashed or resized it; no other fault may do so at the same time
 }
 
+// newInstallation starts the store, the proxies and the upstreams of an installation. The daemons
+// of its instances are not started yet.
 func newInstallation(cfg Config) (*installation, error) {
 	store, err := standin.NewStore("127.0.0.1:0")
 	if err != nil {
@@ -235,11 +241,12 @@
 	return in, nil
 }
 
-// firstZoneOctet is the second octet of the addresses in the first zone. The following zones
-// use the next numbers.
+// firstZoneOctet is the second octet of the addresses of the instances in the first zone. Each
+// further zone uses the next number.
 const firstZoneOctet = 20
 
-// reserveNetwork selects a network of loopback addresses that no other run uses.
+// reserveNetwork selects a network of loopback addresses that no other soak run uses, and reserves
+// it by listening on one of its addresses.
 func (in *installation) reserveNetwork() error {
 	var err error
 	for i := range networkCount {
@@ -252,8 +259,8 @@
 	return err
 }
 
-// configure writes the next version of the configuration, with the first route and a random
-// number of additional ones.
+// configure writes the next version of the configuration to the store. The first route, to which
+// customers send their jobs, stays the same; the number of further routes is random.
 func (in *installation) configure() error {
 	in.configVersion += 1 + in.rng.IntN(3)
 	in.extraRoutes = in.rng.IntN(3)
@@ -268,6 +275,7 @@
 
 func routePrefix(route int) string { return fmt.Sprintf("/q%d/", route) }
 
+// addUpstream starts an upstream behind a proxy and enters it in the store.
 func (in *installation) addUpstream(zone string) error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -290,7 +298,7 @@
 	return nil
 }
 
-// close stops everything that was started for the run.
+// close stops all processes, proxies and upstreams of the installation, and the store.
 func (in *installation) close() {
 	var ended sync.WaitGroup
 	for _, p := range in.processes {
@@ -302,5 +310,5 @@
 		u.Close()
 	}
 	in.store.Close()
-	_ = in.reservation.Close() // an error does not matter: it accepted no connections
+	_ = in.reservation.Close() // an error does not matter: the listener has accepted no connections
 }
--- a/soak/outage.go
+++ b/soak/outage.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// outages records when the store was unavailable to all instances. Outages may overlap.
+// outages records the times in which the store was unavailable to all instances. Faults that cause
+// this may overlap.
 type outages struct {
 	mu     sync.Mutex
-	active int         // number of outages that have not ended
-	start  time.Time   // when the first of the active outages began
-	ended  []timeRange // times of unavailability that have ended
+	active int         // number of outages in progress
+	start  time.Time   // when the store became unavailable; valid while active > 0
+	ended  []timeRange // earlier times in which the store was unavailable
 }
 
 type timeRange struct{ from, to time.Time }
@@ -25,7 +26,8 @@
 	o.active++
 }
 
-// end records the end of an outage and reports whether no other outage is active.
+// end records the end of an outage. It returns true if this was the last one in progress, so that
+// the store must become available again.
 func (o *outages) end(now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -36,7 +38,7 @@
 	return o.active == 0
 }
 
-// overlap returns how long the store was unavailable between from and to.
+// overlap returns for how much of the time between from and to the store was unavailable.
 func (o *outages) overlap(from, to time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// TestEndMeetsStart guards against a deadlock when a fault terminates a daemon while another
-// fault restarts it: terminate must wait for the process that it has signalled, not for the
-// new one.
+// TestEndMeetsStart guards against a deadlock when one fault terminates a daemon while another one
+// restarts it. Terminate must wait for the exit of the process that it has signalled. If it waited
+// for the restarted one instead, it would never return.
 func TestEndMeetsStart(t *testing.T) {
 	p := newSleepProcess(t)
 	const rounds, faults = 3000, 4
@@ -32,8 +32,8 @@
 }
 
 // TestPausedStandsStill checks that signal returns only after a paused process has stopped.
-// Customers rely on it: they resend a request at once if the instance was paused all the
-// time, because it cannot have read the request.
+// Customers depend on this. They send a job again at once if the instance was paused during the
+// whole first request, because they assume that it has not read that request.
 func TestPausedStandsStill(t *testing.T) {
 	p := newSleepProcess(t)
 	if err := p.start(); err != nil {
@@ -53,7 +53,7 @@
 		p.signal(syscall.SIGCONT)
 	}
 	if running > 0 {
-		t.Errorf("paused %d times, still running after %d of them", rounds, running)
+		t.Errorf("of %d times that signal returned after SIGSTOP, the process was still running %d times", rounds, running)
 	}
 	p.terminate(syscall.SIGKILL)
 }
@@ -66,7 +66,7 @@
 	if err := os.WriteFile(program, []byte("#!/bin/sh\nexec sleep 600\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	store, err := NewProxy("127.0.0.1:1") // the program does not connect to it
+	store, err := NewProxy("127.0.0.1:1") // not used, because the program only sleeps
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -1,6 +1,13 @@
-// Package soak runs the real daemon in separate processes against an emulated platform,
-// injects faults from outside, and checks the invariants of the product from what customers
-// and upstreams observe.
+// Package soak runs an installation of the product for some time, injects random faults, and
+// checks the product's invariants from what customers and upstreams observe. The instances are
+// real daemon processes. The platform around them is emulated in this process: the metadata
+// store, the upstreams, which run the tasks, and the customers, which send jobs. The invariants
+// include:
+//   - No two runs of one task are in progress at the same time.
+//   - No task of a job starts after the job was refused.
+//   - All tasks of a job that was reported as completed are done.
+//   - No upstream receives tasks long after it was drained or its zone was evacuated.
+//   - Jobs are served again soon after the last fault.
 package soak
 
 import (
@@ -13,30 +20,31 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// Mode is what a Proxy does with the data that it receives.
+// Mode is what a Proxy does with connections and the data that it receives on them.
 type Mode int32
 
 // The modes of a Proxy.
 const (
 	Forward       Mode = iota // forwards all data at once
 	Delay                     // forwards all data after forwardDelay
-	Hold                      // holds all data, with open connections, until the mode changes
-	HoldResponses             // forwards requests and holds responses until the mode changes
-	Reset                     // resets connections
+	Hold                      // keeps connections open and holds all data until the mode changes
+	HoldResponses             // forwards requests at once and holds responses until the mode changes
+	Reset                     // resets new connections, and open ones when they have data to forward
 	modeCount     = 5
 )
 
-// forwardDelay is how long data is held in mode Delay.
+// forwardDelay is how long each piece of data is held in mode Delay.
 const forwardDelay = 60 * time.Millisecond
 
-// pollInterval is the interval at which the package checks conditions that it waits for, such
-// as whether a connection may forward data again.
+// pollInterval is the interval at which this package checks a condition that it waits for, such
+// as whether a Proxy may forward data again.
 const pollInterval = 10 * time.Millisecond
 
-// Proxy is a TCP proxy that forwards connections to one address and can disturb them.
+// Proxy is a TCP proxy that forwards connections to one address. Its Mode determines whether and
+// how it disturbs them.
 type Proxy struct {
-	Address  string
-	target   string
+	Address  string // that the proxy listens on
+	target   string // address to which it forwards
 	mode     atomic.Int32
 	closed   atomic.Bool
 	listener *standin.BlackholeListener
@@ -55,12 +63,12 @@
 	return p, nil
 }
 
-// SetMode changes the mode, also for open connections. In mode Reset, an open connection is
-// reset as soon as it receives data or has data on hold.
+// SetMode changes the mode for new and open connections. In mode Reset, an open connection is
+// reset when data arrives on it, or at once if data is being held.
 func (p *Proxy) SetMode(m Mode) { p.mode.Store(int32(m)) }
 
-// BlackholeOpen makes the connections that are open now drop all data from then on, without
-// a reset. New connections are not affected.
+// BlackholeOpen makes the connections that are open now drop all data from now on, without
+// closing them. New connections are not affected.
 func (p *Proxy) BlackholeOpen() { p.listener.BlackholeOpen() }
 
 // Close stops the proxy and closes its connections.
@@ -107,7 +115,7 @@
 	both.Wait()
 }
 
-// reset closes a connection with a TCP reset, so that the peer sees an error at once.
+// reset closes a connection with a TCP reset, which the peer sees as an error at once.
 func reset(c net.Conn) {
 	if tcp, is := c.(*net.TCPConn); is {
 		_ = tcp.SetLinger(0) // if it fails, the connection is still closed below
@@ -115,8 +123,9 @@
 	_ = c.Close()
 }
 
-// copy forwards data in one direction, subject to the current mode, until either connection
-// fails or the mode requires a reset.
+// copy forwards data in one direction, as the current mode demands, until either connection fails
+// or the mode requires a reset. Request tells whether the data is part of requests or of
+// responses.
 func (p *Proxy) copy(to, from net.Conn, request bool) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -130,8 +139,9 @@
 	}
 }
 
-// waitToForward waits until data may be forwarded. It returns false if the connection must be
-// closed instead.
+// waitToForward waits until data that has been received may be forwarded. Request tells whether
+// the data is part of a request or of a response. It returns false if the connection must be
+// reset instead.
 func (p *Proxy) waitToForward(request bool) bool {
 	for {
 		switch mode := p.currentMode(); {
--- a/soak/run.go
+++ b/soak/run.go
@@ -14,46 +14,53 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// Report is the outcome of a run.
+// Report is the result of a soak run.
 type Report struct {
 	Seed        uint64
 	Faults      int // number of faults that were injected
-	Starts      int // number of runs that were started on upstreams
+	Starts      int // number of runs of tasks that were started on upstreams
 	Evacuations int // number of evacuations of zones
-	// Responses counts what customers observed, by kind: "completed" and "failed", "unread"
-	// for a request that no instance has read, or else the HTTP status (0 if there was no
-	// response), for refusals with the body.
+	// Responses counts the requests of customers by how they ended. The keys are:
+	//   - "completed" and "failed": the final state of the job in the response
+	//   - "unread": there was no response, and no instance can have read the request
+	//   - for a refusal, the HTTP status and the body of the response
+	//   - for all others, the HTTP status, or "0" if there was no response
 	Responses  map[string]int
-	Violations []string // descriptions of violated invariants
+	Violations []string // a description of each violation of an invariant
 }
 
 const (
-	// readyTimeout is the maximum time until all instances are ready after the first
-	// start, and recoveryTimeout the maximum time until jobs are served normally after the
-	// last fault.
-	readyTimeout    = 20 * time.Second
+	// readyTimeout is the maximum time from the start of the installation until all instances
+	// are ready.
+	readyTimeout = 20 * time.Second
+	// recoveryTimeout is the maximum time from the end of the last fault until jobs are served
+	// normally.
 	recoveryTimeout = 12 * time.Second
-	// maxStartAfterDrain is how long after its drain an upstream may still receive tasks,
-	// not counting outages of the store, in which no instance can learn of the drain.
+	// maxStartAfterDrain is how long after the start of its drain an upstream may still receive
+	// tasks. Outages of the store are not counted, because no instance can learn of the drain
+	// while they last.
 	maxStartAfterDrain = 3 * time.Second
 	// maxStartAfterEvacuation is how long after the evacuation of its zone an upstream may
-	// still receive tasks, not counting outages of the store, in which no instance can
-	// learn of the evacuation. The platform requires this limit. Overlapping faults may
-	// pause owners for up to 3 s of this time.
+	// still receive tasks. Outages of the store are not counted, as above. The platform
+	// requires this limit, even though another fault may pause an owner for up to 3 s of that
+	// time.
 	maxStartAfterEvacuation = 5 * time.Second
-	// refusalTolerance is how long after a refusal the start of a run is accepted, because
-	// this program may record a start that came before the refusal only after it.
+	// refusalTolerance is how long after the refusal of a job a start of one of its tasks may
+	// be recorded without counting as a violation. Starts and refusals are recorded by
+	// different goroutines of this program, so an earlier start may be recorded later.
 	refusalTolerance = 50 * time.Millisecond
-	// maxFaultPause is the maximum time between the starts of two faults.
+	// maxFaultPause is the maximum time between the starts of two successive faults.
 	maxFaultPause = 500 * time.Millisecond
-	// maxFaultDuration is the upper limit of the random duration of a fault. A fault adds
-	// to it, or uses a fraction of it, as it needs.
+	// maxFaultDuration is the limit of the random duration that is drawn for each fault. Most
+	// faults last for this duration. Some last for a third of it, or add it to a minimum, and
+	// some have no duration.
 	maxFaultDuration = 3 * time.Second
 )
 
-// Run starts an installation, injects faults for cfg.InjectionTime, and checks the
-// invariants. It returns an error only if the installation cannot be started. If ctx is
-// cancelled, it ends early. All processes that it has started have exited when it returns.
+// Run starts an installation, injects faults for cfg.InjectionTime while customers send jobs, and
+// checks the invariants. Violations are part of the report; an error means that the installation
+// could not be started. Run ends early if ctx is cancelled. All processes that it has started have
+// exited when it returns.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	in, err := newInstallation(cfg)
 	if err != nil {
@@ -65,7 +72,7 @@
 	}
 	results := newResults()
 	if !in.waitReady() {
-		results.addViolation("the installation is not ready after %v", readyTimeout)
+		results.addViolation("not all instances are ready %v after the start", readyTimeout)
 		return in.report(results, 0), nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -103,8 +110,8 @@
 	return nil
 }
 
-// waitReady waits until every instance accepts customers. It returns false if that takes
-// longer than readyTimeout.
+// waitReady waits until every instance reports that it is ready for customers. It returns false if
+// that takes longer than readyTimeout.
 func (in *installation) waitReady() bool {
 	deadline := time.Now().Add(readyTimeout)
 	for _, p := range in.processes {
@@ -118,6 +125,7 @@
 	return true
 }
 
+// ready reports whether the readiness check of an instance succeeds.
 func ready(p *process) bool {
 	res, err := http.Get(fmt.Sprintf("http://%s:%d/readiness", p.ip, readinessPort))
 	if err != nil {
@@ -127,8 +135,8 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// injectFaults starts random faults for cfg.InjectionTime and returns their number. Faults
-// may overlap. All have ended when it returns.
+// injectFaults starts random faults for cfg.InjectionTime and returns their number. Faults may
+// overlap. It returns after all of them have ended.
 func (in *installation) injectFaults(ctx context.Context, r *results) int {
 	end := time.Now().Add(in.cfg.InjectionTime)
 	var running sync.WaitGroup
@@ -144,38 +152,40 @@
 	return count
 }
 
-// pickFault returns a random fault, as a function that injects it for a given duration.
+// pickFault draws a random fault. It returns a function that starts the fault, waits for the given
+// duration or another one that suits the fault, and ends it. Random numbers are drawn in a fixed
+// order, on which the sequence of faults for a seed depends.
 func (in *installation) pickFault(r *results) func(time.Duration) {
 	p := in.processes[in.rng.IntN(len(in.processes))]
 	u := in.pickUpstream()
-	mode := Mode(1 + in.rng.IntN(modeCount-1))
+	mode := Mode(1 + in.rng.IntN(modeCount-1)) // any mode but Forward
 	optional := in.optionalFaults(u, r)
 	kind := in.rng.IntN(commonFaultKinds + len(optional))
 	if kind >= commonFaultKinds {
 		return optional[kind-commonFaultKinds]
 	}
 	switch kind {
-	case 0:
+	case 0: // an instance crashes and restarts
 		return func(d time.Duration) { p.terminate(syscall.SIGKILL); time.Sleep(d / 3); in.restart(p, r) }
-	case 1:
+	case 1: // an instance shuts down as planned and restarts
 		return func(time.Duration) { p.terminate(syscall.SIGTERM); in.restart(p, r) }
-	case 2:
+	case 2: // an instance is paused
 		return func(d time.Duration) { p.signal(syscall.SIGSTOP); time.Sleep(d); p.signal(syscall.SIGCONT) }
-	case 3:
+	case 3: // an instance is told to read its settings file again
 		return func(time.Duration) { p.signal(syscall.SIGHUP) }
-	case 4:
+	case 4: // the proxy between an instance and the store disturbs the connections
 		return func(d time.Duration) { p.store.SetMode(mode); time.Sleep(d); p.store.SetMode(Forward) }
-	case 5, 6:
+	case 5, 6: // the proxy between all instances and an upstream disturbs the connections; twice as likely
 		return func(d time.Duration) { u.proxy.SetMode(mode); time.Sleep(d); u.proxy.SetMode(Forward) }
-	case 7:
+	case 7: // tasks on an upstream make no progress
 		return func(d time.Duration) {
 			u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = true })
 			time.Sleep(d)
 			u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = false })
 		}
-	case 8:
+	case 8: // an upstream executes a fifth of its orders 2 s late and does not respond to them
 		return func(d time.Duration) { u.DelayOrders(0.2, 2*time.Second); time.Sleep(d); u.DelayOrders(0, 0) }
-	case 9:
+	case 9: // the store is unavailable to all instances
 		return func(d time.Duration) {
 			in.outages.begin(time.Now())
 			in.store.SetFault(standin.Unavailable, 0)
@@ -184,26 +194,26 @@
 				in.store.SetFault(standin.NoFault, 0)
 			}
 		}
-	case 10:
+	case 10: // the store drops its history, so that instances must read all keys again
 		return func(time.Duration) { in.store.DropHistory() }
-	case 11:
+	case 11: // a new version of the configuration is written, already while the fault is drawn
 		if err := in.configure(); err != nil {
-			r.addViolation("a configuration is not written: %v", err)
+			r.addViolation("cannot write a configuration: %v", err)
 		}
 		return func(time.Duration) {}
-	case 12:
+	case 12: // the open connections between an instance and the store silently drop all data
 		return func(time.Duration) { p.store.BlackholeOpen() }
-	case 13:
+	case 13: // the open connections between all instances and an upstream silently drop all data
 		return func(time.Duration) { u.proxy.BlackholeOpen() }
-	default:
+	default: // an upstream is drained and replaced by a new one
 		return func(d time.Duration) { in.replaceUpstream(u, d, r) }
 	}
 }
 
-// commonFaultKinds is the number of kinds of faults that do not depend on Config.
+// commonFaultKinds is the number of cases in pickFault, which are injected with every Config.
 const commonFaultKinds = 15
 
-// optionalFaults returns the additional faults that are enabled in Config.
+// optionalFaults returns the further faults that Config enables.
 func (in *installation) optionalFaults(u *upstream, r *results) []func(time.Duration) {
 	var faults []func(time.Duration)
 	if in.cfg.Evacuations {
@@ -218,16 +228,17 @@
 const (
 	// minDowntime is the minimum time between the crash of an upstream and its restart.
 	minDowntime = time.Second
-	// maxOvercommitTime is how long after its capacity was reduced an upstream may still
-	// receive more tasks than fit: 5.5 s that the platform allows, and the maximum time
-	// for which faults keep an owner from learning of the reduction.
+	// maxOvercommitTime is how long after a reduction of its capacity an upstream may still
+	// receive more tasks than fit. It is the 5.5 s that the platform allows, plus the time for
+	// which two faults in succession can keep an owner from learning of the reduction.
 	maxOvercommitTime = 5500*time.Millisecond + 2*maxFaultDuration
-	// reducedCPU is the reduced capacity of an upstream in thousandths of a core.
+	// reducedCPU is the reduced CPU capacity of an upstream, in thousandths of a core. Only one
+	// task fits in it.
 	reducedCPU = taskCPU + taskCPU/2
 )
 
-// crashUpstream crashes an upstream and restarts it under the same ID, unless another fault has
-// reserved it.
+// crashUpstream crashes an upstream and later restarts it under the same ID. It does nothing if
+// reserveUpstream fails.
 func (in *installation) crashUpstream(u *upstream, d time.Duration) {
 	if !in.reserveUpstream(u) {
 		return
@@ -238,8 +249,8 @@
 	in.releaseUpstream(u)
 }
 
-// resize reduces the capacity of an upstream for a while, unless another fault has reserved
-// it.
+// resize reduces the capacity of an upstream and later restores it. It does nothing if
+// reserveUpstream fails.
 func (in *installation) resize(u *upstream, d time.Duration) {
 	if !in.reserveUpstream(u) {
 		return
@@ -250,8 +261,9 @@
 	in.releaseUpstream(u)
 }
 
-// reserveUpstream reserves an upstream for a fault. It returns false if another fault has
-// reserved the upstream or it is being drained.
+// reserveUpstream reserves an upstream for a crash or resize, so that no other fault crashes,
+// resizes or drains it meanwhile. It returns false if the upstream is already reserved or has been
+// drained.
 func (in *installation) reserveUpstream(u *upstream) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -268,8 +280,9 @@
 	u.reserved = false
 }
 
-// evacuate evacuates a zone, unless it is evacuated already. It ends the evacuation after it
-// has checked that no upstream of the zone received tasks later than allowed.
+// evacuate evacuates a zone for some time. Before it ends the evacuation, it checks that the
+// upstreams of the zone received no tasks later than allowed. It does nothing if the zone is
+// already evacuated.
 func (in *installation) evacuate(zone string, d time.Duration, r *results) {
 	in.mu.Lock()
 	if in.evacuatedZones[zone] {
@@ -288,7 +301,7 @@
 	for _, u := range upstreams {
 		last := in.tracker.LastUpstreamStart(u.ID)
 		if late := last.Sub(start) - in.outages.overlap(start, last); u.zone == zone && late > maxStartAfterEvacuation {
-			r.addViolation("%s got a task %v after its zone was evacuated", u.ID, late)
+			r.addViolation("%s received a task %v after the evacuation of its zone, not counting outages of the store", u.ID, late)
 		}
 	}
 	in.store.EndEvacuation(zone)
@@ -297,9 +310,10 @@
 	in.mu.Unlock()
 }
 
+// restart starts the daemon of an instance again after a fault.
 func (in *installation) restart(p *process, r *results) {
 	if err := p.start(); err != nil {
-		r.addViolation("%s does not start again: %v", p.name, err)
+		r.addViolation("%s cannot be restarted: %v", p.name, err)
 	}
 }
 
@@ -309,8 +323,9 @@
 	return in.upstreams[in.rng.IntN(len(in.upstreams))]
 }
 
-// replaceUpstream drains an upstream, starts another in the same zone, and then stops the
-// drained one, unless a fault has reserved it or it is being drained.
+// replaceUpstream drains an upstream, starts another one in the same zone, and then stops the
+// drained one. It does nothing if the upstream is reserved for another fault or has already been
+// drained.
 func (in *installation) replaceUpstream(u *upstream, d time.Duration, r *results) {
 	in.mu.Lock()
 	if u.reserved || !u.drainedAt.IsZero() {
@@ -321,45 +336,47 @@
 	in.mu.Unlock()
 	u.Drain()
 	if err := in.addUpstream(u.zone); err != nil {
-		r.addViolation("an upstream does not start: %v", err)
+		r.addViolation("a replacement of a drained upstream cannot be started: %v", err)
 	}
 	time.Sleep(maxStartAfterDrain + d)
 	u.Close()
 }
 
-// checkRecovery checks that nearly all jobs complete again within recoveryTimeout.
+// checkRecovery checks that, within recoveryTimeout after the end of the faults, nearly all jobs
+// complete again.
 func (in *installation) checkRecovery(ctx context.Context, r *results) {
 	r.clearRecent()
 	deadline := time.Now().Add(recoveryTimeout)
 	for !r.recovered() && ctx.Err() == nil {
 		if time.Now().After(deadline) {
-			r.addViolation("jobs are not served again %v after the faults", recoveryTimeout)
+			r.addViolation("jobs do not complete normally again within %v of the end of the faults", recoveryTimeout)
 			return
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// checkStarts checks the invariants that can only be checked at the end of the run: every job
-// that was started was sent by a customer, no job was started after its refusal, and no
-// upstream received tasks too long after its drain.
+// checkStarts checks the invariants that can only be checked at the end of the soak run:
+//   - Every job of which a task was started had been sent by a customer.
+//   - No task of a job was started after the job had been refused.
+//   - No upstream received a task later than maxStartAfterDrain after its drain.
 func (in *installation) checkStarts(r *results) {
 	r.mu.Lock()
 	submitted, refusedAt := r.submitted, r.refusedAt
 	r.mu.Unlock()
 	for _, job := range in.tracker.StartedJobs() {
 		if !submitted[job] {
-			r.addViolation("%s was started, and nobody sent it", job)
+			r.addViolation("a task of job %s was started, but no customer sent this job", job)
 		}
-		if since, refused := refusedAt[job]; refused && in.tracker.LastJobStart(job).After(since.Add(refusalTolerance)) {
-			r.addViolation("%s began after it was refused", job)
+		if refusedTime, refused := refusedAt[job]; refused && in.tracker.LastJobStart(job).After(refusedTime.Add(refusalTolerance)) {
+			r.addViolation("a task of job %s was started after the job was refused", job)
 		}
 	}
 	for _, u := range in.upstreams {
 		last := in.tracker.LastUpstreamStart(u.ID)
 		late := last.Sub(u.drainedAt) - in.outages.overlap(u.drainedAt, last)
 		if !u.drainedAt.IsZero() && late > maxStartAfterDrain {
-			r.addViolation("%s got a task %v after its drain, of which the store was there for %v", u.ID, last.Sub(u.drainedAt), late)
+			r.addViolation("%s received a task %v after its drain, or %v not counting outages of the store", u.ID, last.Sub(u.drainedAt), late)
 		}
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -11,28 +11,30 @@
 	"time"
 )
 
-// regressions maps seeds that have failed to the cause of the failure.
+// regressions maps seeds with which a soak run has failed to the cause of the failure.
 var regressions = map[uint64]string{
 	4010: "the check of drained upstreams counted the time in which the store was unavailable",
 }
 
-// evacuationSeed is a seed that has evacuations early.
+// evacuationSeed is a seed with an evacuation among the first faults, so that a short run has one.
 const evacuationSeed = 3
 
-// restartSeed is a seed that has both restarts and resizes of upstreams early.
+// restartSeed is a seed with both a restart and a resize of an upstream among the first faults, so
+// that a short run has both.
 const restartSeed = 5
 
+// buildDaemon builds the daemon and returns the path of the executable.
 func buildDaemon(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "sedgehatchd")
 	build := exec.Command("go", "build", "-o", path, "../cmd/sedgehatchd")
 	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("cannot build the daemon: %v: %s", err, out)
 	}
 	return path
 }
 
-// TestShort runs one seed, and the seeds that have failed before, for a short time.
+// TestShort is a short soak run with each of several seeds: seed 1 and those in regressions.
 func TestShort(t *testing.T) {
 	daemon := buildDaemon(t)
 	seeds := []uint64{1}
@@ -47,7 +49,7 @@
 			t.Fatal(err)
 		}
 		if report.Faults == 0 || report.Responses["completed"] == 0 {
-			t.Errorf("seed %d: %+v", seed, report)
+			t.Errorf("seed %d: no faults were injected or no jobs completed: %+v", seed, report)
 		}
 		for _, b := range report.Violations {
 			t.Errorf("seed %d (%s): %s", seed, regressions[seed], b)
@@ -55,7 +57,7 @@
 	}
 }
 
-// TestEvacuations is a short run in which zones are evacuated, in addition to other faults.
+// TestEvacuations is a short soak run whose faults include evacuations of zones.
 func TestEvacuations(t *testing.T) {
 	report, err := Run(t.Context(), Config{
 		Daemon: buildDaemon(t), Dir: t.TempDir(), Seed: evacuationSeed, InjectionTime: 4 * time.Second, Zones: 2, Instances: 2, Upstreams: 3, Customers: 6,
@@ -65,15 +67,15 @@
 		t.Fatal(err)
 	}
 	if report.Evacuations == 0 || report.Responses["completed"] == 0 {
-		t.Errorf("%+v", report)
+		t.Errorf("no zones were evacuated or no jobs completed: %+v", report)
 	}
 	for _, b := range report.Violations {
 		t.Error(b)
 	}
 }
 
-// TestLives is a short run in which upstreams restart under the same IDs and change their
-// capacity, in addition to other faults.
+// TestLives is a short soak run whose faults include upstreams that crash and restart under the
+// same ID, and upstreams whose capacity is reduced for some time.
 func TestLives(t *testing.T) {
 	report, err := Run(t.Context(), Config{
 		Daemon: buildDaemon(t), Dir: t.TempDir(), Seed: restartSeed, InjectionTime: 4 * time.Second, Zones: 2, Instances: 2, Upstreams: 3, Customers: 6,
@@ -83,16 +85,16 @@
 		t.Fatal(err)
 	}
 	if report.Responses["completed"] == 0 {
-		t.Errorf("%+v", report)
+		t.Errorf("no jobs completed: %+v", report)
 	}
 	for _, b := range report.Violations {
 		t.Error(b)
 	}
 }
 
-// TestEndTwice guards against a restart while the old daemon is still running: when two
-// overlapping faults terminate the same daemon, terminate must return to both only after the
-// daemon has exited.
+// TestEndTwice guards against the restart of a daemon that is still running. If two overlapping
+// faults terminate the same daemon, both calls of terminate must return only after it has exited,
+// because each fault then restarts it.
 func TestEndTwice(t *testing.T) {
 	sleeper, err := exec.LookPath("sleep")
 	if err != nil {
@@ -120,26 +122,26 @@
 	both.Wait()
 }
 
-// TestOutages checks the recorded times of overlapping outages of the store.
+// TestOutages checks how overlapping outages of the store are recorded.
 func TestOutages(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(1000+s), 0) }
 	var o outages
 	o.begin(at(1))
 	o.begin(at(2))
 	if o.end(at(3)) {
-		t.Error("end reports the last outage while another one is active")
+		t.Error("end returned true while another outage was in progress")
 	}
 	if away := o.overlap(at(0), at(4)); away != 3*time.Second {
-		t.Errorf("overlap with an active outage: %v, want 3 s", away)
+		t.Errorf("overlap with an outage in progress: %v, want 3 s", away)
 	}
 	if !o.end(at(5)) {
-		t.Error("end does not report the last outage")
+		t.Error("end returned false for the last outage in progress")
 	}
 	for name, c := range map[string]struct{ from, to, want int }{
 		"whole outage": {0, 9, 4}, "start of the outage": {0, 2, 1}, "end of the outage": {4, 9, 1}, "within the outage": {2, 3, 1}, "before the outage": {0, 1, 0}, "after the outage": {6, 9, 0},
 	} {
 		if away := o.overlap(at(c.from), at(c.to)); away != time.Duration(c.want)*time.Second {
-			t.Errorf("%s: %v, want %d s", name, away, c.want)
+			t.Errorf("%s: overlap %v, want %d s", name, away, c.want)
 		}
 	}
 }
@@ -189,14 +191,14 @@
 	if !echo() {
 		t.Error("a new connection does not echo after BlackholeOpen")
 	}
-	// Hold comes last: the proxy must also close while it holds data.
+	// Hold comes last, so that the deferred Close is also tested while the proxy holds data.
 	for _, c := range []struct {
 		mode Mode
 		want bool
 	}{{Forward, true}, {Delay, true}, {HoldResponses, false}, {Reset, false}, {Hold, false}} {
 		p.SetMode(c.mode)
 		if got := echo(); got != c.want {
-			t.Errorf("mode %d: echo received is %v, want %v", c.mode, got, c.want)
+			t.Errorf("mode %d: echo received: %v, want %v", c.mode, got, c.want)
 		}
 	}
 }
--- a/soak/unread_test.go
+++ b/soak/unread_test.go
@@ -19,19 +19,21 @@
 )
 
 const (
-	// unreadSeed determines the jobs and which instance is paused.
+	// unreadSeed determines the jobs, and which instance is paused in each round.
 	unreadSeed   = 7
 	unreadRounds = 12
 	jobsPerRound = 3
-	// unreadTaskDuration is longer than a resumed instance takes to read the requests in
-	// its accept queue, so that a run that it starts would overlap with the first run.
+	// unreadTaskDuration is longer than a resumed instance takes to read the requests that
+	// arrived during its pause. If it started their tasks, these runs would therefore overlap
+	// with those that the other instance has started.
 	unreadTaskDuration = 400 * time.Millisecond
 )
 
-// TestReadBehindReset guards against two concurrent runs of the same task, with real
-// processes: an instance is paused with requests in its accept queue, and their connections
-// are reset. The same jobs are sent to another instance and run. Then the first instance is
-// resumed and reads the old requests.
+// TestReadBehindReset guards against two concurrent runs of the same task, with real processes. In
+// each round:
+//  1. An instance is paused. Jobs are sent to it, and their connections are reset.
+//  2. The same jobs are sent to the other instance, which runs them.
+//  3. The first instance is resumed and reads the old requests. It must not run the jobs.
 func TestReadBehindReset(t *testing.T) {
 	in, err := newInstallation(Config{Daemon: buildDaemon(t), Dir: t.TempDir(), Seed: unreadSeed, Zones: 2, Instances: 1, Upstreams: 3})
 	if err != nil {
@@ -42,10 +44,10 @@
 		t.Fatal(err)
 	}
 	if !in.waitReady() {
-		t.Fatalf("the installation is not ready after %v", readyTimeout)
+		t.Fatalf("not all instances are ready %v after the start", readyTimeout)
 	}
 	rng := rand.New(rand.NewPCG(unreadSeed, 1))
-	sent := map[string]int{} // number of requests sent to each instance while it was paused, by its name
+	sent := map[string]int{} // number of requests sent to each instance while it was paused, by name
 	for round := range unreadRounds {
 		paused := rng.IntN(len(in.processes))
 		sent[in.processes[paused].name] += jobsPerRound
@@ -60,8 +62,8 @@
 	}
 }
 
-// readBehindReset runs one round. It returns once all jobs have responses and all runs have
-// ended.
+// readBehindReset carries out one round of TestReadBehindReset. It returns once all jobs have
+// responses and all runs have ended.
 func readBehindReset(t *testing.T, in *installation, rng *rand.Rand, round int, paused, other *process) {
 	var jobs []standin.Job
 	for i := range jobsPerRound {
@@ -82,7 +84,7 @@
 			defer func() { _ = conn.Close() }()
 			res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || res.StatusCode != http.StatusOK {
-				t.Errorf("job %s sent to %s: %v, %v", j.ID, other.name, res, err)
+				t.Errorf("job %s sent to %s: response %v, error %v; want status 200", j.ID, other.name, res, err)
 			}
 		})
 	}
@@ -99,7 +101,7 @@
 	}
 }
 
-// sendJob sends a job without waiting for the response.
+// sendJob sends a job to an instance and returns the connection, without waiting for the response.
 func sendJob(t *testing.T, to *process, job standin.Job) *net.TCPConn {
 	t.Helper()
 	req, err := standin.NewRequest(t.Context(), http.MethodPost, to.customerAddress(), host, routePrefix(0)+job.ID, job.Body(), customerTimeout)
@@ -116,8 +118,8 @@
 	return conn.(*net.TCPConn)
 }
 
-// countUnreadRequests returns the number of requests that an instance has read after the
-// customer had disconnected, according to its log.
+// countUnreadRequests returns how many requests an instance has read only after the customer had
+// disconnected, according to its log.
 func countUnreadRequests(t *testing.T, p *process) int {
 	t.Helper()
 	log, err := os.ReadFile(filepath.Join(p.dir, p.name+".log"))
@@ -127,13 +129,13 @@
 	return strings.Count(string(log), "the customer left before its request was read")
 }
 
-// waitUntil waits until a condition holds, and fails the test if that takes longer than
-// recoveryTimeout.
+// waitUntil waits until a condition holds. It fails the test if that takes longer than
+// recoveryTimeout. What describes the condition.
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(recoveryTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(limit) {
-			t.Fatalf("after %v, still not true: %s", recoveryTimeout, what)
+			t.Fatalf("this is still not true after %v: %s", recoveryTimeout, what)
 		}
 	}
 }
