--- a/ingress/policy.go
+++ b/ingress/policy.go
@@ -48,8 +48,8 @@
 	// OwnZoneFirst offers a job to an owner in the coordinator's zone first, even if owners in
 	// other zones have more free capacity.
 	OwnZoneFirst bool
-	// Spill also lets owners in other zones receive offers on account of their free capacity.
-	// Without it, only those in the coordinator's zone do.
+	// Spill lets owners in other zones receive offers if they have free capacity and those in
+	// the coordinator's zone have too little.
 	Spill bool
 	// ShortestQueue determines where tasks are queued if no owner has free capacity for them:
 	// in the group with the fewest waiting tasks per capacity. Without it, they are queued in
--- a/ingress/simfleet_test.go
+++ b/ingress/simfleet_test.go
@@ -144,7 +144,7 @@
 	coordinator   *Coordinator
 	links         map[*simOwner]*simLink
 	loads         map[string]OwnerLoad    // by zone
-	lastHeartbeat map[*simOwner]time.Time // when the last heartbeat received from an owner was sent
+	lastHeartbeat map[*simOwner]time.Time // when each owner sent the latest heartbeat that has been received
 	// pauseBeforeOffer makes the next offer pause the process after the decision to make the
 	// offer and before sending it. The offer is sent as soon as the pause ends.
 	pauseBeforeOffer bool
--- a/lab/bound.go
+++ b/lab/bound.go
@@ -39,10 +39,10 @@
 //     times the objective.
 //
 // This is a linear program. By weak duality, any choice of a CPU price for each period gives an
-// upper bound. The bound is the price of the whole capacity plus the surplus of each job, which
-// is its worth less the price of its work in the period in which that is most favourable, and at
-// least 0. Since the bound is valid for all prices, a simple search for prices that make it low
-// is sufficient.
+// upper bound. The bound is the price of the whole capacity plus the surpluses of all jobs. The
+// surplus of a job is its worth less the price of its work, in whichever period this is largest,
+// but at least 0. Since the bound is valid for all prices, a simple search for prices that make
+// it low is sufficient.
 func (d *deployment) worthBound() float64 {
 	capacity := d.periodCapacities()
 	scale := d.worthPerCoreSecond()
--- a/lab/deployment.go
+++ b/lab/deployment.go
@@ -212,8 +212,7 @@
 const maxUtilization = 0.85
 
 // generateKinds generates the kinds of jobs. At a load of 1, the jobs of all kinds together need
-// the usable capacity, and the jobs that arrive within a second have the same worth in total for
-// each kind.
+// exactly the usable capacity. Each kind contributes the same worth per second.
 func (d *deployment) generateKinds(rng *rand.Rand, capacity float64) {
 	n := 2 + rng.IntN(2)
 	size := smallUpstreamCPU * (0.15 + 0.3*rng.Float64())
--- a/lab/metrics.go
+++ b/lab/metrics.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// lateWorthShare is the share of its worth that a job earns if it completes after its
-	// latency objective, but within maxLateFactor times the objective. A job that completes
-	// even later earns nothing.
+	// A job that completes after its latency objective, but within maxLateFactor times the
+	// objective, earns lateWorthShare of its worth. A job that completes even later earns
+	// nothing.
 	lateWorthShare = 0.2
 	maxLateFactor  = 3
 )
--- a/owner/offer.go
+++ b/owner/offer.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// WithdrawAll cancels all offers of a coordinator, which has disconnected or failed.
+// WithdrawAll cancels all offers of a coordinator that has disconnected or failed.
 func (g *Group) WithdrawAll(coordinator, reason string) {
 	g.apply(func(p *schedule.Pool, now time.Time) schedule.Effects {
 		for key := range g.callbacks {
--- a/soak/customer.go
+++ b/soak/customer.go
@@ -22,8 +22,8 @@
 	recentlyCompleted []bool               // for each of the last recoveryWindow requests, whether its job completed
 }
 
-// recoveryWindow is the number of last requests that decide whether the installation has recovered
-// from the faults.
+// recoveryWindow is the number of most recent requests that decide whether the installation
+// has recovered from the faults.
 const recoveryWindow = 40
 
 func newResults() *results {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -43,7 +43,7 @@
 // Proxy is a TCP proxy that forwards connections to one address. Its Mode determines whether and
 // how it disturbs them.
 type Proxy struct {
-	Address  string // that the proxy listens on
+	Address  string // address on which the proxy listens
 	target   string // address to which it forwards
 	mode     atomic.Int32
 	closed   atomic.Bool
--- a/soak/unread_test.go
+++ b/soak/unread_test.go
@@ -130,7 +130,7 @@
 }
 
 // waitUntil waits until a condition holds. It fails the test if that takes longer than
-// recoveryTimeout. What describes the condition.
+// recoveryTimeout, with a message that describes the condition as what.
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(recoveryTimeout); !holds(); time.Sleep(pollInterval) {
