--- a/ingress/tworuns_test.go
+++ b/ingress/tworuns_test.go
@@ -61,8 +61,8 @@
 	waiter         *waiter   // waits in job on this connection
 }
 
-// newSimFleet returns a fleet of two zones. Each has two upstreams, a coordinator, an owner, and a
-// standby that may take over from the owner.
+// newSimFleet returns a fleet of two zones. Each zone has two upstreams, a coordinator, an owner,
+// and a standby that may take over from the owner.
 func newSimFleet(t failer, seed uint64) *simFleet {
 	f := &simFleet{
 		Simulation: standin.NewSimulation(simEpoch, seed), t: t, zones: []string{"a", "b"},
--- a/ingress/waiter.go
+++ b/ingress/waiter.go
@@ -7,7 +7,7 @@
 )
 
 // waiter is a customer connection that waits for the response to a job. A job has several
-// waiters if its customer has sent it to this instance again while it was open. The job goes
+// waiters if the customer has sent the same job again while it was open here. The job goes
 // on until the last waiter is detached: as long as a connection is open, the customer does
 // not send the job to another instance.
 type waiter struct {
--- a/lab/deployment.go
+++ b/lab/deployment.go
@@ -181,8 +181,9 @@
 // third upstream has one and a half times this capacity.
 const smallUpstreamCPU = 64000
 
-// generateUpstreams generates the zones, their upstreams, and the relative numbers of jobs of
-// their customers. It returns the total capacity of the upstreams in thousandths of a core.
+// generateUpstreams generates the zones with their upstreams, and the weights by which the jobs
+// are distributed over the zones. It returns the total capacity of the upstreams in thousandths
+// of a core.
 func (d *deployment) generateUpstreams(rng *rand.Rand) float64 {
 	capacity := 0.0
 	zoneCount, perZone := 2+rng.IntN(3), 8+rng.IntN(13)
