--- a/explain/explain.go
+++ b/explain/explain.go
@@ -225,7 +225,7 @@
 
 // reason returns the likely cause of the result in the line end, according to the other
 // lines of the job.
-func (e *Explanation) reason(end Line) string {
+func (e *Explanation) reason(resultLine Line) string {
 	if l, found := e.lastLine("offer_lost"); found {
 		return fmt.Sprintf("; the connection to the owner of %s broke", l.Field("group"))
 	}
@@ -245,7 +245,7 @@
 	switch {
 	case mostFrequent != "":
 		return fmt.Sprintf("; a task was retried: %s (%d times)", mostFrequent, reasons[mostFrequent])
-	case end.Field("owners") == "0":
+	case resultLine.Field("owners") == "0":
 		return "; the instance knew no owner of upstreams"
 	}
 	if wait := e.longestWait(); wait > 0 {
--- a/inner/call.go
+++ b/inner/call.go
@@ -12,7 +12,7 @@
 // incarnation. Otherwise it is Unreachable, or the error with which the peer refused the
 // connection.
 func (m *Mesh) Send(peer fate.Incarnation, f *Frame) error {
-	c, err := m.connectTo(peer)
+	c, err := m.connectToIncarnation(peer)
 	if err != nil {
 		return err
 	}
@@ -23,7 +23,7 @@
 // TrySend is like Send but never waits for a connection to be opened. If none is open,
 // it opens one in the background and returns the error Unreachable.
 func (m *Mesh) TrySend(peer fate.Incarnation, f *Frame) error {
-	c, err := m.openConnection(peer)
+	c, err := m.connectionOrStartDial(peer)
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 // CallAsyncConn is like CallAsync and also returns the connection that carries the
 // request. Messages that must arrive after the request have to be sent on it.
 func (m *Mesh) CallAsyncConn(peer fate.Incarnation, f *Frame, done func(*Frame, error)) (Connection, error) {
-	c, err := m.openConnection(peer)
+	c, err := m.connectionOrStartDial(peer)
 	if err != nil {
 		return nil, err
 	}
@@ -51,22 +51,22 @@
 	return c, c.call(f, func(reply *Frame) { done(replyOf(peer, reply)) })
 }
 
-// openConnection returns the open connection to an incarnation. If there is none, it
+// connectionOrStartDial returns the open connection to an incarnation. If there is none, it
 // opens one in the background and returns the error Unreachable.
-func (m *Mesh) openConnection(peer fate.Incarnation) (*connection, error) {
+func (m *Mesh) connectionOrStartDial(peer fate.Incarnation) (*connection, error) {
 	m.mu.Lock()
 	state := m.dialed[peer.Instance()]
 	closed := m.closed
 	m.mu.Unlock()
 	c := m.sharedConnection(peer.Instance())
 	if c == nil {
-		c = state.openConnection()
+		c = state.connectionIfOpen()
 	}
 	if c != nil && c.peer != peer {
 		return nil, failure.Gone.New("%s is gone: the instance is running as %s", peer, c.peer)
 	}
 	if c == nil && !closed {
-		go func() { _, _ = m.connect(peer.Instance()) }()
+		go func() { _, _ = m.connectToInstance(peer.Instance()) }()
 	}
 	if c == nil {
 		return nil, failure.Unreachable.New("no open connection to %s", peer)
@@ -97,7 +97,7 @@
 // StartCall sends the request f. Requests on the same lane of a connection arrive in the
 // order in which they were started. The errors are those of Send.
 func (m *Mesh) StartCall(peer fate.Incarnation, f *Frame) (*PendingCall, error) {
-	c, err := m.connectTo(peer)
+	c, err := m.connectToIncarnation(peer)
 	if err != nil {
 		return nil, err
 	}
--- a/inner/mesh.go
+++ b/inner/mesh.go
@@ -219,8 +219,8 @@
 	return state, nil
 }
 
-// connect returns the open connection to an instance, opening it if needed.
-func (m *Mesh) connect(instance string) (*connection, error) {
+// connectToInstance returns the open connection to an instance, opening it if needed.
+func (m *Mesh) connectToInstance(instance string) (*connection, error) {
 	state, err := m.dialStateOf(instance)
 	if err != nil {
 		return nil, err
@@ -249,13 +249,13 @@
 	return c.closed
 }
 
-// connectTo returns the open connection to an incarnation, opening it if needed. If peer has
+// connectToIncarnation returns the open connection to an incarnation, opening it if needed. If peer has
 // no boot id, it stands for the current incarnation of the instance.
-func (m *Mesh) connectTo(peer fate.Incarnation) (*connection, error) {
+func (m *Mesh) connectToIncarnation(peer fate.Incarnation) (*connection, error) {
 	if _, _, exact := splitIncarnation(peer); !exact || strings.HasPrefix(string(peer), atAddressPrefix) {
-		return m.connect(string(peer))
+		return m.connectToInstance(string(peer))
 	}
-	c, err := m.connect(peer.Instance())
+	c, err := m.connectToInstance(peer.Instance())
 	if err != nil {
 		return nil, err
 	}
@@ -278,15 +278,15 @@
 // Connect opens a connection to an instance if there is none, and returns the incarnation
 // that the instance is running as.
 func (m *Mesh) Connect(instance string) (fate.Incarnation, error) {
-	c, err := m.connect(instance)
+	c, err := m.connectToInstance(instance)
 	if err != nil {
 		return "", err
 	}
 	return c.peer, nil
 }
 
-// openConnection returns the connection, or nil if it is not open or is being opened.
-func (s *dialState) openConnection() *connection {
+// connectionIfOpen returns the connection, or nil if it is not open or is being opened.
+func (s *dialState) connectionIfOpen() *connection {
 	if s == nil || !s.mu.TryLock() {
 		return nil
 	}
--- a/inner/shared.go
+++ b/inner/shared.go
@@ -113,7 +113,7 @@
 		m.closeUnneeded(peer.Instance())
 		return nil
 	}
-	_, err := m.openConnection(peer)
+	_, err := m.connectionOrStartDial(peer)
 	return err
 }
 
