--- a/inner/call.go
+++ b/inner/call.go
@@ -7,10 +7,12 @@
 	"github.com/sedgehatch/sedgehatch/fate"
 )
 
-// Send sends f as a one-way message. It opens a connection if there is none. The error is
-// Gone if nothing listens at the peer's address or the instance is running as another
-// incarnation. Otherwise it is Unreachable, or the error with which the peer refused the
-// connection.
+// Send sends f as a one-way message. If there is no open connection, it opens one first. A
+// nil error means that f was queued, not that the peer has received it. The errors are:
+//   - Gone: nothing listens at the peer's address, or the instance runs as another incarnation;
+//   - Unreachable: no connection could be opened, or the peer reads too slowly;
+//   - TooLarge: f exceeds MaxFrameBytes;
+//   - the error with which the peer refused the connection.
 func (m *Mesh) Send(peer fate.Incarnation, f *Frame) error {
 	c, err := m.connectToIncarnation(peer)
 	if err != nil {
@@ -20,8 +22,8 @@
 	return c.send(f)
 }
 
-// TrySend is like Send but never waits for a connection to be opened. If none is open,
-// it opens one in the background and returns the error Unreachable.
+// TrySend is like Send but never waits for a connection to be opened. If none is open, it
+// starts to open one in the background, does not send f, and returns the error Unreachable.
 func (m *Mesh) TrySend(peer fate.Incarnation, f *Frame) error {
 	c, err := m.connectionOrStartDial(peer)
 	if err != nil {
@@ -32,8 +34,9 @@
 }
 
 // CallAsync sends the request f like TrySend. If that succeeds, it later calls done with the
-// reply or with one of the errors of PendingCall.Wait other than Timeout. done must not
-// block: the frames behind the reply are read only after it returns.
+// reply, with the typed error that the peer replied, or with the error Lost if the connection
+// broke before the reply arrived. done must not block, because the frames that follow the
+// reply are read only after done returns.
 func (m *Mesh) CallAsync(peer fate.Incarnation, f *Frame, done func(*Frame, error)) error {
 	_, err := m.CallAsyncConn(peer, f, done)
 	return err
@@ -52,7 +55,7 @@
 }
 
 // connectionOrStartDial returns the open connection to an incarnation. If there is none, it
-// opens one in the background and returns the error Unreachable.
+// starts to open one in the background and returns the error Unreachable.
 func (m *Mesh) connectionOrStartDial(peer fate.Incarnation) (*connection, error) {
 	m.mu.Lock()
 	state := m.dialed[peer.Instance()]
@@ -94,8 +97,8 @@
 	reply      chan *Frame
 }
 
-// StartCall sends the request f. Requests on the same lane of a connection arrive in the
-// order in which they were started. The errors are those of Send.
+// StartCall sends the request f without waiting for the reply. Requests on the same lane of a
+// connection arrive in the order in which they were started. The errors are those of Send.
 func (m *Mesh) StartCall(peer fate.Incarnation, f *Frame) (*PendingCall, error) {
 	c, err := m.connectToIncarnation(peer)
 	if err != nil {
--- a/inner/close_test.go
+++ b/inner/close_test.go
@@ -7,11 +7,11 @@
 	"go.uber.org/goleak"
 )
 
-// TestServeAfterClose checks that a connection accepted while the mesh is closing is closed
-// again, and that OnHello is not called for its peer. It guards against Serve handling such
-// a connection in a goroutine that Close does not wait for. The race detector reported this
-// in about one of 450 runs of TestZoneCutHeals, as WaitGroup.Add called concurrently with
-// Wait.
+// TestServeAfterClose checks that a connection that Serve accepts after Close is closed at
+// once, and that OnHello is not called for its peer. It guards against Serve handling such a
+// connection in a goroutine that Close does not wait for. The race detector reported that
+// fault in about one of 450 runs of TestZoneCutHeals: WaitGroup.Add was called concurrently
+// with WaitGroup.Wait.
 func TestServeAfterClose(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/inner/coalesce.go
+++ b/inner/coalesce.go
@@ -5,26 +5,26 @@
 	"net"
 )
 
-// yamux writes the header of a frame and its body in two separate writes. Only the header
-// of a data frame that is not empty is followed by a body.
+// The format of the header of a yamux frame. yamux writes the header and the body of a frame
+// in two separate writes. Only data frames with a length above zero have a body.
 const (
 	muxHeaderBytes     = 12
 	muxTypeOffset      = 1
 	muxLengthOffset    = 8
 	muxTypeData        = 0
-	maxKeptBufferBytes = 64 << 10 // a larger buffer is not kept for the next frame
+	maxKeptBufferBytes = 64 << 10 // larger buffers are not kept for the next frame
 )
 
 // coalescingConn combines the header and the body of each yamux frame into one write.
-// This saves a system call here and a wake-up at the peer. It needs no lock, because
-// yamux writes from a single goroutine.
+// This saves a system call here, and at the peer a wake-up of the goroutine that reads the
+// connection. It needs no lock, because yamux writes from a single goroutine.
 type coalescingConn struct {
 	net.Conn
 	heldHeader []byte // header whose body has not been written yet
 }
 
-// Write implements net.Conn. A header that is followed by a body is kept until the body
-// is written.
+// Write implements net.Conn. It holds a header that is followed by a body back until yamux
+// writes the body.
 func (c *coalescingConn) Write(p []byte) (int, error) {
 	if len(c.heldHeader) == 0 && isDataHeader(p) {
 		c.heldHeader = append(c.heldHeader[:0], p...)
--- a/inner/connection.go
+++ b/inner/connection.go
@@ -14,15 +14,16 @@
 	"github.com/hashicorp/yamux"
 )
 
-// maxQueuedBytes limits how much one lane queues for a slow peer. Sending fails while
-// more is queued.
+// maxQueuedBytes limits the memory that one lane uses for a peer that reads slowly. While
+// more is queued, sending on the lane fails with the error Unreachable.
 const maxQueuedBytes = 64 << 20
 
 // readBufferBytes is the size of a lane's read buffer. It is small because every
 // connection has two, and yamux itself reads from the socket in larger chunks.
 const readBufferBytes = 4 << 10
 
-// maxSpareBytes is the largest buffer that a lane keeps for reuse after writing it.
+// maxSpareBytes is the maximum size of the buffer that a lane keeps for reuse after writing
+// it. Larger buffers are left to the garbage collector.
 const maxSpareBytes = 64 << 10
 
 // lane is one ordered stream of frames of a connection. Frames are appended to queued and
@@ -32,7 +33,7 @@
 	mu         sync.Mutex
 	wakeWriter *sync.Cond
 	queued     []byte // encoded frames that wait to be written
-	spare      []byte // empty buffer that becomes queued at the next write
+	spare      []byte // buffer of an earlier write, reused for the queue at the next write
 	writing    bool   // a goroutine is writing to the stream
 	closed     bool
 	sendState  *sendState
@@ -41,9 +42,9 @@
 // sendState is shared by all lanes of a mesh.
 type sendState struct {
 	activeReaders atomic.Int32 // reader goroutines that are handling a frame
-	sentBytes     atomic.Int64 // frames with their headers
-	// queueOnly leaves all writing to the writer goroutines, because a write blocks while
-	// the peer does not read.
+	sentBytes     atomic.Int64 // total size of all sent frames, including their headers
+	// queueOnly leaves all writing to the writer goroutines, so that senders do not block
+	// while a peer does not read.
 	queueOnly bool
 }
 
@@ -53,12 +54,13 @@
 	return l
 }
 
-// send queues f. Frames that are queued together are written together. If no write is in
-// progress, the sender writes a small frame itself, which saves waking the writer.
+// send queues f. The whole queue is written in one write. If no write is in progress and the
+// queue is small, the sender writes it itself, which saves waking the writer goroutine.
 //
-// Readers must not write: two instances whose readers are blocked writing to each other
-// would deadlock. Since a sender does not know whether it runs in a reader, all writes are
-// left to the writer goroutines while any reader of this instance is handling a frame.
+// A reader goroutine must not write: if the readers of two instances were blocked in writes to
+// each other, neither would read, and both would wait forever. Since send cannot tell whether
+// a reader has called it, it leaves all writes to the writer goroutines while any reader of
+// this instance is handling a frame.
 func (l *lane) send(f *Frame) error {
 	return l.enqueue(func(queued []byte) ([]byte, error) { return AppendFrame(queued, f) })
 }
@@ -96,7 +98,8 @@
 	return nil
 }
 
-// maxDirectWriteBytes is the maximum size of a queue that a sender writes itself.
+// maxDirectWriteBytes is the maximum size of a queue that a sender writes itself. A larger
+// queue is left to the writer goroutine.
 const maxDirectWriteBytes = 16 << 10
 
 // writeQueued writes the queued frames. l.mu must be held and is unlocked on return.
@@ -144,11 +147,11 @@
 	_ = l.stream.Close()
 }
 
-// The lanes of a connection. Frames that must arrive in the order in which they were sent
-// use the same lane.
+// The lanes of a connection. Frames on the same lane arrive in the order in which they were
+// sent; frames on different lanes may overtake each other.
 const (
-	laneControl = iota // heartbeats and slot frames: small, never queued behind a payload
-	laneBulk           // all other frames, such as submissions, appends and answers
+	laneControl = iota // heartbeats and slot frames, which are small and must not wait behind payloads
+	laneBulk           // all other frames, such as submissions, appends to permit logs, and answers
 	laneCount
 )
 
@@ -161,7 +164,7 @@
 	}
 }
 
-// connection is one open connection to a peer.
+// connection implements Connection on a yamux session, with one stream for each lane.
 type connection struct {
 	session      *yamux.Session
 	lanes        [laneCount]*lane
@@ -298,7 +301,7 @@
 	}
 }
 
-// KindOf returns the kind of a frame under which sent frames are counted.
+// KindOf returns the kind of f, the name under which Config.CountSent counts frames like f.
 func KindOf(f *Frame) string {
 	switch f.GetBody().(type) {
 	case *Frame_Heartbeat:
--- a/inner/frame.go
+++ b/inner/frame.go
@@ -11,13 +11,13 @@
 )
 
 // MaxFrameBytes is the maximum size of an encoded frame without its header. It is large
-// enough for a job of the maximum size and the fields around it.
+// enough for a job of the maximum size (api.MaxBody, 16 MiB) and the fields around it.
 const MaxFrameBytes = 40 << 20
 
 const frameHeaderBytes = 4 // length of the frame, big endian
 
-// ReadFrame reads one frame. The error is Protocol if the frame is too large or not a
-// valid protobuf message. Errors of r are returned unchanged.
+// ReadFrame reads one frame from r. The error is Protocol if the frame exceeds MaxFrameBytes
+// or is not a valid protobuf message. Errors of r are returned unchanged.
 func ReadFrame(r *bufio.Reader) (*Frame, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -38,7 +38,7 @@
 	return f, nil
 }
 
-// AppendFrame appends the wire encoding of f, with its header, to buf. The error is
+// AppendFrame appends the wire encoding of f, including the header, to buf. The error is
 // TooLarge if f exceeds MaxFrameBytes.
 func AppendFrame(buf []byte, f *Frame) ([]byte, error) {
 	start := len(buf)
--- a/inner/frame_test.go
+++ b/inner/frame_test.go
@@ -36,14 +36,14 @@
 		t.Fatal(err)
 	}
 	if again := FromAppend(ToAppend(f.GetAppend())); !proto.Equal(first, again) {
-		t.Errorf("after encoding and decoding\n%v, want\n%v", again, first)
+		t.Errorf("an append was changed by encoding and decoding: got\n%v, want\n%v", again, first)
 	}
 }
 
 func TestErrorSurvivesTheWire(t *testing.T) {
 	err := ToError(FromError(failure.Field(failure.Conflict, "sequence", "other work")))
 	if !failure.Is(err, failure.Conflict) || failure.FieldOf(err) != "sequence" || failure.Text(err) != "other work" {
-		t.Errorf("after conversion to a message and back: %v", err)
+		t.Errorf("error after conversion to a message and back: %v, want a Conflict in the field sequence", err)
 	}
 }
 
--- a/inner/handshake.go
+++ b/inner/handshake.go
@@ -16,10 +16,12 @@
 	"github.com/hashicorp/yamux"
 )
 
-// atAddressPrefix starts the name of a peer of which only the address is known.
+// atAddressPrefix marks the name of a peer as an address, which stands for whichever instance
+// listens there.
 const atAddressPrefix = "@"
 
-// PeerAtAddress returns a name for whichever instance listens at an address.
+// PeerAtAddress returns a name for whichever instance listens at an address. It can be used in
+// place of an incarnation to send to a peer of which only the address is known.
 func PeerAtAddress(address string) fate.Incarnation {
 	return fate.Incarnation(atAddressPrefix + address)
 }
@@ -31,8 +33,8 @@
 	return c
 }
 
-// accept performs the handshake on a connection that a peer opened, and then reads its
-// frames until it closes.
+// accept performs the handshake on a connection that a peer opened, and then handles the
+// frames of the connection until it is closed.
 func (m *Mesh) accept(conn net.Conn) {
 	_ = conn.SetDeadline(time.Now().Add(m.cfg.DialTimeout))
 	session, err := yamux.Server(&coalescingConn{Conn: conn}, muxConfig())
@@ -53,7 +55,7 @@
 	m.serve(c)
 }
 
-// serve reads and handles the frames of an open connection until it closes.
+// serve reads and handles the frames of an open connection until the connection is closed.
 func (m *Mesh) serve(c *connection) {
 	c.readLanes(func(f *Frame) { m.handleFrame(c, f) })
 	m.removeConnection(c)
@@ -122,8 +124,9 @@
 	return nil
 }
 
-// dial opens a connection to an instance and starts reading its frames. The error is
-// Gone if nothing listens at its address, the peer's refusal, or else Unreachable.
+// dial opens a connection to an instance and starts reading its frames. The error is Gone if
+// nothing listens at the address of the instance. If the peer refuses the connection, the
+// error is the one that it replied. All other errors are Unreachable.
 func (m *Mesh) dial(instance string) (*connection, error) {
 	address, byAddress := strings.CutPrefix(instance, atAddressPrefix)
 	found := byAddress
@@ -154,14 +157,15 @@
 	defer m.mu.Unlock()
 	if m.closed {
 		c.close()
-		return nil, failure.Unreachable.New("the mesh is closed")
+		return nil, failure.Unreachable.New("this instance has closed its connections to other instances")
 	}
 	m.addConnection(c)
 	m.goroutines.Go(func() { m.serve(c) })
 	return c, nil
 }
 
-// clientHandshake opens the streams of a connection and exchanges a hello on each.
+// clientHandshake opens the streams of a connection and exchanges a hello on each. The error
+// is Unreachable if another instance than the expected one replies.
 func (m *Mesh) clientHandshake(conn net.Conn, instance string) (*connection, error) {
 	session, err := yamux.Client(&coalescingConn{Conn: conn}, muxConfig())
 	if err != nil {
--- a/inner/memory_test.go
+++ b/inner/memory_test.go
@@ -16,7 +16,7 @@
 
 func (ignoringHandler) HandleFrame(fate.Incarnation, *Frame, func(*Frame)) {}
 
-// fixedAddresses is an AddressResolver.
+// fixedAddresses is an AddressResolver that maps names of instances to addresses.
 type fixedAddresses map[string]string
 
 func (f fixedAddresses) Address(instance string) (string, bool) {
@@ -24,8 +24,10 @@
 	return a, found
 }
 
-// BenchmarkConnection measures the memory and goroutines that one end of a connection uses
-// while it carries heartbeats. A hub in a fleet of 147 instances has about 70 connections.
+// BenchmarkConnection measures the memory and the goroutines that a connection takes at each
+// of its two ends after it has carried heartbeats. Both ends run in this process. To judge the
+// figures: in a fleet of 147 instances, a hub (an instance that exchanges heartbeats with
+// those of its own zone and with the hubs of other zones) has about 70 connections.
 func BenchmarkConnection(b *testing.B) {
 	const peers = 60
 	for range b.N {
@@ -77,8 +79,7 @@
 	}
 }
 
-// usedMemory returns the bytes of heap and stacks that are in use after a garbage
-// collection.
+// usedMemory returns the number of bytes of heap and stack in use after garbage collection.
 func usedMemory() int64 {
 	runtime.GC()
 	runtime.GC()
--- a/inner/mesh.go
+++ b/inner/mesh.go
@@ -18,21 +18,22 @@
 
 // Handler handles the frames of other instances.
 type Handler interface {
-	// HandleFrame handles one message or request. It must not block: the frames behind it
-	// are read only after it returns. A frame with an id is a request, and reply may be
-	// called once for it, at any time. If f.Id is zero, reply does nothing.
+	// HandleFrame handles one message or request. It must not block, because the frames that
+	// follow f on the same lane are read only after it returns. If f.Id is not zero, f is a
+	// request: reply sends the reply to it and may be called once, also after HandleFrame has
+	// returned. If f.Id is zero, f is a one-way message and reply does nothing.
 	HandleFrame(from fate.Incarnation, f *Frame, reply func(*Frame))
 }
 
-// ConnectionHandler is a Handler that needs to know on which connection a frame arrived,
-// and when a connection is closed. A request can no longer be replied to after its
-// connection is closed.
+// ConnectionHandler is a Handler that needs to know on which connection each frame arrived,
+// and when a connection is closed. After that, replies to the requests that arrived on the
+// connection are lost.
 type ConnectionHandler interface {
 	Handler
 	// HandleConnectionFrame is like HandleFrame and is called instead of it.
 	HandleConnectionFrame(c Connection, from fate.Incarnation, f *Frame, reply func(*Frame))
-	// HandleConnectionClosed is called once a connection is closed and all its frames have
-	// been handled.
+	// HandleConnectionClosed is called after a connection was closed and all frames received
+	// on it have been handled.
 	HandleConnectionClosed(c Connection, from fate.Incarnation)
 }
 
@@ -47,8 +48,8 @@
 
 // AddressResolver finds the addresses of instances.
 type AddressResolver interface {
-	// Address returns the host and port of an instance's inner listener, or false if they are
-	// unknown.
+	// Address returns the host and port at which an instance listens for its peers, or false
+	// if they are unknown.
 	Address(instance string) (string, bool)
 }
 
@@ -62,7 +63,7 @@
 	Region      string
 	Zone        string
 	Rack        string
-	Address     string // of this instance's inner listener
+	Address     string // host and port at which this instance listens for its peers
 	Resolver    AddressResolver
 	Handler     Handler
 	Dial        DialFunc          // TCP if nil
@@ -72,25 +73,28 @@
 	ClockMs     func() uint64     // monotonic clock in milliseconds, sent to peers in the hello; may be nil
 	// ShareConnections makes the mesh send on any open connection to a peer, no matter which
 	// side opened it. Both sides must then call SendHeartbeat several times within
-	// SilenceTimeout.
+	// SilenceTimeout; otherwise a working connection may be taken for a broken one.
 	ShareConnections bool
-	// SilenceTimeout returns for how long a connection to an instance may receive no frame
-	// before it counts as broken. It is required with ShareConnections and otherwise unused.
+	// SilenceTimeout returns the time after which a connection to an instance counts as broken
+	// if no frame arrives on it. It is required with ShareConnections and otherwise unused.
 	SilenceTimeout func(instance string) time.Duration
-	// QueueOnly ensures that TrySend, CallAsync and replies never wait for a peer that does
-	// not read. It costs an additional wake-up per frame.
+	// QueueOnly makes TrySend, CallAsync and replies only queue their frames, so that they
+	// never wait for a peer that does not read. The cost is one goroutine wake-up per frame,
+	// because another goroutine writes the queue.
 	QueueOnly bool
 }
 
-// DefaultDialTimeout bounds opening a connection, including the exchange of hellos.
+// DefaultDialTimeout limits the time to open a connection, including the exchange of hellos.
 const DefaultDialTimeout = time.Second
 
-// redialDelay is the minimum time between a failed dial to a peer and the next one.
+// redialDelay is the minimum time between a failed dial to a peer and the next dial. Sends to
+// the peer within that time fail at once with the error of the failed dial.
 const redialDelay = 200 * time.Millisecond
 
-// Mesh manages the connections to other instances. By default there are two for each
-// peer: one that this instance opens on first use for what it sends, and one that the peer
-// opens. With Config.ShareConnections both sides send on the same connection.
+// Mesh manages the connections to other instances. By default there are two connections for
+// each peer: this instance opens one when it first sends to the peer, and the peer opens the
+// other when it first sends to this instance; each sends only on its own, apart from replies.
+// With Config.ShareConnections, both send on the same connection.
 type Mesh struct {
 	cfg        Config
 	mu         sync.Mutex
@@ -101,8 +105,8 @@
 	sendState  sendState
 }
 
-// dialState is the connection that this instance opened to one peer, or the last failure
-// to open it. mu is held while the connection is being opened.
+// dialState holds the connection that this instance opened to one peer, or the error of the
+// last attempt to open it. mu is held while the connection is being opened.
 type dialState struct {
 	mu         sync.Mutex
 	connection *connection
@@ -160,7 +164,7 @@
 	return !m.closed
 }
 
-// handleFrame passes a message or request to the handler.
+// handleFrame passes a message or request that arrived on c to the handler.
 func (m *Mesh) handleFrame(c *connection, f *Frame) {
 	id := f.GetId()
 	sendReply := func(reply *Frame) {
@@ -188,12 +192,14 @@
 
 // CloseConnections closes all connections to an incarnation of an instance, including those
 // that the peer opened. Connections to other incarnations of the instance stay open. It does
-// not wait for a dial in progress, because a lost peer may leave the dial without a response.
+// not wait for a dial in progress, which hangs until its timeout if the peer is lost.
 func (m *Mesh) CloseConnections(peer fate.Incarnation) {
 	instance := peer.Instance()
 	connections := m.connectionsTo(instance)
 	matching := slices.DeleteFunc(slices.Clone(connections), func(c *connection) bool { return c.peer != peer })
 	if len(matching) == len(connections) {
+		// No other incarnation is connected, so the dial state cannot hold its connection.
+		// Forgetting the state makes the next send dial again at once.
 		m.mu.Lock()
 		delete(m.dialed, instance)
 		m.mu.Unlock()
@@ -209,7 +215,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
-		return nil, failure.Unreachable.New("the mesh is closed")
+		return nil, failure.Unreachable.New("this instance has closed its connections to other instances")
 	}
 	state := m.dialed[instance]
 	if state == nil {
@@ -219,7 +225,8 @@
 	return state, nil
 }
 
-// connectToInstance returns the open connection to an instance, opening it if needed.
+// connectToInstance returns the open connection to an instance. If there is none, it opens
+// one, unless the last attempt failed less than redialDelay ago.
 func (m *Mesh) connectToInstance(instance string) (*connection, error) {
 	state, err := m.dialStateOf(instance)
 	if err != nil {
@@ -249,8 +256,9 @@
 	return c.closed
 }
 
-// connectToIncarnation returns the open connection to an incarnation, opening it if needed. If peer has
-// no boot id, it stands for the current incarnation of the instance.
+// connectToIncarnation is like connectToInstance, but returns the error Gone if the instance
+// runs as another incarnation than peer. A peer without a boot id stands for any incarnation
+// of the instance, and a peer made by PeerAtAddress for whichever instance listens there.
 func (m *Mesh) connectToIncarnation(peer fate.Incarnation) (*connection, error) {
 	if _, _, exact := splitIncarnation(peer); !exact || strings.HasPrefix(string(peer), atAddressPrefix) {
 		return m.connectToInstance(string(peer))
@@ -265,8 +273,8 @@
 	return c, nil
 }
 
-// splitIncarnation splits i into the name of the instance and its boot id. It reports false
-// if i has no boot id.
+// splitIncarnation splits i into the name of the instance and the boot id, which tells the
+// incarnations of the instance apart. It reports false if i has no boot id.
 func splitIncarnation(i fate.Incarnation) (string, string, bool) {
 	name := i.Instance()
 	if name == string(i) {
@@ -275,8 +283,8 @@
 	return name, string(i)[len(name)+1:], true
 }
 
-// Connect opens a connection to an instance if there is none, and returns the incarnation
-// that the instance is running as.
+// Connect opens a connection to an instance if there is none, and returns the incarnation as
+// which the instance is running.
 func (m *Mesh) Connect(instance string) (fate.Incarnation, error) {
 	c, err := m.connectToInstance(instance)
 	if err != nil {
@@ -285,7 +293,8 @@
 	return c.peer, nil
 }
 
-// connectionIfOpen returns the connection, or nil if it is not open or is being opened.
+// connectionIfOpen returns the connection if it is open, and otherwise nil. It does not wait
+// for a dial in progress.
 func (s *dialState) connectionIfOpen() *connection {
 	if s == nil || !s.mu.TryLock() {
 		return nil
@@ -300,8 +309,8 @@
 // SentBytes returns the number of bytes of all frames that this instance has sent.
 func (m *Mesh) SentBytes() int64 { return m.sendState.sentBytes.Load() }
 
-// CloseDialed closes the connection that this instance opened to another, so that calls on
-// it end at once.
+// CloseDialed closes the connection that this instance opened to another one. Pending calls on
+// the connection fail at once with the error Lost.
 func (m *Mesh) CloseDialed(instance string) {
 	m.mu.Lock()
 	state := m.dialed[instance]
@@ -318,7 +327,7 @@
 	}
 }
 
-// Close closes all connections and waits until their frames have been handled.
+// Close closes all connections and waits until the frames received on them have been handled.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.closed = true
--- a/inner/mesh_test.go
+++ b/inner/mesh_test.go
@@ -27,8 +27,8 @@
 	return a, found
 }
 
-// echoHandler replies to each request with the body of the request. Frames with a Cancel
-// body get no reply and are sent to cancels instead.
+// echoHandler replies to each request with the body of the request. It does not reply to
+// frames with a Cancel body, but sends them to the channel cancels.
 type echoHandler struct{ cancels chan *Frame }
 
 func (e *echoHandler) HandleFrame(_ fate.Incarnation, f *Frame, reply func(*Frame)) {
@@ -76,10 +76,10 @@
 
 	f, err := a.Call(context.Background(), "b.1", heartbeat())
 	if err != nil || f.GetHeartbeat().GetActiveJobs() != 7 {
-		t.Fatalf("reply %v, %v", f, err)
+		t.Fatalf("b replied %v, error %v, want an echo of the heartbeat", f, err)
 	}
 	if who, err := a.Connect("b"); err != nil || who != "b.1" {
-		t.Errorf("b is running as %s, %v", who, err)
+		t.Errorf("b is running as %s, error %v, want b.1", who, err)
 	}
 	for peer, want := range map[fate.Incarnation]func(error) bool{
 		"b.2":        func(err error) bool { return failure.Is(err, failure.Gone) },
@@ -87,7 +87,7 @@
 		"stranger.1": func(err error) bool { return failure.Is(err, failure.Refused) && failure.FieldOf(err) == "fleet" },
 	} {
 		if _, err := a.Call(context.Background(), peer, heartbeat()); !want(err) {
-			t.Errorf("calling %s: %v", peer, err)
+			t.Errorf("a call to %s returned the wrong error: %v", peer, err)
 		}
 	}
 
@@ -130,7 +130,7 @@
 	resolver := &mapResolver{addresses: map[string]string{}}
 	_, handler := startMesh(t, resolver, "b.1", "f")
 	for range cap(handler.cancels) {
-		handler.cancels <- nil // blocks its reader at the first frame
+		handler.cancels <- nil // fills the channel, so that the reader of b blocks at the first frame
 	}
 	m := NewMesh(Config{Fleet: "f", Self: "a.1", Resolver: resolver, Handler: &echoHandler{cancels: make(chan *Frame, 1)}, QueueOnly: true})
 	t.Cleanup(m.Close)
--- a/inner/shared.go
+++ b/inner/shared.go
@@ -8,13 +8,15 @@
 	"github.com/sedgehatch/sedgehatch/fate"
 )
 
-// A mesh with Config.ShareConnections sends on any open connection to a peer, no matter
-// which side opened it. Heartbeats are sent on all of them. If one connection is silent
-// while frames still arrive on another, the peer is alive: the other connection is used
-// and the silent one is closed.
-
-// spareIdleTimeout is how long an additional connection to a peer is kept after the last
-// call on it. It is longer than any job whose result may still arrive on the connection.
+// This file chooses among several connections to the same peer. A mesh with
+// Config.ShareConnections sends on any open connection to a peer, no matter which side opened
+// it, and sends heartbeats on all of them. If frames arrive on one connection but not on
+// another, the peer is alive and the other connection is broken: the mesh sends on the first
+// and closes the broken one.
+
+// spareIdleTimeout is how long a connection that is not the best one to its peer is kept after
+// the last call on it. It has to be longer than any job: the result of a job arrives on the
+// connection on which the call was made, and would be lost if that were closed before.
 const spareIdleTimeout = 15 * time.Second
 
 // addConnection adds c to the open connections to its peer. m.mu must be held.
@@ -41,10 +43,11 @@
 	return slices.DeleteFunc(slices.Clone(m.open[instance]), (*connection).isClosed)
 }
 
-// bestConnection returns the open connection to an instance that is to be used, or nil if
-// there is none. Both ends choose the same connection as long as frames arrive at both ends
-// on the same connections. Connections on which a frame arrived recently are preferred;
-// among them, those that the instance with the lower name opened, and then the newest.
+// bestConnection returns the open connection to an instance on which to send, or nil if none
+// is open. If frames arrived recently on several connections, it returns the newest of those
+// that the instance with the lower name opened. If frames arrived recently on none, it returns
+// the one with the latest frame. Both ends choose the same connection as long as the
+// connections on which frames arrive are the same at both ends.
 func (m *Mesh) bestConnection(instance string) *connection {
 	connections := m.connectionsTo(instance)
 	if len(connections) == 0 {
@@ -86,7 +89,8 @@
 	return now-c.lastReceivedAt() < m.cfg.SilenceTimeout(c.peer.Instance())/2
 }
 
-// EncodedFrame is the wire encoding of a frame, which can be sent to many peers.
+// EncodedFrame is a frame in its wire encoding, for sending it to many peers without encoding
+// it for each.
 type EncodedFrame struct {
 	raw  []byte
 	kind string
@@ -99,8 +103,9 @@
 	return EncodedFrame{raw, KindOf(f), laneOf(f)}, err
 }
 
-// SendHeartbeat sends a heartbeat on every open connection to an incarnation, and then
-// closes connections to its instance that are not needed. The errors are those of TrySend.
+// SendHeartbeat sends the heartbeat e on every open connection to an incarnation, and then
+// closes the connections to the instance that are no longer needed. If the heartbeat could be
+// sent on none, the errors are those of TrySend.
 func (m *Mesh) SendHeartbeat(peer fate.Incarnation, e EncodedFrame) error {
 	sent := false
 	for _, c := range m.connectionsTo(peer.Instance()) {
@@ -117,9 +122,10 @@
 	return err
 }
 
-// closeUnneeded does nothing unless a frame arrived recently on the best connection to an
-// instance. Otherwise it closes the other connections that are silent, and those that this
-// instance opened and on which it has made no call for spareIdleTimeout.
+// closeUnneeded closes the connections to an instance that are no longer needed, provided that
+// a frame arrived recently on the best connection. Of the other connections, it closes:
+//   - those on which no frame arrived within the silence timeout;
+//   - those that this instance opened and on which it has made no call for spareIdleTimeout.
 func (m *Mesh) closeUnneeded(instance string) {
 	connections := m.connectionsTo(instance)
 	if len(connections) < 2 {
@@ -138,8 +144,9 @@
 	}
 }
 
-// SendOnNewConnection opens another connection to an instance and sends f on it. It is used
-// when the open connections may be broken without notice. The errors are those of Connect.
+// SendOnNewConnection opens another connection to an instance and sends f on it. It is meant
+// for a peer that no longer responds: a connection may be broken although it still counts as
+// open. The errors are those of Connect and Send.
 func (m *Mesh) SendOnNewConnection(instance string, f *Frame) error {
 	state, err := m.dialStateOf(instance)
 	if err != nil {
--- a/inner/shared_test.go
+++ b/inner/shared_test.go
@@ -47,8 +47,8 @@
 	waitForConnections(t, a, b, 1)
 }
 
-// TestSharedChoice checks that if frames arrive on several connections, both ends choose
-// one that the instance with the lower name opened, and among those the newest.
+// TestSharedChoice checks which of several connections on which frames arrive is used: both
+// ends choose among those that the instance with the lower name opened, and take the newest.
 func TestSharedChoice(t *testing.T) {
 	a, b := startSharingMeshes(t)
 	connect(t, b, "a")
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestSharedSilence checks that a silent connection is no longer used if frames arrive on
-// another one, and that it is closed.
+// TestSharedSilence checks that a connection on which no frames arrive is no longer used if
+// frames arrive on another one, and that the silent connection is closed.
 func TestSharedSilence(t *testing.T) {
 	a, b := startSharingMeshes(t)
 	connect(t, a, "b")
@@ -115,7 +115,7 @@
 	}
 	a.CloseConnections("b.1")
 	if connections := a.connectionsTo("b"); len(connections) != 1 || connections[0].peer != "b.2" {
-		t.Errorf("%d connections are left, want 1 to b.2", len(connections))
+		t.Errorf("%d connections are left, want only the one to b.2", len(connections))
 	}
 }
 
