--- a/kv/client.go
+++ b/kv/client.go
@@ -1,6 +1,10 @@
-// Package kv is a client of the platform in the product's own interface: of its key-value
-// service and its list of instances. If the error of a write is Lost, the write may have
-// taken effect, and the caller has to read the value to find out.
+// Package kv is a client of the platform, the system on which the fleet runs, through the
+// interface that package api defines: a key-value service and a list of instances.
+//
+// An entry is a key with its value and version. Each write of a key increases its version, and
+// a key that does not exist has version zero. A key can be tied to a lease, which its owner
+// renews; when the lease ends, the key is deleted. If the error of a write is Lost, the write
+// may have taken effect, and the caller has to read the entry to find out.
 package kv
 
 import (
@@ -18,7 +22,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Client is a client of one platform. It never repeats a request.
+// Client is a client of one platform. It sends each request at most once.
 type Client struct {
 	address   string
 	http      *fasthttp.Client
@@ -32,8 +36,8 @@
 	dialTimeout    = time.Second
 )
 
-// NewClient returns a client of the platform at address. dial opens connections; if it is
-// nil, they are TCP connections. count is called for each request and may be nil.
+// NewClient returns a client of the platform at address. dial opens the connections; nil means
+// TCP. count is called with the kind of message for each request; it may be nil.
 func NewClient(address string, dial func(string) (net.Conn, error), count func(kind string)) *Client {
 	if dial == nil {
 		dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, dialTimeout) }
@@ -52,16 +56,16 @@
 	}
 }
 
-// Close closes all connections, so that a pending Watch returns.
+// Close closes all connections. A pending Watch then returns the error Lost.
 func (c *Client) Close() { c.conns.Close() }
 
-// Get returns the entry of key. Its version is zero if the key does not exist.
+// Get returns the entry of key. The version of the entry is zero if the key does not exist.
 func (c *Client) Get(key string) (api.KVEntry, error) {
 	return c.read(url.Values{"key": {key}}, c.timeout)
 }
 
-// Watch waits until the version of key is higher than after, but at most for wait, and
-// returns the entry of key.
+// Watch waits until the version of key is higher than after or wait has passed, and returns
+// the entry of key.
 func (c *Client) Watch(key string, after uint64, wait time.Duration) (api.KVEntry, error) {
 	query := url.Values{
 		"key": {key}, "after": {strconv.FormatUint(after, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
@@ -75,9 +79,9 @@
 	return entry, err
 }
 
-// CompareAndSwap writes w if the key has the version w.Expect. If it does not, the error is
-// Conflict and the current entry is returned. If the error is Lost, the write may have taken
-// effect.
+// CompareAndSwap writes w if the key has the version w.Expect, and returns the new entry.
+// If the key has another version, it returns the current entry and the error Conflict. If the
+// error is Lost, the write may have taken effect.
 func (c *Client) CompareAndSwap(w api.KVWrite) (api.KVEntry, error) {
 	var entry api.KVEntry
 	status, err := c.do(fasthttp.MethodPut, api.PathKV, w, c.timeout, &entry)
@@ -87,14 +91,15 @@
 	return entry, err
 }
 
-// GrantLease creates a lease that ends after ttl unless it is renewed.
+// GrantLease creates a lease, to which keys can be tied. It ends after ttl unless it is renewed.
 func (c *Client) GrantLease(ttl time.Duration) (api.KVLease, error) {
 	var lease api.KVLease
 	_, err := c.do(fasthttp.MethodPost, api.PathPlatformLeases, api.KVLease{TTLMs: ttl.Milliseconds()}, c.timeout, &lease)
 	return lease, err
 }
 
-// RenewLease restarts the term of a lease. The error is NotFound if the lease has expired.
+// RenewLease makes a lease last for its TTL from now on. The error is NotFound if the lease has
+// expired.
 func (c *Client) RenewLease(lease api.KVLease) error {
 	status, err := c.do(fasthttp.MethodPut, api.PathPlatformLeases, lease, c.timeout, &lease)
 	if err == nil && status == http.StatusNotFound {
@@ -103,16 +108,17 @@
 	return err
 }
 
-// Instances returns the instances that are alive or leaving. The list lags behind their
-// actual state.
+// Instances returns the platform's list of instances, including those that are shutting down.
+// The list may be out of date.
 func (c *Client) Instances() ([]api.PlatformInstance, error) {
 	var list api.PlatformInstances
 	_, err := c.do(fasthttp.MethodGet, api.PathPlatformInstance, nil, c.timeout, &list)
 	return list.Instances, err
 }
 
-// do sends a request and decodes the body of a response with status 200 or 409 into result.
-// It returns no error for status 404 and 409.
+// do sends a request and returns the status of the response. It decodes the body into result
+// if the status is 200 or 409. The statuses 404 and 409 are not errors here: the caller has to
+// check for them. Every other status except 200 is the error Refused.
 func (c *Client) do(method, path string, body any, timeout time.Duration, result any) (int, error) {
 	req := fasthttp.AcquireRequest()
 	resp := fasthttp.AcquireResponse()
--- a/settings/schema.go
+++ b/settings/schema.go
@@ -1,6 +1,12 @@
-// Package settings implements the settings that operators can change at run time. They form
-// a tree with the levels fleet, region, availability zone, service and caller. Each level
-// inherits the values of the levels above it and may override them.
+// Package settings implements the settings that operators can change at run time.
+//
+// The settings form a tree with the levels fleet, region, availability zone, service and
+// caller. A node is a place in the tree where values are set, such as one zone. A value set at
+// a lower level overrides those of the levels above it. The text form of a tree is INI, with
+// one section for each node.
+//
+// A revision is a numbered version of the whole tree. The platform stores the current revision
+// under one key, and a copy of each revision under a key of its own.
 package settings
 
 import (
--- a/settings/store.go
+++ b/settings/store.go
@@ -11,19 +11,19 @@
 	"github.com/google/uuid"
 )
 
-// HeadKey is the key of the current revision at the platform.
+// HeadKey is the key under which the platform stores the current revision.
 const HeadKey = "sedgehatch/settings/head"
 
-// historyKey returns the key of the copy of a revision at the platform.
+// historyKey returns the key under which the platform stores the copy of a revision.
 func historyKey(number uint64) string {
 	return "sedgehatch/settings/revision/" + formatRevision(number)
 }
 
-// Revision is one revision of the settings.
+// Revision is a numbered version of the whole settings tree, with its origin.
 type Revision struct {
 	Number uint64 `json:"revision"`
-	// ChangeID is a random id of the change that made the revision. A writer that received no
-	// response recognizes by it whether its own change took effect.
+	// ChangeID is a random id of the change that made the revision. By reading it back, a
+	// writer that received no response finds out whether its own change took effect.
 	ChangeID string `json:"change"`
 	Author   string `json:"author,omitempty"`
 	AtMs     int64  `json:"at_ms"` // Unix milliseconds
@@ -45,7 +45,8 @@
 // NewStore returns a Store. nowMs returns the current time in Unix milliseconds.
 func NewStore(kv KV, nowMs func() int64) *Store { return &Store{kv, nowMs} }
 
-// DecodeRevision decodes and checks the value of HeadKey. An empty value is an empty tree.
+// DecodeRevision decodes and checks the value of HeadKey. An empty value stands for a settings
+// tree in which nothing is set: no revision has been written yet.
 func DecodeRevision(value string) (Revision, *Tree, error) {
 	if value == "" {
 		return Revision{}, Empty(), nil
@@ -61,7 +62,8 @@
 	return revision, tree, nil
 }
 
-// Load returns the current revision, its tree and the version of HeadKey.
+// Load returns the current revision, its tree, and the version of HeadKey at the platform,
+// which a write has to match.
 func (s *Store) Load() (Revision, *Tree, uint64, error) {
 	entry, err := s.kv.Get(HeadKey)
 	if err != nil {
@@ -71,21 +73,24 @@
 	return revision, tree, entry.Version, err
 }
 
-// readBackAttempts is how often an update tries to read the settings after a failed write.
+// readBackAttempts is how many times an update tries to read the settings after a failed write
+// before it gives up with the error Lost.
 const readBackAttempts = 5
 
-// Update makes the tree that edit returns the next revision. base is the number of the
-// revision that the operator has seen, or zero. The error is Conflict if base is no longer
-// the current revision or if another update was faster. If the write fails, the settings
-// are read back to find out whether it took effect. The error is Lost if that remains
-// uncertain.
+// Update calls edit with the current tree and stores the tree that edit returns as the next
+// revision. It returns that revision and what it changes. base is the number of the revision
+// that the operator has seen, or zero to change whichever revision is current. If the write
+// fails, the settings are read back to find out whether it took effect. The errors are:
+//   - Conflict: base is not the current revision, or another update was faster;
+//   - Lost: the change may have taken effect;
+//   - the first problem that edit returns, or the error of a failed read.
 func (s *Store) Update(base uint64, author string, edit func(*Tree) (*Tree, []error)) (Revision, []Difference, error) {
 	current, tree, version, err := s.Load()
 	if err != nil {
 		return Revision{}, nil, err
 	}
 	if base != 0 && base != current.Number {
-		return current, nil, failure.Field(failure.Conflict, "revision", "revision %d is in force, by %q, but the change is based on %d", current.Number, current.Author, base)
+		return current, nil, failure.Field(failure.Conflict, "revision", "revision %d is in force, made by %q, but the change is based on revision %d", current.Number, current.Author, base)
 	}
 	edited, problems := edit(tree)
 	if len(problems) > 0 {
@@ -99,7 +104,7 @@
 	return next, tree.Diff(edited), nil
 }
 
-// writeCurrent makes next the current revision if HeadKey still has the given version.
+// writeCurrent stores next as the current revision if HeadKey still has the given version.
 func (s *Store) writeCurrent(next Revision, version uint64) error {
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -112,7 +117,12 @@
 	return s.readBack(next, err)
 }
 
-// readBack returns nil if a write that failed with the error cause took effect after all.
+// readBack finds out whether the write of next took effect although it failed with the error
+// cause. It returns:
+//   - nil if next is the current revision;
+//   - Conflict if the current revision has the same or a higher number but another change id;
+//   - cause if the current revision has a lower number;
+//   - Lost if the settings could not be read.
 func (s *Store) readBack(next Revision, cause error) error {
 	for range readBackAttempts {
 		current, _, _, err := s.Load()
@@ -127,11 +137,11 @@
 		}
 		return cause
 	}
-	return failure.Lost.Wrap(cause, "the change may have taken effect; read the settings once the platform responds")
+	return failure.Lost.Wrap(cause, "the change may have taken effect; read the settings when the platform responds again")
 }
 
 // saveToHistory writes a copy of a revision for History and rollbacks. Errors are ignored,
-// because the revision is in force without the copy.
+// because the revision is in force even if its copy is missing.
 func (s *Store) saveToHistory(revision Revision) {
 	value, err := json.Marshal(revision)
 	if err == nil {
@@ -139,7 +149,8 @@
 	}
 }
 
-// History returns up to limit revisions, newest first. It omits revisions without a copy.
+// History returns the copies of up to limit revisions, newest first. It leaves out revisions
+// whose copy is missing.
 func (s *Store) History(limit int) ([]Revision, error) {
 	current, _, _, err := s.Load()
 	if err != nil {
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -27,7 +27,8 @@
 
 var levels = []Level{LevelFleet, LevelRegion, LevelZone, LevelService, LevelCaller}
 
-// Node identifies a node of the tree. The node of the fleet has no name.
+// Node identifies a node of the tree, such as one zone, by its level and name. The node of the
+// fleet has no name.
 type Node struct {
 	Level Level
 	Name  string
@@ -41,7 +42,8 @@
 	return string(n.Level) + " " + n.Name
 }
 
-// ParseNode parses a section name. The error is InvalidInput if it does not name a node.
+// ParseNode parses the section name of a node, such as "service desk". The error is InvalidInput
+// if s is not one.
 func ParseNode(s string) (Node, error) {
 	level, name, _ := strings.Cut(strings.TrimSpace(s), " ")
 	n := Node{Level(level), strings.TrimSpace(name)}
@@ -64,7 +66,8 @@
 
 var loadOptions = ini.LoadOptions{IgnoreInlineComment: true, SpaceBeforeInlineComment: true}
 
-// Parse parses and checks a tree in INI format. It returns all problems, not only the first.
+// Parse parses and checks a tree in INI format. If it finds problems, it returns all of them,
+// not only the first, and no tree.
 func Parse(text string) (*Tree, []error) {
 	file, err := ini.LoadSources(loadOptions, []byte(text))
 	if err != nil {
@@ -89,7 +92,7 @@
 	return t, nil
 }
 
-// addSection adds a section to t and returns the problems of its values.
+// addSection adds a section to t as node and returns the problems of the section's values.
 func (t *Tree) addSection(node Node, section *ini.Section) []error {
 	var problems []error
 	values := map[string]string{}
@@ -106,8 +109,8 @@
 // Text returns the tree in INI format.
 func (t *Tree) Text() string { return t.text }
 
-// With returns a copy of the tree in which key is set to value at node, or not set at node if
-// value is nil.
+// With returns a copy of the tree in which key has the given value at node; nil removes the
+// value from the node. If that makes the tree invalid, With returns the problems instead.
 func (t *Tree) With(node Node, key string, value *string) (*Tree, []error) {
 	file, err := ini.LoadSources(loadOptions, []byte(t.text))
 	if err != nil {
@@ -125,8 +128,8 @@
 	return Parse(buf.String())
 }
 
-// Path holds the name of one node at each level, for which a value is looked up. An empty
-// name skips the level.
+// Path selects the nodes in which a setting is looked up: the fleet, and at each lower level
+// the node with the given name. An empty name skips the level.
 type Path struct {
 	Region, Zone, Service, Caller string
 }
@@ -142,15 +145,15 @@
 	return list
 }
 
-// Value is the value of a setting at some path, with the node where it is set.
+// Value is the result of looking up a setting for a path: the value and the node that sets it.
 type Value struct {
 	Key  string
 	Text string
 	From Node
 }
 
-// Get returns the value of key at path, which is set at the lowest level of path that sets
-// key. If no level does, it returns the default.
+// Get looks up key for path. Among the nodes of the path that set key, the one at the lowest
+// level determines the value. If no node sets key, Get returns the default.
 func (t *Tree) Get(path Path, key string) Value {
 	v := Value{Key: key, Text: byKey[key].Default, From: Node{Level: LevelDefault}}
 	for _, n := range path.nodes() {
@@ -161,7 +164,7 @@
 	return v
 }
 
-// Int returns the value of key at path as a number.
+// Int is like Get for a setting whose value is an integer.
 func (t *Tree) Int(path Path, key string) int64 {
 	n, err := strconv.ParseInt(t.Get(path, key).Text, 10, 64)
 	if err != nil {
@@ -170,7 +173,7 @@
 	return n
 }
 
-// Float returns the value of key at path as a number.
+// Float is like Get for a setting whose value is a floating-point number.
 func (t *Tree) Float(path Path, key string) float64 {
 	f, err := strconv.ParseFloat(t.Get(path, key).Text, 64)
 	if err != nil {
@@ -179,15 +182,15 @@
 	return f
 }
 
-// Difference is a value that differs between two trees. Before or After is empty if the
-// value is not set.
+// Difference is a value that differs between two trees. Before or After is empty if the node
+// does not set the key in that tree.
 type Difference struct {
 	Node          Node
 	Key           string
 	Before, After string
 }
 
-// Diff returns the differences between t and other, sorted by node and key.
+// Diff returns the changes from t to other, sorted by node and key.
 func (t *Tree) Diff(other *Tree) []Difference {
 	var list []Difference
 	for node := range unionOfKeys(t.nodes, other.nodes) {
--- a/settings/tree_test.go
+++ b/settings/tree_test.go
@@ -44,7 +44,7 @@
 		{Path{Service: "other"}, KeyWeight, "1", "default"},
 	} {
 		if v := tree.Get(c.path, c.key); v.Text != c.want || v.From.String() != c.from {
-			t.Errorf("%s at %+v is %q from %s", c.key, c.path, v.Text, v.From)
+			t.Errorf("wrong value or origin: %s for path %+v is %q from %s", c.key, c.path, v.Text, v.From)
 		}
 	}
 }
@@ -53,11 +53,11 @@
 func TestEveryProblem(t *testing.T) {
 	_, problems := Parse("[fleet]\ncolour = red\ndeadline_ms = soon\n[planet x]\n[zone]\n[service s]\nweight = 0\n")
 	if len(problems) != 5 {
-		t.Errorf("problems %v", problems)
+		t.Errorf("Parse returned the problems %v, want 5", problems)
 	}
 	for _, p := range problems {
 		if !failure.Is(p, failure.InvalidInput) || failure.FieldOf(p) == "" {
-			t.Errorf("problem %v", p)
+			t.Errorf("problem %v is not of type InvalidInput or names no field", p)
 		}
 	}
 }
@@ -79,11 +79,11 @@
 	}
 	got := before.Diff(after)
 	if len(got) != len(want) || got[0] != want[0] || got[1] != want[1] {
-		t.Errorf("differences %v", got)
+		t.Errorf("Diff returned %v, want the changed deadline and the removed weight", got)
 	}
 	bad := "never"
 	if _, problems := before.With(Node{Level: LevelFleet}, KeyDeadlineMs, &bad); len(problems) != 1 {
-		t.Errorf("problems %v", problems)
+		t.Errorf("With an invalid value returned the problems %v, want 1", problems)
 	}
 }
 
