--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,4 +1,8 @@
 // Package explain reports what happened to one job, and why, from the logs of all instances.
+//
+// Each line of a log is a JSON object and describes one event, which the field "msg" names. The
+// instance that accepted a job offers its tasks to owners. An owner is the instance that
+// schedules the tasks on one group of upstreams.
 package explain
 
 import (
@@ -16,13 +20,13 @@
 
 // Line is one line of a log.
 type Line struct {
-	Time     time.Time // when the event happened, which may be earlier than when it was logged
+	Time     time.Time // when the event happened: the field "decided" if there is one, else "time"
 	Instance string
 	Event    string
 	Fields   map[string]any // all other fields
 }
 
-// Field returns a field as text, or "" if the line does not have it.
+// Field returns the value of a field as text, or "" if the line does not have the field.
 func (l Line) Field(key string) string {
 	v, found := l.Fields[key]
 	if !found {
@@ -33,8 +37,8 @@
 
 const (
 	maxLineBytes = 1 << 20
-	// contextMargin is how long before the first and after the last line of a job the context
-	// events are reported.
+	// contextMargin is added at both ends to the time between the first and the last line of a
+	// job. Context events within the resulting time are reported with the job.
 	contextMargin = time.Second
 )
 
@@ -53,8 +57,8 @@
 	instances    map[string]bool
 }
 
-// Read adds the lines of r. Text before the JSON object of a line is ignored, and lines without
-// one are skipped. It returns an error if reading fails or a line exceeds maxLineBytes.
+// Read adds the lines of r. It ignores text before the JSON object of a line, and skips lines
+// without a JSON object. It returns an error if reading fails or a line exceeds maxLineBytes.
 func (logs *Logs) Read(r io.Reader) error {
 	if logs.instances == nil {
 		logs.instances = map[string]bool{}
@@ -73,7 +77,8 @@
 	return scanner.Err()
 }
 
-// parseLine parses a line of a log. It reports false if the line is not a log line.
+// parseLine parses a line of a log. It reports false if the line has no valid JSON object, no
+// event or no valid time.
 func parseLine(text string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
@@ -100,11 +105,12 @@
 // Explanation describes what happened to one job according to the logs.
 type Explanation struct {
 	Job     string
-	Lines   []Line // of the job, in order of time
+	Lines   []Line // lines with the job's id, in order of time
 	Context []Line // context events at about the same time, in order of time
 	Summary string // the result of the job and its likely cause, in one sentence
 	Missing []string
-	// evacuatedZones are the availability zones that were evacuated when the job ended.
+	// evacuatedZones are the availability zones that were evacuated, so that no tasks were
+	// started in them, at the time of the job's last line.
 	evacuatedZones []string
 }
 
@@ -134,8 +140,8 @@
 	return e.Lines[len(e.Lines)-1].Time
 }
 
-// zonesEvacuatedAt returns the availability zones that were evacuated at a time. For each
-// zone, the last line of any instance up to that time decides.
+// zonesEvacuatedAt returns the availability zones that were evacuated at a time, according to
+// the last line about each zone, from any instance, up to that time.
 func (logs *Logs) zonesEvacuatedAt(at time.Time) []string {
 	last := map[string]Line{}
 	for _, l := range logs.lines {
@@ -169,7 +175,7 @@
 	}
 }
 
-// lastLine returns the last line of the job that has the given event.
+// lastLine returns the last line of the job with the given event, and whether there is one.
 func (e *Explanation) lastLine(event string) (Line, bool) {
 	for _, l := range slices.Backward(e.Lines) {
 		if l.Event == event {
@@ -201,9 +207,10 @@
 	return fmt.Sprintf("The logs do not contain the response to %s.", e.Job)
 }
 
-// submissions lists the instances that responded to the job if there are several, because
-// the customer submitted it more than once. They are sorted by the time that was left until
-// the customer's deadline, so that the first submission comes first.
+// submissions returns a text for the summary that lists the instances which responded to the
+// job, or "" if only one did. There are several if the customer submitted the job more than
+// once. The instances are listed in the order of the submissions: the earlier the submission,
+// the more time was left until the customer's deadline.
 func (e *Explanation) submissions() string {
 	answers := lo.Filter(e.Lines, func(l Line, _ int) bool {
 		return l.Event == "job_not_served" || l.Event == "job_late" || l.Event == "job_answered"
@@ -223,15 +230,17 @@
 	return text
 }
 
-// reason returns the likely cause of the result in the line end, according to the other
-// lines of the job.
+// reason returns a text for the summary with the likely cause of the job's result, or "" if
+// there is none. resultLine is the line that reports the result; the cause is taken from the
+// other lines of the job if possible.
 func (e *Explanation) reason(resultLine Line) string {
 	if l, found := e.lastLine("offer_lost"); found {
 		return fmt.Sprintf("; the connection to the owner of %s broke", l.Field("group"))
 	}
 	reasons := map[string]int{}
 	for _, l := range e.Lines {
-		// For a stopped run, the reason is in task_stopped, so its task_retried is ignored.
+		// The reason for stopping a run is in the line task_stopped. A task_retried line that
+		// only says "stopped" is therefore ignored.
 		if l.Event == "task_retried" && l.Field("reason") != "stopped" || l.Event == "task_stopped" {
 			reasons[fmt.Sprintf("%s on %s", l.Field("reason"), l.Field("upstream"))]++
 		}
@@ -254,8 +263,8 @@
 	return ""
 }
 
-// minReportedWaitMs is the shortest wait of a task, in milliseconds, that is reported as a
-// cause.
+// minReportedWaitMs is the shortest wait of a task, in milliseconds, that is reported as the
+// cause of a result.
 const minReportedWaitMs = 20
 
 // longestWait returns the longest time, in milliseconds, that a task waited for its first
@@ -299,8 +308,8 @@
 	return missing
 }
 
-// Write writes the lines and the summary as text. Lines of the job are marked with an
-// asterisk.
+// Write writes the explanation as text: the lines of the job, which are marked with an asterisk,
+// and the context lines, all in order of time; then the missing lines and the summary.
 func (e *Explanation) Write(w io.Writer) error {
 	var b strings.Builder
 	all := slices.Concat(e.Lines, e.Context)
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -43,21 +43,21 @@
 	} {
 		e := logs.Explain(job)
 		if e.Summary != c.summary {
-			t.Errorf("%s: %q, want %q", job, e.Summary, c.summary)
+			t.Errorf("summary of job %s: %q, want %q", job, e.Summary, c.summary)
 		}
 		if c.missing != "" && (len(e.Missing) == 0 || e.Missing[len(e.Missing)-1] != c.missing) {
-			t.Errorf("%s: missing %q, want %q last", job, e.Missing, c.missing)
+			t.Errorf("missing lines of job %s: %q, want %q last", job, e.Missing, c.missing)
 		}
 	}
 	e := logs.Explain("aa")
 	if len(e.Context) != 1 || e.Context[0].Event != "upstream_silent" {
-		t.Errorf("context %v", e.Context)
+		t.Errorf("context of job aa: %v, want only upstream_silent", e.Context)
 	}
 	if e.Lines[0].Event != "task_started" || e.Lines[2].Event != "job_late" {
 		t.Errorf("lines are not in order of time: %v", e.Lines)
 	}
 	var out strings.Builder
 	if err := e.Write(&out); err != nil || !strings.Contains(out.String(), "* 22:12:00.010 i-1") {
-		t.Errorf("%v\n%s", err, out.String())
+		t.Errorf("Write returned %v, or the text lacks the marked line of the time 22:12:00.010:\n%s", err, out.String())
 	}
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -1,9 +1,12 @@
 // Package upstream is the client of the upstreams' HTTP interface. It starts tasks under
 // leases, and looks up, renews and stops those leases.
 //
+// A lease identifies one attempt to run a task on an upstream, and limits how long the task may
+// run unless the lease is renewed. An incarnation is one run of an upstream process.
+//
 // The client sends every request at most once. An error of type Unreachable means that no
 // byte of the request was sent. An error of type Lost means that the upstream may have
-// received it.
+// received the request.
 package upstream
 
 import (
@@ -25,12 +28,12 @@
 // StartRequest is a request to start a task.
 type StartRequest struct {
 	Lease       string
-	LeaseMs     int64
-	Incarnation string // of the upstream; "" if unknown
+	LeaseMs     int64  // duration of the lease in milliseconds
+	Incarnation string // the upstream refuses the start if it is another incarnation; "" allows any
 	Service     string
 	Task        *fate.Task
 	Trace       string
-	Timeout     time.Duration // how long to wait for the reply, which is sent when the task ends
+	Timeout     time.Duration // how long to wait for the reply, which the upstream sends when the task ends
 }
 
 // StartReply is the answer of an upstream to a StartRequest.
@@ -51,16 +54,17 @@
 const (
 	dialTimeout     = 500 * time.Millisecond
 	controlTimeout  = time.Second
-	freeConnTimeout = 50 * time.Millisecond // how long to wait if all connections are in use
+	freeConnTimeout = 50 * time.Millisecond // how long to wait for a connection if all are in use
 	maxControlConns = 16
-	// maxIdleConnTime is shorter than the time for which servers keep idle connections,
-	// so that a request is rarely sent on a connection that is being closed.
+	// maxIdleConnTime is how long an idle connection is kept. It is shorter than the time
+	// after which servers close idle connections, so that a request is rarely sent on a
+	// connection that the server is closing and thereby lost.
 	maxIdleConnTime = 4 * time.Second
 	bufferBytes     = 8 << 10
 	maxResultBytes  = 16 << 20
 )
 
-// notSentError is an error that occurred before the first byte of a request was sent.
+// notSentError wraps an error that occurred before the first byte of a request was sent.
 type notSentError struct{ cause error }
 
 func (e *notSentError) Error() string { return e.cause.Error() }
@@ -70,8 +74,9 @@
 // connections.
 type DialFunc func(address string) (net.Conn, error)
 
-// NewClient returns a client of the upstream id at address. It opens at most the given
-// number of connections for starting tasks. If dial is nil, it uses TCP.
+// NewClient returns a client of the upstream id at address. It opens at most the given number
+// of connections for starting tasks, and up to maxControlConns others for all other requests.
+// If dial is nil, it uses TCP.
 func NewClient(id, address string, connections int, dial DialFunc) *Client {
 	if dial == nil {
 		dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, dialTimeout) }
@@ -108,13 +113,14 @@
 	}
 }
 
-// Close closes the idle connections.
+// Close closes the idle connections. Requests in progress are not interrupted.
 func (c *Client) Close() {
 	c.taskClient.CloseIdleConnections()
 	c.controlClient.CloseIdleConnections()
 }
 
-// Start starts a task and waits for its end.
+// Start starts a task and waits until it ends or the upstream refuses to start it. The error is
+// Unreachable if no byte was sent, or Lost if the task may have started.
 func (c *Client) Start(s *StartRequest) (StartReply, error) {
 	req := fasthttp.AcquireRequest()
 	res := fasthttp.AcquireResponse()
@@ -122,7 +128,7 @@
 	defer fasthttp.ReleaseResponse(res)
 	s.encode(req, c.Address)
 	if err := c.taskClient.Do(req, res); err != nil {
-		c.taskClient.CloseIdleConnections() // if the upstream is lost, they are broken too
+		c.taskClient.CloseIdleConnections() // if the upstream is lost, its other connections are broken too
 		return StartReply{}, classify(c.ID, err)
 	}
 	return readReply(c.ID, res)
@@ -156,8 +162,8 @@
 	req.SetBodyRaw(s.Task.Payload)
 }
 
-// classify returns the typed error for a failed request: Unreachable if no byte of it was
-// sent, or Lost.
+// classify returns the typed error for a failed request: Unreachable if no byte of the request
+// was sent, and otherwise Lost.
 func classify(id string, err error) error {
 	var notSent *notSentError
 	switch {
@@ -170,8 +176,8 @@
 	}
 }
 
-// findNotSent reports whether err or an error that it wraps is a notSentError, and stores
-// that in target.
+// findNotSent reports whether err or an error that it wraps is a notSentError, and if so,
+// stores the notSentError in target.
 func findNotSent(err error, target **notSentError) bool {
 	for err != nil {
 		if e, ok := err.(*notSentError); ok {
@@ -187,8 +193,8 @@
 	return false
 }
 
-// readReply returns the reply in res, or a Lost error if res has no valid lease state. Such
-// a response does not tell whether the task has started.
+// readReply returns the reply in res. If res has no valid lease state, it does not tell whether
+// the task has started, and the error is Lost.
 func readReply(id string, res *fasthttp.Response) (StartReply, error) {
 	r := StartReply{State: api.LeaseState(res.Header.Peek(api.HeaderState)), Refusal: api.Refusal(res.Header.Peek(api.HeaderRefusal))}
 	switch r.State {
@@ -202,8 +208,8 @@
 	}
 }
 
-// Lookup returns the state of a lease. If the task is still running, Lookup waits up to
-// wait for its end.
+// Lookup returns the state of a lease. If the task is still running, the upstream first waits
+// until the task ends or the time wait has passed.
 func (c *Client) Lookup(lease string, wait time.Duration) (api.LeaseInfo, error) {
 	query := url.Values{"id": {lease}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	var info api.LeaseInfo
@@ -211,8 +217,9 @@
 	return info, err
 }
 
-// Stop stops the tasks of several leases in one request. A lease that the upstream has
-// never seen becomes barred: if its start arrives later, it is refused.
+// Stop stops the tasks of several leases in one request and returns the states of the leases,
+// in the same order. A lease that the upstream has never seen becomes barred: if the start
+// under this lease arrives later, the upstream refuses it.
 func (c *Client) Stop(leases ...string) ([]api.LeaseInfo, error) {
 	var infos []api.LeaseInfo
 	err := c.callControl(fasthttp.MethodPost, api.PathStop, url.Values{"id": leases}, controlTimeout, &infos)
@@ -222,7 +229,7 @@
 	return infos, err
 }
 
-// Renew extends a lease.
+// Renew makes a lease last for another leaseMs milliseconds from now on.
 func (c *Client) Renew(lease string, leaseMs int64) (api.LeaseInfo, error) {
 	return c.changeLease(api.PathRenew, url.Values{"id": {lease}, "lease_ms": {strconv.FormatInt(leaseMs, 10)}})
 }
@@ -251,7 +258,7 @@
 	return info, err
 }
 
-// changeLease makes a request that changes one lease.
+// changeLease makes a request that changes one lease, and returns the state of the lease.
 func (c *Client) changeLease(path string, query url.Values) (api.LeaseInfo, error) {
 	var info api.LeaseInfo
 	err := c.callControl(fasthttp.MethodPost, path, query, controlTimeout, &info)
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -16,11 +16,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-// cuttingServer is a server that closes each connection after a given part of its answer.
+// cuttingServer is a server that closes each connection after it has sent a given text, which
+// may be only the first part of an answer.
 type cuttingServer struct {
 	listener  net.Listener
 	starts    atomic.Int64
-	readStart bool // whether the start is read before the connection is closed
+	readStart bool // if false, connections are closed before the request is read
 	answer    string
 }
 
@@ -63,9 +64,9 @@
 	return c.Start(&StartRequest{Lease: "k/0/1", LeaseMs: 1000, Service: "desk", Task: &fate.Task{Payload: []byte("{}")}, Timeout: 5 * time.Second})
 }
 
-// TestStartIsNeverSentTwice guards against a second send of a start by the HTTP library
-// when a connection breaks. The server closes the connection before it reads the start,
-// after it, or after any byte of the answer. In each case exactly one start must arrive,
+// TestStartIsNeverSentTwice guards against the HTTP library sending a start again when a
+// connection breaks. The server closes the connection before it reads the start, after it has
+// read the start, or after any byte of the answer. In each case, exactly one start must arrive,
 // and the error must be Lost, not Unreachable.
 func TestStartIsNeverSentTwice(t *testing.T) {
 	check := func(t *testing.T, c *cuttingServer) {
@@ -74,10 +75,10 @@
 		defer client.Close()
 		_, err := start(client)
 		if !failure.Is(err, failure.Lost) {
-			t.Errorf("error %v", err)
+			t.Errorf("error %v, want Lost", err)
 		}
 		if n := c.starts.Load(); n != 1 {
-			t.Errorf("%d starts arrived", n)
+			t.Errorf("%d starts arrived, want 1", n)
 		}
 	}
 	t.Run("before it is read", func(t *testing.T) { check(t, startCuttingServer(t, false, "")) })
@@ -105,7 +106,7 @@
 	c := startCuttingServer(t, true, completeAnswer)
 	r, err := start(NewClient("u", c.listener.Addr().String(), 4, nil))
 	if err != nil || r.State != api.LeaseFinished || string(r.Body) != "true" {
-		t.Errorf("reply %+v, %v", r, err)
+		t.Errorf("reply %+v, error %v, want the state finished and the body true", r, err)
 	}
 }
 
@@ -117,6 +118,6 @@
 	address := l.Addr().String()
 	_ = l.Close()
 	if _, err := start(NewClient("u", address, 4, nil)); !failure.Is(err, failure.Unreachable) {
-		t.Errorf("error %v", err)
+		t.Errorf("error of a start to an address where nothing listens: %v, want Unreachable", err)
 	}
 }
