--- a/api/caller.go
+++ b/api/caller.go
@@ -1,6 +1,12 @@
-// Package api defines the messages of sedgehatch's HTTP interfaces: the interface for
-// callers and operators, that of the upstreams, and that of the platform. The first is
-// described by openapi.yaml in this directory, all three by docs/API.md.
+// Package api defines the messages of sedgehatch's HTTP interfaces: one for callers and
+// operators, one that upstreams implement, and one that the platform implements. The interface
+// for callers and operators is described by openapi.yaml in this directory, all three by
+// docs/API.md.
+//
+// A caller submits a job, which consists of tasks, to an instance. The job has a key: a session,
+// a sequence number within the session, and a generation. The fate of a job is its final
+// outcome. Tasks run on upstreams; a lease identifies one attempt to run a task on an upstream.
+// An incarnation is one run of an instance or an upstream process.
 package api
 
 import (
@@ -18,8 +24,8 @@
 	PathMetrics   = "/debug/vars"
 )
 
-// HeaderTrace is the header with the W3C trace context. It is sent with requests of callers
-// and with starts of tasks on upstreams.
+// HeaderTrace is the header with the W3C trace context, in requests of callers and in requests
+// to upstreams to start a task.
 const HeaderTrace = "Traceparent"
 
 // OpenSession is a request for a session.
@@ -31,9 +37,9 @@
 // SessionOpened is the answer to OpenSession.
 type SessionOpened struct {
 	Session fate.Session `json:"session"`
-	// ExpiresInMs is how long the session accepts new jobs, in milliseconds.
+	// ExpiresInMs is how long the session accepts new jobs, in milliseconds from now.
 	ExpiresInMs int64  `json:"expires_in_ms"`
-	Entry       string `json:"entry"`
+	Entry       string `json:"entry"` // name of the instance that opened the session
 }
 
 // Submission is a request to run a job. The session, sequence and generation are the key of
@@ -42,15 +48,15 @@
 	Session    fate.Session `json:"session"`
 	Sequence   uint64       `json:"sequence"`
 	Generation uint32       `json:"generation,omitempty"`
-	// Attempt numbers the requests with this key, from 1.
+	// Attempt is the number of this request among those with the same key: 1 for the first.
 	Attempt    uint32 `json:"attempt"`
 	Service    string `json:"service"`
 	Repeatable bool   `json:"repeatable,omitempty"`
-	// DeadlineMs is the time from the job's acceptance until it must be complete; 0
-	// means the default of the service.
+	// DeadlineMs is the time from the acceptance of the job until the job must be complete;
+	// 0 means the default of the service.
 	DeadlineMs uint32 `json:"deadline_ms,omitempty"`
-	// WaitMs is how long this request waits for the job's fate before the answer is
-	// "pending". If absent, it waits until the deadline.
+	// WaitMs is how long the instance waits for the job's fate before it answers with the
+	// fate "pending". If absent, it waits until the job's deadline.
 	WaitMs *uint32 `json:"wait_ms,omitempty"`
 	Tasks  []Task  `json:"tasks"`
 }
@@ -64,24 +70,25 @@
 	Payload      json.RawMessage `json:"payload,omitempty"`
 }
 
-// Answer is what is known of a submission. Its fate is the final outcome, or "pending".
+// Answer is what is known of a submission. Fate is the final outcome of the job, or "pending"
+// if there is none yet.
 type Answer struct {
 	Session    fate.Session `json:"session"`
 	Sequence   uint64       `json:"sequence"`
 	Generation uint32       `json:"generation,omitempty"`
 	Fate       fate.Kind    `json:"fate"`
 	Reason     fate.Reason  `json:"reason,omitempty"`
-	// Done and Total are the numbers of completed tasks and of all tasks while the fate
-	// is pending.
+	// Done and Total are the numbers of completed tasks and of all tasks. They are set only
+	// while the fate is pending.
 	Done  int `json:"done,omitempty"`
 	Total int `json:"total,omitempty"`
-	// RetryAfterMs is set after a refusal: the estimated time until a new job can be
-	// accepted.
+	// RetryAfterMs is the estimated time until a new job can be accepted. It is set only if
+	// the job was refused.
 	RetryAfterMs uint32       `json:"retry_after_ms,omitempty"`
 	Tasks        []TaskAnswer `json:"tasks,omitempty"`
 }
 
-// TaskAnswer is the outcome of one task, in task order.
+// TaskAnswer is the outcome of one task. An Answer lists them in the order of the job's tasks.
 type TaskAnswer struct {
 	State  fate.TaskState  `json:"state"`
 	Result json.RawMessage `json:"result,omitempty"`
--- a/api/decode.go
+++ b/api/decode.go
@@ -13,7 +13,8 @@
 
 // Decode decodes the JSON value in the body of a caller's request into the message that
 // into points to. It rejects unknown and repeated names, nesting deeper than MaxDepth, and
-// data after the value. The error is of type InvalidInput or TooLarge and names the field.
+// data after the value. The error is of type InvalidInput or TooLarge and names the field at
+// fault.
 func Decode(body []byte, into any) error {
 	if len(body) > MaxBody {
 		return failure.Field(failure.TooLarge, "body", "has %d bytes; %d are allowed", len(body), MaxBody)
@@ -29,8 +30,8 @@
 	return nil
 }
 
-// decodeError converts an error of encoding/json to an InvalidInput error that names the
-// field.
+// decodeError converts an error of encoding/json to an InvalidInput error that names the field
+// at fault.
 func decodeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -42,18 +43,19 @@
 	return failure.Field(failure.InvalidInput, "body", "is not valid JSON for this request: %v", err)
 }
 
-// structureChecker checks the tokens of a JSON value.
+// structureChecker reads the tokens of a JSON value one by one and checks what encoding/json
+// does not: the depth of nesting, and that no name is repeated in an object.
 type structureChecker struct {
 	d      *json.Decoder
 	levels []level
 }
 
-// level is one of the objects and arrays that enclose the current token.
+// level describes one of the objects and arrays that enclose the current token.
 type level struct {
-	seenNames   map[string]bool // names in an object so far; nil for an array
-	lastName    string          // last name in an object
+	seenNames   map[string]bool // names read so far in an object; nil for an array
+	lastName    string          // name read last in an object
 	index       int             // current index in an array
-	expectsName bool            // whether the next token of an object is a name
+	expectsName bool            // whether the next token in an object is a name, not a value
 }
 
 // checkStructure returns an error if the JSON is truncated or invalid, is nested too
@@ -130,12 +132,12 @@
 	return &s.levels[len(s.levels)-1]
 }
 
-// maxPathDepth is the maximum number of levels in the paths that errors name. Deeper levels
-// belong to payloads, whose structure is up to the caller.
+// maxPathDepth is the maximum number of levels in the field path of an error, as in
+// "tasks[3].payload". Deeper levels belong to payloads, whose structure is up to the caller.
 const maxPathDepth = 3
 
-// fieldPath returns the path of the current token, such as "tasks[3].cpu", or fallback if
-// the token is not in a named field.
+// fieldPath returns the path of the field that contains the current token, such as
+// "tasks[3].cpu", or fallback if the token is in no field.
 func (s *structureChecker) fieldPath(fallback string) string {
 	var b strings.Builder
 	for _, l := range s.levels[:min(len(s.levels), maxPathDepth)] {
--- a/api/limits.go
+++ b/api/limits.go
@@ -24,7 +24,7 @@
 	MaxDepth      = 64 // nested objects and arrays in a request
 )
 
-// Check returns an error that names the first invalid field of s, or nil.
+// Check returns nil if s is valid, and otherwise an error that names the first invalid field.
 func (s *Submission) Check() error {
 	if _, err := s.Session.Log(); err != nil {
 		return err
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// CheckName returns an error for the given field unless name is a valid name of a service
-// or a caller.
+// CheckName checks whether name can be the name of a service or a caller. If it cannot, the
+// error is InvalidInput and names the given field.
 func CheckName(field, name string) error {
 	if name == "" || len(name) > MaxName {
 		return failure.Field(failure.InvalidInput, field, "must have 1 to %d characters", MaxName)
@@ -100,8 +100,8 @@
 	return fate.Key{Session: s.Session, Sequence: s.Sequence, Generation: s.Generation}
 }
 
-// Job returns the job of s. Its deadline is counted from nowMs (Unix milliseconds); if s
-// has none, it gets defaultDeadlineMs.
+// Job returns the job that s submits. The deadline of the job is nowMs (Unix milliseconds) plus
+// s.DeadlineMs, or plus defaultDeadlineMs if s.DeadlineMs is zero.
 func (s *Submission) Job(nowMs int64, defaultDeadlineMs uint32) *fate.Job {
 	deadline := s.DeadlineMs
 	if deadline == 0 {
@@ -119,8 +119,9 @@
 	return job
 }
 
-// digest returns a hash of the work of s. It is the same for all attempts with one key, and
-// differs if a key is reused for other work.
+// digest returns a hash of the work that s submits: the service and the tasks, without the key
+// and the attempt number. A different digest under the same key shows that a caller has reused
+// the key for other work.
 func (s *Submission) digest() uint64 {
 	d := xxhash.New()
 	var buf [8]byte
--- a/api/limits_test.go
+++ b/api/limits_test.go
@@ -46,7 +46,7 @@
 				err = s.Check()
 			}
 			if !failure.Is(err, failure.InvalidInput) && !failure.Is(err, failure.TooLarge) {
-				t.Fatalf("error %v", err)
+				t.Fatalf("error %v, want InvalidInput or TooLarge", err)
 			}
 			if got := failure.FieldOf(err); got != c.field {
 				t.Errorf("error names field %q, want %q", got, c.field)
@@ -64,11 +64,11 @@
 		t.Fatal(err)
 	}
 	if got := s.Session.Caller(); got != "desk" {
-		t.Errorf("caller %q", got)
+		t.Errorf("the session belongs to caller %q, want desk", got)
 	}
 	again := s
 	if s.Job(0, 1).Digest != again.Job(5, 9).Digest {
-		t.Error("a resubmission has another digest")
+		t.Error("two jobs of the same submission have different digests")
 	}
 	again.Tasks = append([]Task(nil), s.Tasks...)
 	again.Tasks[1].RunMs++
@@ -84,7 +84,7 @@
 		var s Submission
 		if err := Decode(raw, &s); err != nil {
 			if failure.Code(err) != "invalid_input" && failure.Code(err) != "too_large" {
-				t.Fatalf("error of type %s", failure.Code(err))
+				t.Fatalf("error of type %s, want invalid_input or too_large", failure.Code(err))
 			}
 			return
 		}
--- a/api/platform.go
+++ b/api/platform.go
@@ -3,7 +3,7 @@
 // The paths of the platform's interface.
 const (
 	PathKV               = "/v1/kv"        // GET ?key=&after=&wait_ms=, PUT
-	PathPlatformLeases   = "/v1/leases"    // POST grant, PUT renew, DELETE revoke
+	PathPlatformLeases   = "/v1/leases"    // POST grants a lease, PUT renews it, DELETE revokes it
 	PathPlatformInstance = "/v1/instances" // GET the list of instances
 )
 
@@ -11,7 +11,7 @@
 type KVEntry struct {
 	Key     string `json:"key"`
 	Value   string `json:"value"`
-	Version uint64 `json:"version"` // of this key; 0 if the key does not exist
+	Version uint64 `json:"version"` // increases with each write of the key; 0 if the key does not exist
 }
 
 // KVWrite is a compare-and-swap write. It takes effect only if the version of the key is
@@ -23,7 +23,7 @@
 	Lease  string `json:"lease,omitempty"` // the key is deleted when this lease ends
 }
 
-// KVLease is a lease of the key-value store.
+// KVLease is a lease of the key-value store: keys tied to it are deleted when it ends.
 type KVLease struct {
 	ID    string `json:"id"`
 	TTLMs int64  `json:"ttl_ms"`
@@ -39,7 +39,7 @@
 type PlatformInstance struct {
 	ID      string `json:"id"`
 	Role    string `json:"role"`
-	Address string `json:"address"` // where it accepts starts (upstream) or messages of other instances (entry)
+	Address string `json:"address"` // where an upstream accepts starts of tasks, or an entry instance accepts its peers
 	// CallerAddress is the address on which an instance with RoleEntry accepts requests
 	// of callers.
 	CallerAddress string `json:"caller_address,omitempty"`
@@ -47,7 +47,7 @@
 	Zone          string `json:"zone"`
 	Rack          string `json:"rack"`
 	Leaving       bool   `json:"leaving"`
-	// Capacity of an upstream.
+	// The capacity of an upstream; empty for RoleEntry.
 	CPU          float64 `json:"cpu,omitempty"`
 	MemoryMB     uint64  `json:"memory_mb,omitempty"`
 	Accelerators uint32  `json:"accelerators,omitempty"`
--- a/api/problem.go
+++ b/api/problem.go
@@ -23,8 +23,8 @@
 	Code string `json:"code"`
 	// Field is the name of the invalid field of the request, if there is one.
 	Field string `json:"field,omitempty"`
-	// Fate is "not_run" if it is certain that no task of the job has started or ever
-	// will, and empty otherwise.
+	// Fate is "not_run" if it is certain that no task of the job has started or will start.
+	// Otherwise it is empty.
 	Fate         fate.Kind `json:"fate,omitempty"`
 	RetryAfterMs uint32    `json:"retry_after_ms,omitempty"`
 }
@@ -45,8 +45,8 @@
 }
 
 // notRunCodes are the error codes which prove that no task has started or will start under
-// the key. An invalid request proves nothing, because an earlier attempt under its key may
-// have been valid.
+// the key. The codes for invalid requests are not among them: an earlier attempt under the same
+// key may have been valid and have started tasks.
 var notRunCodes = map[string]bool{
 	failure.Code(failure.SessionEnded.NewWithNoMessage()): true,
 	failure.Code(failure.Stopping.NewWithNoMessage()):     true,
@@ -69,7 +69,7 @@
 	return p
 }
 
-// Err returns the error described by p, with its type.
+// Err returns the error that p describes. An unknown code becomes the type Internal.
 func (p *Problem) Err() error {
 	t, known := failure.ByCode(p.Code)
 	if !known {
--- a/api/upstream.go
+++ b/api/upstream.go
@@ -7,15 +7,15 @@
 	PathTasks      = "/v1/tasks"            // POST: start a task and wait for its end
 	PathLease      = "/v1/lease"            // GET ?id=&wait_ms=: look up a lease
 	PathRenew      = "/v1/lease/renew"      // POST ?id=&lease_ms=
-	PathStop       = "/v1/lease/stop"       // POST ?id=&id=: stop tasks; bar leases that were never seen
+	PathStop       = "/v1/lease/stop"       // POST ?id=&id=: stop the tasks of leases; bar leases never seen (LeaseBarred)
 	PathCheckpoint = "/v1/lease/checkpoint" // POST ?id=
 	PathThrottle   = "/v1/lease/throttle"   // POST ?id=&share=
 	PathUsage      = "/v1/usage"            // GET
 	PathInfo       = "/v1/info"             // GET
 )
 
-// The headers of a start and of its answer. The body of a start is the payload of the task,
-// and that of the answer is its result, both unchanged.
+// The headers of a request to start a task and of the answer to it. The body of the request is
+// the payload of the task, and the body of the answer is the result of the task, both unchanged.
 const (
 	HeaderLease        = "Sedgehatch-Lease"
 	HeaderLeaseMs      = "Sedgehatch-Lease-Ms"
@@ -37,13 +37,13 @@
 	LeaseFinished  LeaseState = "finished"
 	LeaseFailed    LeaseState = "failed"
 	LeaseStopped   LeaseState = "stopped"    // the task was stopped while running
-	LeaseNeverSeen LeaseState = "never_seen" // a start under it may still arrive
-	LeaseBarred    LeaseState = "barred"     // a start under it never arrived and will be refused
+	LeaseNeverSeen LeaseState = "never_seen" // no start under the lease has arrived yet; one still may
+	LeaseBarred    LeaseState = "barred"     // stopped before any start under it arrived; a later start is refused
 	LeaseRefused   LeaseState = "refused"    // only in the answer to a start: the task was not started
 )
 
-// Refusal is the reason why an upstream did not start a task. All except RefusedDuplicate
-// prove that no task has started or will start under the lease.
+// Refusal is the reason why an upstream did not start a task. Every reason except
+// RefusedDuplicate proves that no task has started or will start under the lease.
 type Refusal string
 
 // Reasons not to start a task.
@@ -79,15 +79,16 @@
 	Leaving      bool    `json:"leaving"`
 }
 
-// Usage is an upstream's report of the resources that its tasks have used. The figures may
-// be out of date by AgeMs.
+// Usage is an upstream's report of the resources that its tasks have used. The figures are
+// AgeMs old.
 type Usage struct {
 	AgeMs    int64          `json:"age_ms"` // age of the figures in milliseconds
 	Running  int            `json:"running"`
 	Services []ServiceUsage `json:"services"`
 }
 
-// ServiceUsage is the use by the tasks of one service since the upstream started.
+// ServiceUsage is the resources that the tasks of one service have used since the upstream
+// started.
 type ServiceUsage struct {
 	Service  string  `json:"service"`
 	Finished int64   `json:"finished"`
--- a/client/client.go
+++ b/client/client.go
@@ -1,7 +1,11 @@
 // Package client is the Go client library for callers. It opens sessions, submits each job
-// under a key, resubmits it under the same key if an answer is lost, and returns the job's
-// fate: its final outcome. A job that may have run is never run again without the caller's
-// knowledge.
+// under a key, resubmits the job under the same key if an answer is lost, and returns the
+// job's fate: its final outcome. A job that may have run is never run again without the
+// caller's knowledge.
+//
+// A session is opened at one instance, the home of the session's jobs. The key of a job consists
+// of its session, a sequence number within the session, and a generation. Any instance can be
+// asked for the fate of any key.
 package client
 
 import (
@@ -31,8 +35,8 @@
 	Entries []string
 	// Caller is the name of the caller who submits the jobs.
 	Caller string
-	// CallTimeout is the maximum duration of a call, in addition to the deadline of its
-	// job.
+	// CallTimeout is the maximum duration of a call. Calls that wait for a job may take
+	// longer by the deadline of the job.
 	CallTimeout time.Duration
 	// MaxConns is the maximum number of connections to each address.
 	MaxConns int
@@ -46,15 +50,15 @@
 const (
 	DefaultCallTimeout = 3 * time.Second
 	DefaultMaxConns    = 512
-	defaultDeadline    = 30 * time.Second
+	defaultDeadline    = 30 * time.Second // for timeouts of calls, if a job has no deadline
 )
 
-// Job describes the work of a Submission.
+// Job describes the work to submit.
 type Job struct {
 	Service    string
 	Repeatable bool
-	// Deadline is the time from the job's acceptance until it must be complete; 0 means
-	// the default of the service.
+	// Deadline is the time from the acceptance of the job until the job must be complete;
+	// 0 means the default of the service.
 	Deadline time.Duration
 	Tasks    []api.Task
 }
@@ -70,8 +74,8 @@
 	session *session
 }
 
-// session is an open session. The instance that opened it is the home of its jobs: it
-// accepts them and starts their tasks.
+// session is an open session. The instance that opened it is the home of the session's jobs:
+// it accepts the jobs and starts their tasks.
 type session struct {
 	token    fate.Session
 	home     string
@@ -79,7 +83,7 @@
 	sequence atomic.Uint64
 }
 
-// New returns a client. If the configuration is invalid, the error is of type InvalidInput.
+// New returns a client. The error is of type InvalidInput if cfg is invalid.
 func New(cfg Config) (*Client, error) {
 	if len(cfg.Entries) == 0 {
 		return nil, failure.Field(failure.InvalidInput, "entries", "must have at least one address")
@@ -109,7 +113,7 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Resends returns the number of calls that resubmitted a job.
+// Resends returns the number of calls so far that submitted a job again under the same key.
 func (c *Client) Resends() int64 { return c.resendCount.Load() }
 
 // nextEntry returns the next of the configured addresses, in rotation.
@@ -142,8 +146,8 @@
 	return nil, err
 }
 
-// Leave makes the client open a new session for the next job if the current session is that
-// of s.
+// Leave makes the client stop using the session of s for new jobs. If that is the current
+// session, the client opens a new one for the next job.
 func (c *Client) Leave(s *Submission) { c.dropSession(s.session) }
 
 // dropSession makes the client open a new session for the next job if s is the current one.
@@ -155,8 +159,8 @@
 	}
 }
 
-// Submission is a job with its key. After an error, Submit can be called again; it then
-// waits for the job if it is still running, or returns its fate.
+// Submission is a job with its key. Submit can be called again after an error: it waits until
+// the job has ended, and returns the fate of the job.
 type Submission struct {
 	client   *Client
 	session  *session
@@ -184,7 +188,8 @@
 // Key returns the key of the submission.
 func (s *Submission) Key() fate.Key { return s.request.Key() }
 
-// SendTo makes one call to one instance, which counts as the next attempt under the key.
+// SendTo submits the job to the instance at the address entry, in one call without retries.
+// The call counts as the next attempt under the key.
 func (s *Submission) SendTo(ctx context.Context, entry string) (api.Answer, error) {
 	request := s.request
 	request.Attempt = s.attempts.Add(1)
@@ -216,7 +221,7 @@
 			return answer, err
 		}
 		if err != nil {
-			s.client.dropSession(s.session) // its home may be lost; new jobs need another one
+			s.client.dropSession(s.session) // the home of the session may be lost, so new jobs need another session
 		}
 		if time.Since(start) > s.deadline+s.client.cfg.CallTimeout {
 			return answer, failure.Timeout.New("the outcome of job %s was not received in time", s.Key())
@@ -230,18 +235,20 @@
 	}
 }
 
-// mayRetry reports whether a call that returned err may be repeated under the same key.
-// That is so only if no answer was received.
+// mayRetry reports whether Submit tries again, under the same key, after a call that returned
+// err. It does so if no complete answer was received, or if the instance answered that another
+// instance could not be reached or did not reply in time.
 func mayRetry(err error) bool {
 	return failure.Is(err, failure.Lost) || failure.Is(err, failure.Unreachable) || failure.Is(err, failure.Timeout)
 }
 
-// maxKeysPerJob is the maximum number of keys under which Do submits a job.
+// maxKeysPerJob is the maximum number of keys under which Do submits a job. After that, Do
+// returns the last answer.
 const maxKeysPerJob = 8
 
-// Do submits a job and returns its fate. If the job certainly did not run, because its home
-// or its session ended, Do submits it again under a new key. A job that may have run is not
-// submitted again.
+// Do submits a job and returns its fate. If it is certain that the job did not run, because its
+// home or its session ended, Do submits the job again under a new key. A job that may have run
+// is not submitted under a new key.
 func (c *Client) Do(ctx context.Context, job Job) (api.Answer, error) {
 	var answer api.Answer
 	for range maxKeysPerJob {
@@ -263,9 +270,9 @@
 	return answer, nil
 }
 
-// HomeEnded reports whether a job was not run only because of the loss or the shutdown of
-// the instances that were responsible for it. It can be submitted again under a new key,
-// even if it is not repeatable.
+// HomeEnded reports whether the job with the answer a was not run, for the sole reason that the
+// instances responsible for it were lost or shut down. Such a job can be submitted again under
+// a new key, even if it is not repeatable.
 func HomeEnded(a *api.Answer) bool {
 	switch a.Reason {
 	case fate.ReasonNeverReachedWitness, fate.ReasonWitnessLost, fate.ReasonStopping, fate.ReasonHomeLost:
@@ -275,8 +282,8 @@
 	}
 }
 
-// State returns what is known of a job. It asks any instance, which waits up to wait for
-// the job's fate.
+// State returns what is known of a job. It asks one of the instances, which answers when the
+// fate of the job is known or the time wait has passed.
 func (c *Client) State(ctx context.Context, key fate.Key, wait time.Duration) (api.Answer, error) {
 	var answer api.Answer
 	query := keyQuery(key)
@@ -285,7 +292,7 @@
 	return answer, err
 }
 
-// Cancel ends a job early and returns what is known of it then.
+// Cancel ends a job early and returns what is known of the job afterwards.
 func (c *Client) Cancel(ctx context.Context, key fate.Key) (api.Answer, error) {
 	var answer api.Answer
 	err := c.call(ctx, c.nextEntry(), http.MethodDelete, api.PathJobs+"?"+keyQuery(key).Encode(), nil, "", 2*c.cfg.CallTimeout, &answer)
@@ -300,15 +307,16 @@
 	}
 }
 
-// Instances returns the instances and their states, as seen by one of them.
+// Instances returns the instances and their states, as seen by the instance that answers.
 func (c *Client) Instances(ctx context.Context) ([]api.InstanceStatus, error) {
 	var list []api.InstanceStatus
 	err := c.call(ctx, c.nextEntry(), http.MethodGet, api.PathInstances, nil, "", c.cfg.CallTimeout, &list)
 	return list, err
 }
 
-// call makes one request, which is never sent twice. The error is of type Lost if no
-// complete answer was received. Otherwise it has the type of the problem in the answer.
+// call sends one request, at most once, and decodes the answer into the value that into points
+// to. The error is of type Timeout if ctx ended before the call, and Lost if no complete answer
+// was received. If the instance answered with a problem document, the error has its type.
 func (c *Client) call(ctx context.Context, entry, method, path string, body any, trace string, timeout time.Duration, into any) error {
 	if ctx.Err() != nil {
 		return failure.Timeout.New("the caller stopped waiting")
@@ -332,7 +340,7 @@
 		req.SetBodyRaw(raw)
 	}
 	if err := c.http.Do(req, res); err != nil {
-		c.http.CloseIdleConnections() // if the instance is lost, they are broken too
+		c.http.CloseIdleConnections() // if the instance is lost, its other connections are broken too
 		return failure.Lost.Wrap(err, "no answer from instance %s", entry)
 	}
 	return readAnswer(entry, res, into)
