--- a/standin/platform.go
+++ b/standin/platform.go
@@ -18,10 +18,10 @@
 // PlatformFaults are the faults that a Platform injects. They may be changed at
 // any time.
 type PlatformFaults struct {
-	Down        atomic.Bool  // connections are closed without an answer, and calls have no effect
-	SlowMs      atomic.Int64 // delay added to every call
+	Down        atomic.Bool  // requests have no effect, and their connections are closed without an answer
+	SlowMs      atomic.Int64 // delay before every request is handled, in milliseconds
 	DropAnswers atomic.Bool  // writes take effect, but their connections are closed without an answer
-	ListLagMs   atomic.Int64 // age of the list of instances that is served
+	ListLagMs   atomic.Int64 // age of the list of instances that is served, in milliseconds
 }
 
 // Platform emulates the platform's key-value service and its list of instances.
@@ -39,17 +39,17 @@
 	leaseExpiry map[string]time.Time            // end of each lease, by lease ID
 	changed     chan struct{}                   // closed and replaced at each write
 	instances   map[string]api.PlatformInstance // the list of instances, by ID
-	snapshots   []instanceSnapshot              // list of instances after each change, for ListLagMs
+	snapshots   []instanceSnapshot              // the list after each change, to serve it with the age ListLagMs
 }
 
-// instanceSnapshot is the list of instances as it was from a time on.
+// instanceSnapshot is the list of instances after a change, and the time of the change.
 type instanceSnapshot struct {
 	at        time.Time
 	instances []api.PlatformInstance
 }
 
-// StartPlatform starts a platform that listens on the given host and port. An
-// empty string means a free port of the loopback interface.
+// StartPlatform starts a platform that listens on the given host and port, or on a
+// free port of the loopback interface if listen is empty.
 func StartPlatform(listen string) (*Platform, error) {
 	if listen == "" {
 		listen = "127.0.0.1:0"
@@ -83,8 +83,8 @@
 	_ = p.server.Shutdown()
 }
 
-// Calls returns the numbers of reads, which include watches, and of writes so
-// far.
+// Calls returns how many reads and writes the platform has received so far. Watches
+// count as reads.
 func (p *Platform) Calls() (reads, writes int64) { return p.reads.Load(), p.writes.Load() }
 
 // PutInstance adds an instance to the list, or replaces the one with the same ID.
@@ -103,7 +103,7 @@
 	p.takeSnapshot()
 }
 
-// takeSnapshot stores the current list of instances. p.mu must be held.
+// takeSnapshot adds the current list of instances to p.snapshots. p.mu must be held.
 func (p *Platform) takeSnapshot() {
 	snapshot := instanceSnapshot{at: time.Now()}
 	for _, i := range p.instances {
@@ -145,7 +145,7 @@
 	}
 }
 
-// laggedInstances returns the list of instances as it was ListLagMs ago.
+// laggedInstances returns the list of instances as it was ListLagMs milliseconds ago.
 func (p *Platform) laggedInstances() []api.PlatformInstance {
 	asOf := time.Now().Add(-time.Duration(p.Faults.ListLagMs.Load()) * time.Millisecond)
 	p.mu.Lock()
@@ -177,9 +177,8 @@
 	writeJSON(ctx, entry)
 }
 
-// watch returns the entry of key as soon as its version is above after. It
-// returns the current entry at the latest when wait has passed or the platform
-// closes.
+// watch waits until the version of key is above after, wait has passed, or the
+// platform is closed. It returns the entry of key as it is then.
 func (p *Platform) watch(key string, after uint64, wait time.Duration) api.KVEntry {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -203,8 +202,8 @@
 	}
 }
 
-// compareAndSwap writes w and returns the new entry if the key has the version
-// that w expects. Otherwise it returns the current entry and false.
+// compareAndSwap writes w if the key has the version that w expects, and returns the
+// new entry and true. Otherwise it returns the current entry and false.
 func (p *Platform) compareAndSwap(w api.KVWrite) (api.KVEntry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -222,8 +221,8 @@
 	return entry, true
 }
 
-// removeExpired removes the keys whose leases have expired or were deleted. p.mu
-// must be held.
+// removeExpired removes the keys whose leases have expired or were revoked. p.mu must
+// be held.
 func (p *Platform) removeExpired() {
 	now := time.Now()
 	for key, id := range p.leaseOf {
--- a/standin/recorder.go
+++ b/standin/recorder.go
@@ -9,22 +9,22 @@
 
 const recorderShards = 32
 
-// StartRecorder records every start of a task at the upstreams, for checking
-// invariants.
+// StartRecorder records every start of a task on the upstreams that use it, so that
+// tests can check, for example, that no task was started twice.
 type StartRecorder struct {
 	shards [recorderShards]recorderShard
 }
 
 type recorderShard struct {
 	mu     sync.Mutex
-	starts map[string][]StartRecord // by task, as taskOfLease returns it
+	starts map[string][]StartRecord // by name of the task, see taskOfLease
 }
 
 // StartRecord is one start of a task.
 type StartRecord struct {
 	Lease    string // lease ID
 	Upstream string // upstream ID
-	Trace    string // traceparent header of the start request
+	Trace    string // Traceparent header of the request to start the task
 }
 
 // NewStartRecorder returns an empty recorder.
@@ -44,8 +44,8 @@
 	s.mu.Unlock()
 }
 
-// taskOfLease returns the lease ID without the attempt at its end, which leaves
-// "session/sequence/generation/task".
+// taskOfLease returns the name of the task that runs under a lease. It is the lease ID
+// without the number of the attempt at the end: "session/sequence/generation/task".
 func taskOfLease(lease string) string {
 	if i := strings.LastIndexByte(lease, '/'); i >= 0 {
 		return lease[:i]
@@ -70,8 +70,8 @@
 	return total, duplicates
 }
 
-// StartsByPrefix returns the starts of the tasks whose name begins with prefix,
-// for example a submission key and a slash.
+// StartsByPrefix returns the starts of the tasks whose names begin with prefix. With a
+// job's key and a slash as the prefix, these are the tasks of the job.
 func (r *StartRecorder) StartsByPrefix(prefix string) []StartRecord {
 	var found []StartRecord
 	for i := range r.shards {
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -1,6 +1,10 @@
-// Package standin emulates the systems that sedgehatch works with: upstreams and
-// the platform. Both speak the real protocols over TCP and can inject faults. The
-// upstreams record every start of a task.
+// Package standin emulates the systems that sedgehatch works with: upstreams, which
+// run tasks, and the platform, which offers a key-value store and a list of
+// instances. Both implement the interfaces that package api defines, over TCP, and
+// can inject faults. The upstreams record every start of a task.
+//
+// An upstream runs each task under a lease, which identifies one attempt to run the
+// task. It has a number of slots, each of which is room for one task.
 package standin
 
 import (
@@ -30,11 +34,11 @@
 // any time.
 type UpstreamFaults struct {
 	FailAll        atomic.Bool  // every task fails at once
-	DropStarts     atomic.Bool  // connections of starts are closed before the start takes effect
-	DropAnswers    atomic.Bool  // connections of starts are closed after the start has taken effect
-	SlowdownFactor atomic.Int64 // factor of all run times, if above 1
+	DropStarts     atomic.Bool  // the connection of each start is closed, and the task is not started
+	DropAnswers    atomic.Bool  // the connection of each start is closed, but the task is started
+	SlowdownFactor atomic.Int64 // all run times are multiplied by it if it is above 1
 	Leaving        atomic.Bool  // new starts are refused
-	DropNonStarts  atomic.Bool  // connections of all calls except starts are closed without an answer
+	DropNonStarts  atomic.Bool  // the connections of all requests except starts are closed without an answer
 }
 
 // UpstreamConfig configures an upstream.
@@ -42,7 +46,7 @@
 	Info     api.UpstreamInfo
 	Recorder *StartRecorder
 	Listen   string        // host and port; empty means a free port of the loopback interface
-	UsageLag time.Duration // a usage report is reused until it is this old
+	UsageLag time.Duration // maximum age of usage reports: each is served until it is this old
 }
 
 // Upstream emulates an upstream that runs tasks.
@@ -57,19 +61,20 @@
 	leases      map[string]*lease
 	running     int
 	usage       map[string]*api.ServiceUsage // by service
-	lastUsage   api.Usage                    // last report, served until it is UsageLag old
-	lastUsageAt time.Time
+	lastUsage   api.Usage                    // last usage report
+	lastUsageAt time.Time                    // when lastUsage was made
 }
 
 type lease struct {
 	info          api.LeaseInfo
 	taskEnded     chan struct{} // closed when the task has ended
 	stopRequested chan struct{} // closed when the task has to stop
-	expiresAt     time.Time     // not enforced: a task keeps running after it
-	stopped       bool          // stopRequested is closed
+	expiresAt     time.Time     // not enforced: a task keeps running after its lease has expired
+	stopped       bool          // whether stopRequested is closed
 }
 
-// StartUpstream starts an upstream.
+// StartUpstream starts an upstream. It gets a random incarnation and a recorder of its own if
+// cfg has none.
 func StartUpstream(cfg UpstreamConfig) (*Upstream, error) {
 	if cfg.Listen == "" {
 		cfg.Listen = "127.0.0.1:0"
@@ -99,7 +104,7 @@
 // Address returns the host and port that the upstream listens on.
 func (u *Upstream) Address() string { return u.listener.Addr().String() }
 
-// Instance returns the upstream's entry for the platform's list of instances.
+// Instance describes the upstream as the platform's list of instances does.
 func (u *Upstream) Instance() api.PlatformInstance {
 	i := u.cfg.Info
 	return api.PlatformInstance{
@@ -162,7 +167,7 @@
 	}
 }
 
-// dropConnection closes the connection without sending an answer.
+// dropConnection closes the connection of a request without sending an answer.
 func dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
@@ -231,8 +236,8 @@
 	}
 }
 
-// parseLeaseDuration parses a positive number of milliseconds. Anything else
-// yields 10 s.
+// parseLeaseDuration parses a positive number of milliseconds. For any other text, it
+// returns 10 s.
 func parseLeaseDuration(text []byte) time.Duration {
 	ms, err := strconv.ParseInt(string(text), 10, 64)
 	if err != nil || ms <= 0 {
@@ -241,7 +246,8 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// createLease creates the lease of a start, or returns the reason to refuse it.
+// createLease creates the lease of a start. If the start has to be refused, it returns
+// nil and the reason.
 func (u *Upstream) createLease(id, incarnation string, duration time.Duration) (*lease, api.Refusal) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -270,7 +276,8 @@
 	return l, ""
 }
 
-// runTask emulates a task until it finishes, fails or is stopped.
+// runTask emulates a task until the task finishes, fails or is stopped, and then ends
+// the lease.
 func (u *Upstream) runTask(l *lease, service string, payload TaskPayload) {
 	startTime := time.Now()
 	duration := time.Duration(payload.SleepUs) * time.Microsecond
@@ -289,8 +296,8 @@
 	u.endLease(l, service, state, text, payload.Echo, time.Since(startTime))
 }
 
-// sleepUnlessStopped waits for duration. It returns false early if the task is
-// stopped or the upstream closes.
+// sleepUnlessStopped waits for duration and returns true. If the task is stopped or the
+// upstream is closed before that, it returns false at once.
 func (u *Upstream) sleepUnlessStopped(l *lease, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -320,8 +327,8 @@
 	u.recordUsage(service, state, ran)
 }
 
-// recordUsage adds a task that has ended to the usage of its service. u.mu must be
-// held.
+// recordUsage adds a task that has ended to the usage figures of its service. u.mu
+// must be held.
 func (u *Upstream) recordUsage(service string, state api.LeaseState, ran time.Duration) {
 	s := u.usage[service]
 	if s == nil {
@@ -359,7 +366,7 @@
 	return id, u.leases[id]
 }
 
-// writeLease sends the current state of a lease as the answer.
+// writeLease answers a request with the current state of a lease.
 func (u *Upstream) writeLease(ctx *fasthttp.RequestCtx, l *lease) {
 	u.mu.Lock()
 	info := l.info
@@ -385,8 +392,8 @@
 	u.writeLease(ctx, l)
 }
 
-// serveStop stops all leases in the request, waits until their tasks have ended,
-// and sends their states in the order of the request.
+// serveStop stops the tasks of all leases that the request names, waits until the tasks
+// have ended, and answers with the states of the leases in the order of the request.
 func (u *Upstream) serveStop(ctx *fasthttp.RequestCtx) {
 	var leases []*lease
 	for _, id := range ctx.QueryArgs().PeekMulti("id") {
@@ -407,8 +414,8 @@
 	writeJSON(ctx, infos)
 }
 
-// stopLease stops the task of a running lease. It bars a lease that was never
-// seen: a later start under it is refused.
+// stopLease requests that the task of a lease stops, if it is running. If no start under
+// the lease has arrived yet, it bars the lease: a later start is refused.
 func (u *Upstream) stopLease(id string) *lease {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -437,6 +444,6 @@
 	u.writeLease(ctx, l)
 }
 
-// serveNoOp answers a checkpoint or a throttle request, neither of which has an
-// effect on emulated tasks, with the state of the lease.
+// serveNoOp answers a request for a checkpoint or a throttle with the state of the
+// lease. Neither request has an effect on emulated tasks.
 func (u *Upstream) serveNoOp(ctx *fasthttp.RequestCtx) { u.serveLookup(ctx) }
