--- a/experiment/cluster.go
+++ b/experiment/cluster.go
@@ -1,12 +1,15 @@
 // Package experiment runs a fleet in one process: entry instances, emulated
 // upstreams and an emulated platform, connected over TCP on the loopback
-// interface. It submits load, injects faults, and checks the invariants against
-// the task starts that the upstreams recorded.
+// interface. It submits load, injects faults, and checks the invariants: that no
+// task was started twice, according to the starts that the upstreams recorded, and
+// that no slot stays held without a job.
 //
-// The home of a job is the entry instance that accepted it. The witness of the
-// job is the entry instance that replicates its home's log and takes over when
-// the home is lost. A broker is the entry instance that allocates the slots of one
-// pool of upstreams. The fate of a job is its final outcome for the caller.
+// An entry instance accepts jobs of callers; an upstream runs their tasks. A slot
+// is room for one task on an upstream. The home of a job is the entry instance
+// that accepted the job. The witness of the job is the entry instance that
+// replicates the home's record of task starts and takes over when the home is
+// lost. A broker is the entry instance that allocates the slots of one pool of
+// upstreams. The fate of a job is its final outcome for the caller.
 package experiment
 
 import (
@@ -43,7 +46,7 @@
 	Slots                int     // slots of each upstream
 	CPU                  float64 // cores of each upstream
 	MemoryMB             uint64  // memory of each upstream
-	PerRack              int     // upstreams in one rack
+	PerRack              int     // upstreams in each rack
 	HeartbeatInterval    time.Duration
 	Membership           membership.Config
 	InstancePollInterval time.Duration // between reads of the platform's list of instances
@@ -51,15 +54,15 @@
 	Logger               *slog.Logger // nil discards all log entries
 	Tracer               *tracing.Tracer
 	UsageLag             time.Duration // maximum age of the upstreams' usage reports
-	// Network delays and partitions the connections that entry instances open;
-	// nil uses the loopback interface as it is.
+	// Network adds latencies and network partitions to the connections that entry
+	// instances open. If it is nil, the connections have neither.
 	Network *Network
 	// Settings is the settings tree, as INI text, that is in force from the start.
 	Settings string
 }
 
-// platformZone is the zone of the platform in a Network, so that zones can be
-// partitioned from it.
+// platformZone is the zone that a Network has for the platform, so that the
+// platform can be partitioned from the zones of the cluster.
 const platformZone = "platform"
 
 func (s *ClusterSpec) applyDefaults() {
@@ -233,9 +236,11 @@
 	return err
 }
 
-// AwaitMembers waits until every running entry instance has count members in its
-// membership table, itself included, has discovered all upstreams, and applies
-// the settings if the spec has any.
+// AwaitMembers waits until all running entry instances are ready. An instance is
+// ready when
+//   - its membership table has count members, including itself;
+//   - it has discovered all upstreams;
+//   - it has applied the settings, if the spec has any.
 func (c *Cluster) AwaitMembers(count int, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -276,8 +281,8 @@
 // Names returns the names of all entry instances, running or not.
 func (c *Cluster) Names() []string { return c.entryNames }
 
-// removeNode removes an entry instance from the running ones and returns it, or
-// nil if it was not running.
+// removeNode takes an entry instance that is about to be ended out of the running
+// ones. It returns the instance, or nil if it was not running.
 func (c *Cluster) removeNode(name string) *entry.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -295,15 +300,15 @@
 	At   time.Time
 }
 
-// Losses returns the entry instances that were killed so far, with the times.
+// Losses returns which entry instances were killed so far, and when.
 func (c *Cluster) Losses() []Loss {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Loss(nil), c.losses...)
 }
 
-// KillEntry ends an entry instance abruptly. It stays in the platform's list of
-// instances, as a crashed instance does for a while.
+// KillEntry ends an entry instance abruptly. The instance stays in the platform's
+// list of instances, as a crashed instance does for a while.
 func (c *Cluster) KillEntry(name string) {
 	if n := c.removeNode(name); n != nil {
 		c.mu.Lock()
@@ -313,8 +318,9 @@
 	}
 }
 
-// StopEntry shuts an entry instance down gracefully. It reports whether all work
-// of the instance ended before the shutdown did, or the instance was not running.
+// StopEntry shuts an entry instance down gracefully. It returns false if ctx was
+// cancelled or the drain timeout passed before all work of the instance had ended,
+// and true otherwise, also if the instance was not running.
 func (c *Cluster) StopEntry(ctx context.Context, name string) bool {
 	n := c.removeNode(name)
 	return n == nil || n.Stop(ctx)
@@ -330,14 +336,15 @@
 	return list
 }
 
-// Client returns a client that calls the running entry instances as caller.
+// Client returns a client for the named caller, which calls the entry instances
+// that are running now.
 func (c *Cluster) Client(caller string) (*client.Client, error) {
 	return client.New(client.Config{Entries: c.CallerAddresses(), Caller: caller, Tracer: c.Spec.Tracer})
 }
 
-// Messages returns the number of messages that all entry instances have sent so
-// far, and how many of these were wasted, by kind. It includes instances that
-// have ended.
+// Messages returns, by kind, the number of messages that the entry instances have
+// sent so far, and how many of the messages were wasted. It includes messages of
+// instances that have ended.
 func (c *Cluster) Messages() (sent, wasted map[string]int64) {
 	c.mu.Lock()
 	nodes := append([]*entry.Node(nil), c.stoppedNodes...)
@@ -363,12 +370,13 @@
 	c.Platform.Close()
 }
 
-// slotReleaseTimeout is how long slots may stay held after the last job has its
-// fate. Tasks of failed jobs keep running for a while.
+// slotReleaseTimeout is how long slots may stay held after the fate of the last
+// job is known, because tasks of failed jobs keep running for a while. Slots that
+// are held longer count as leaked.
 const slotReleaseTimeout = 10 * time.Second
 
-// LeakedSlots waits until no slots are held any more, for slotReleaseTimeout at
-// most, and returns how many still are.
+// LeakedSlots waits until no slots are held any more, but at most for
+// slotReleaseTimeout, and returns the number of slots that are still held.
 func (c *Cluster) LeakedSlots() int {
 	deadline := time.Now().Add(slotReleaseTimeout)
 	for {
@@ -392,12 +400,12 @@
 	return running
 }
 
-// tolerantMembership has long timeouts, for many entry instances on one machine:
-// missing heartbeats may only mean that the machine is busy.
+// tolerantMembership has long timeouts for clusters of many entry instances. With
+// shorter ones, late heartbeats on a busy machine would count as lost instances.
 var tolerantMembership = membership.Config{SuspectMs: 5000, DeadMs: 10000}
 
-// addUnreachableUpstreams adds count upstreams that do not run to the platform's
-// list, to measure what tracking them costs the entry instances.
+// addUnreachableUpstreams adds count upstreams to the platform's list of instances
+// without starting them, to measure what it costs entry instances to track them.
 func (c *Cluster) addUnreachableUpstreams(count int) {
 	for i := range count {
 		zone := c.Spec.Zones[i%len(c.Spec.Zones)].Name
--- a/experiment/cluster_test.go
+++ b/experiment/cluster_test.go
@@ -14,7 +14,7 @@
 )
 
 // newTestCluster starts a cluster of two zones, with two entry instances and
-// three upstreams in each. edit, if not nil, changes its spec before.
+// three upstreams in each. If edit is not nil, it can change this spec first.
 func newTestCluster(t *testing.T, edit func(*ClusterSpec)) *Cluster {
 	t.Helper()
 	spec := ClusterSpec{
@@ -32,7 +32,8 @@
 	return c
 }
 
-// sleepTask returns a task that sleeps and then returns echo as its result.
+// sleepTask returns a task that sleeps and then has echo, a JSON value, as its
+// result.
 func sleepTask(sleep time.Duration, echo string) api.Task {
 	payload, _ := json.Marshal(standin.TaskPayload{SleepUs: sleep.Microseconds(), Echo: json.RawMessage(echo)})
 	return api.Task{RunMs: uint32(sleep.Milliseconds()), Payload: payload}
@@ -54,14 +55,14 @@
 		t.Fatal(err)
 	}
 	if answer.Fate != fate.Complete || len(answer.Tasks) != 50 {
-		t.Fatalf("answer %+v", answer)
+		t.Fatalf("answer %+v, want the fate complete with 50 tasks", answer)
 	}
 	for i, task := range answer.Tasks {
 		if string(task.Result) != fmt.Sprint(i) {
-			t.Errorf("task %d has result %s", i, task.Result)
+			t.Errorf("task %d has result %s, want its index", i, task.Result)
 		}
 	}
 	if starts, duplicates := c.Recorder.Starts(); starts != 50 || len(duplicates) > 0 {
-		t.Errorf("%d starts, started more than once: %v", starts, duplicates)
+		t.Errorf("%d starts, want 50; tasks started more than once: %v, want none", starts, duplicates)
 	}
 }
--- a/experiment/failure_test.go
+++ b/experiment/failure_test.go
@@ -24,8 +24,9 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// detectFailuresFast shortens the timeouts after which failures are detected. If
-// SEDGE_DEBUG is set, it also sends the cluster's log to standard error.
+// detectFailuresFast shortens the timeouts after which lost instances and
+// upstreams are detected. If the environment variable SEDGE_DEBUG is set, it also
+// makes the cluster log to standard error.
 func detectFailuresFast(s *ClusterSpec) {
 	if os.Getenv("SEDGE_DEBUG") != "" {
 		s.Logger = slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -34,7 +35,8 @@
 	s.Dispatch = dispatch.Config{WitnessTimeout: 300 * time.Millisecond, UpstreamLostAfter: time.Second}
 }
 
-// sleepJob returns a job of n tasks. Each sleeps and then returns its index.
+// sleepJob returns a job of n tasks. Each task sleeps and then has its index as the
+// result.
 func sleepJob(n int, sleep time.Duration) client.Job {
 	job := client.Job{Service: "desk", Deadline: 20 * time.Second}
 	for i := range n {
@@ -73,7 +75,7 @@
 	return log.Home.Instance(), log.Witness.Instance()
 }
 
-// waitFor polls until ok returns true, and fails the test after 10 s.
+// waitFor calls ok until it returns true, and fails the test after 10 s.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
@@ -91,23 +93,23 @@
 func checkNoDuplicateStarts(t *testing.T, c *Cluster) {
 	t.Helper()
 	if _, duplicates := c.Recorder.Starts(); len(duplicates) > 0 {
-		t.Errorf("started more than once: %v", duplicates)
+		t.Errorf("tasks started more than once: %v", duplicates)
 	}
 }
 
 func requireComplete(t *testing.T, answer api.Answer, err error, n int) {
 	t.Helper()
 	if err != nil || answer.Fate != fate.Complete || len(answer.Tasks) != n {
-		t.Fatalf("answer %s %s with %d tasks, %v", answer.Fate, answer.Reason, len(answer.Tasks), err)
+		t.Fatalf("answer %s %s with %d tasks, error %v; want the fate complete with the results of all tasks", answer.Fate, answer.Reason, len(answer.Tasks), err)
 	}
 	for i := range answer.Tasks {
 		if string(answer.Tasks[i].Result) != fmt.Sprint(i) {
-			t.Fatalf("task %d has result %s", i, answer.Tasks[i].Result)
+			t.Fatalf("task %d has result %s, want its index", i, answer.Tasks[i].Result)
 		}
 	}
 }
 
-// callResult is the result of a submission to an entry instance.
+// callResult is what SendTo returned for a submission to an entry instance.
 type callResult struct {
 	answer api.Answer
 	err    error
@@ -140,8 +142,8 @@
 	checkNoDuplicateStarts(t, c)
 }
 
-// The job has more tasks than there are slots when its home is killed. The witness
-// starts the tasks that the home had not started.
+// The home of a job is killed while tasks of the job wait for slots: the job has 120
+// tasks, and the cluster has 48 slots. The witness must start the remaining tasks.
 func TestHomeLostWhileTasksWait(t *testing.T) {
 	c := newTestCluster(t, detectFailuresFast)
 	cl := newClient(t, c)
@@ -155,8 +157,8 @@
 	checkNoDuplicateStarts(t, c)
 }
 
-// A job may be resubmitted to any entry instance, at any time. All of them give
-// the same answer.
+// A job may be resubmitted to any entry instance, at any time. All instances must
+// give the same answer, and no task may be started again.
 func TestResubmissionAnywhere(t *testing.T) {
 	c := newTestCluster(t, detectFailuresFast)
 	cl := newClient(t, c)
@@ -172,7 +174,7 @@
 		t.Error(got.err)
 	}
 	if n := c.startCount(s.Key()); n != 10 {
-		t.Errorf("%d starts", n)
+		t.Errorf("%d starts, want 10", n)
 	}
 }
 
@@ -202,12 +204,13 @@
 	c.KillEntry(witness)
 	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	if err != nil || answer.Fate != fate.Unknown {
-		t.Errorf("answer %s, %v", answer.Fate, err)
+		t.Errorf("answer %s, error %v, want the fate unknown", answer.Fate, err)
 	}
 	checkNoDuplicateStarts(t, c)
 }
 
-// A job that never reached its witness provably did not run, and is reported so.
+// If a job never reached its witness, no task of it can have started. The answer
+// must say that the job was not run, and the job can be submitted again.
 func TestNotRunIsProved(t *testing.T) {
 	c := newTestCluster(t, detectFailuresFast)
 	cl := newClient(t, c)
@@ -216,7 +219,7 @@
 	c.KillEntry(home)
 	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	if err != nil || answer.Fate != fate.NotRun {
-		t.Fatalf("answer %s, %v", answer.Fate, err)
+		t.Fatalf("answer %s, error %v, want the fate not_run", answer.Fate, err)
 	}
 	if n := c.startCount(s.Key()); n != 0 {
 		t.Errorf("%d starts of a job that was reported as not run", n)
@@ -234,15 +237,15 @@
 	waitFor(t, "a start", func() bool { return c.startCount(s.Key()) > 0 })
 	answer, err := cl.Cancel(context.Background(), s.Key())
 	if err != nil || answer.Fate != fate.Failed || answer.Reason != fate.ReasonCancelled {
-		t.Fatalf("answer %s %s, %v", answer.Fate, answer.Reason, err)
+		t.Fatalf("answer %s %s, error %v, want the fate failed and the reason cancelled", answer.Fate, answer.Reason, err)
 	}
 	if got := <-done; got.answer.Fate != fate.Failed {
-		t.Errorf("the caller got the fate %s", got.answer.Fate)
+		t.Errorf("the caller of the cancelled job got the fate %s, want failed", got.answer.Fate)
 	}
 	next, err := cl.Do(context.Background(), sleepJob(48, time.Millisecond))
 	requireComplete(t, next, err, 48)
 	if n := c.startCount(s.Key()); n > 60 {
-		t.Errorf("%d tasks of a cancelled job started", n)
+		t.Errorf("%d tasks of a cancelled job started, want at most 60 of 200", n)
 	}
 }
 
@@ -253,10 +256,10 @@
 	job.Tasks[1].CPU = 1000
 	answer, err := cl.Do(context.Background(), job)
 	if err != nil || answer.Fate != fate.NotRun || answer.Reason != fate.ReasonNeverFits {
-		t.Errorf("answer %s %s, %v", answer.Fate, answer.Reason, err)
+		t.Errorf("answer %s %s, error %v, want the fate not_run and the reason never_fits", answer.Fate, answer.Reason, err)
 	}
 	if starts, _ := c.Recorder.Starts(); starts != 0 {
-		t.Errorf("%d starts", starts)
+		t.Errorf("%d starts of a job that fits no upstream", starts)
 	}
 }
 
@@ -267,14 +270,14 @@
 	requireComplete(t, answer, err, api.MaxTasks)
 	_, err = cl.Do(context.Background(), sleepJob(api.MaxTasks+1, 0))
 	if !failure.Is(err, failure.TooLarge) || failure.FieldOf(err) != "tasks" {
-		t.Errorf("error %v", err)
+		t.Errorf("error for a job with too many tasks: %v, want TooLarge in the field tasks", err)
 	}
 	_, err = cl.Do(context.Background(), client.Job{Service: "desk"})
 	if !failure.Is(err, failure.InvalidInput) || failure.FieldOf(err) != "tasks" {
-		t.Errorf("error %v", err)
+		t.Errorf("error for a job without tasks: %v, want InvalidInput in the field tasks", err)
 	}
 	if starts, _ := c.Recorder.Starts(); starts != api.MaxTasks {
-		t.Errorf("%d starts", starts)
+		t.Errorf("%d starts, want only those of the valid job", starts)
 	}
 }
 
@@ -282,8 +285,8 @@
 	c := newTestCluster(t, nil)
 	cl := newClient(t, c)
 	var answer api.Answer
-	// On a busy machine, a short deadline may pass before any task has started.
-	// Then the answer "not run" must be true, and a longer deadline is tried.
+	// On a busy machine, a short deadline may pass before any task has started. If
+	// the answer says so, it must be true, and the loop tries a longer deadline.
 	for deadline := 200 * time.Millisecond; deadline < longTask; deadline *= 2 {
 		job := sleepJob(4, longTask)
 		job.Deadline = deadline
@@ -299,23 +302,23 @@
 			break
 		}
 		if started, _ := c.Recorder.Starts(); answer.Reason != fate.ReasonDeadline || started != before {
-			t.Fatalf("answer %s %s with %d starts", answer.Fate, answer.Reason, started-before)
+			t.Fatalf("answer %s %s after %d starts, want the reason deadline and no starts", answer.Fate, answer.Reason, started-before)
 		}
 	}
 	if answer.Fate != fate.Failed || answer.Reason != fate.ReasonDeadline {
-		t.Fatalf("answer %s %s", answer.Fate, answer.Reason)
+		t.Fatalf("answer %s %s, want the fate failed and the reason deadline", answer.Fate, answer.Reason)
 	}
 	if !strings.HasPrefix(string(answer.Tasks[0].State), string(fate.TaskUnknown)) {
-		t.Errorf("task state %s", answer.Tasks[0].State)
+		t.Errorf("task state %s, want unknown", answer.Tasks[0].State)
 	}
 }
 
-// longTask is how long the tasks of TestDeadline run: longer than any deadline in
-// it.
+// longTask is how long the tasks in TestDeadline run: longer than every deadline in
+// that test, so that no job completes.
 const longTask = 5 * time.Second
 
-// An upstream may answer after the lease of a task has expired. The task still
-// ran only once, and its result is valid.
+// An upstream may answer after the lease of a task has expired. If the task ran only
+// once, its result must still be used, and the task must not be started again.
 func TestAnswerAfterTheLease(t *testing.T) {
 	c := newTestCluster(t, func(s *ClusterSpec) {
 		detectFailuresFast(s)
@@ -326,15 +329,15 @@
 		job.Tasks[i].RunMs = 1
 	}
 	for _, u := range c.Upstreams {
-		u.Faults.DropNonStarts.Store(true) // renewals fail as well
+		u.Faults.DropNonStarts.Store(true) // leases cannot be renewed, so they expire
 	}
 	answer, err := newClient(t, c).Do(context.Background(), job)
 	requireComplete(t, answer, err, 4)
 	checkNoDuplicateStarts(t, c)
 }
 
-// A caller that closes its connection does not end its job: the job completes,
-// and a resubmission gets its answer.
+// A caller closes its connection while its job runs. The job must complete
+// nevertheless, and a resubmission must get the answer.
 func TestCallerHangsUp(t *testing.T) {
 	c := newTestCluster(t, detectFailuresFast)
 	cl := newClient(t, c)
@@ -354,13 +357,13 @@
 	answer, err := s.SendTo(context.Background(), c.CallerAddresses()[0])
 	requireComplete(t, answer, err, 4)
 	if n := c.startCount(s.Key()); n != 4 {
-		t.Errorf("%d starts", n)
+		t.Errorf("%d starts, want 4", n)
 	}
 }
 
-// A request that is truncated or too large is refused with a problem document
-// that names the field at fault, and starts no task. A valid request under an
-// unknown session starts none either.
+// A request that is truncated or too large must be refused with a problem document
+// that names the field at fault. A valid request with an unknown session must be
+// answered. None of them may start a task.
 func TestBadRequests(t *testing.T) {
 	c := newTestCluster(t, nil)
 	address := c.CallerAddresses()[0]
@@ -384,20 +387,20 @@
 				t.Fatal(err)
 			}
 			if res.StatusCode != r.status || p.Code != r.code || p.Field != r.inField {
-				t.Errorf("status %d, problem %+v", res.StatusCode, p)
+				t.Errorf("wrong status or problem: status %d, problem %+v", res.StatusCode, p)
 			}
 			if r.status != http.StatusOK && res.Header.Get("Content-Type") != api.ContentProblem {
-				t.Errorf("content type %s", res.Header.Get("Content-Type"))
+				t.Errorf("content type %s of a problem document", res.Header.Get("Content-Type"))
 			}
 		})
 	}
 	if starts, _ := c.Recorder.Starts(); starts != 0 {
-		t.Errorf("%d starts", starts)
+		t.Errorf("%d starts, want none", starts)
 	}
 }
 
-// One trace covers all hops: the caller, the entry instance that was called, the
-// home and each upstream.
+// One trace must cover all hops of a job: the caller, the entry instance that was
+// called, the home, and each task on an upstream.
 func TestOneTraceAcrossHops(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	tracer := tracing.FromExporter(spans, tracing.Config{Ratio: 1, Service: "test"})
@@ -421,11 +424,11 @@
 	}
 	want := map[string]int{"caller": 1, "entry": 1, "forward": 1, "home": 1, "upstream": 3}
 	if !maps.Equal(names, want) || len(traces) != 1 {
-		t.Errorf("spans %v in %d traces", names, len(traces))
+		t.Errorf("wrong spans, or not one trace: spans %v in %d traces", names, len(traces))
 	}
 	for _, start := range c.Recorder.StartsByPrefix(s.Key().String() + "/") {
 		if len(start.Trace) < 36 || !traces[start.Trace[3:35]] {
-			t.Errorf("the upstream received the trace %q", start.Trace)
+			t.Errorf("an upstream received the trace %q, which is not that of the job", start.Trace)
 		}
 	}
 }
--- a/experiment/faults.go
+++ b/experiment/faults.go
@@ -10,8 +10,9 @@
 	"github.com/sedgehatch/sedgehatch/standin"
 )
 
-// faultKinds holds the functions that inject faults, by kind. Each returns a
-// function that ends the fault, or nil if there is nothing to end.
+// faultKinds holds the functions that inject faults, by the kind that a scenario
+// names. Each returns a function that ends the fault, or nil if the fault has
+// nothing that can be ended.
 var faultKinds = map[string]func(c *Cluster, n *Network, f *FaultSection) func(){
 	"kill_entry": killEntries,
 	"stop_entry": stopEntries,
@@ -38,8 +39,9 @@
 	return 1
 }
 
-// injectFaults injects and ends the scenario's faults at their times. When stop is
-// closed, it heals the network and returns early.
+// injectFaults injects and ends the scenario's faults at their times. If stop is
+// closed before the last of these times, it heals the network, so that no data is
+// held back any more, and returns without ending the other faults.
 func (s *Scenario) injectFaults(c *Cluster, n *Network, stop chan struct{}) {
 	type scheduledAction struct {
 		at  time.Duration
@@ -71,7 +73,8 @@
 	}
 }
 
-// killEntries ends entry instances abruptly; ending the fault restarts them.
+// killEntries ends the target entry instances abruptly. The function that it returns
+// restarts them.
 func killEntries(c *Cluster, _ *Network, f *FaultSection) func() {
 	for _, name := range splitList(f.Target) {
 		c.KillEntry(name)
@@ -84,13 +87,13 @@
 }
 
 // killInTurn kills f.Factor entry instances, one after another. It restarts each
-// after downtime, and waits until all members have discovered each other again
+// after downtime, and waits until all instances have discovered each other again
 // before it kills the next one.
 func killInTurn(c *Cluster, _ *Network, f *FaultSection) func() {
 	const (
 		downtime = 250 * time.Millisecond
 		interval = 1250 * time.Millisecond
-		stride   = 4 // step between the indices of consecutive instances, which makes their zones differ
+		stride   = 4 // distance in Names between one victim and the next, chosen so that their zones differ
 	)
 	for i := range f.Factor {
 		name := c.Names()[int(i)*stride%len(c.Names())]
@@ -116,7 +119,7 @@
 	}
 }
 
-// rollingRestart shuts every entry instance down gracefully and restarts it, one
+// rollingRestart shuts the entry instances down gracefully and restarts them, one
 // after another.
 func rollingRestart(c *Cluster, _ *Network, _ *FaultSection) func() {
 	for _, name := range c.Names() {
@@ -129,8 +132,8 @@
 	return nil
 }
 
-// upstreamFault returns a function for faultKinds. It injects and ends a fault by
-// calling set for each target upstream.
+// upstreamFault returns a function for faultKinds whose fault is switched on and off
+// by calling set for each target upstream.
 func upstreamFault(set func(u *standin.Upstream, on bool, factor int64)) func(*Cluster, *Network, *FaultSection) func() {
 	return func(c *Cluster, _ *Network, f *FaultSection) func() {
 		targets := c.matchUpstreams(f.Target)
--- a/experiment/fleet_test.go
+++ b/experiment/fleet_test.go
@@ -22,7 +22,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heapInUse returns the bytes of live objects and stacks, after a garbage
+// heapInUse returns the number of bytes of heap and stack in use after a garbage
 // collection.
 func heapInUse() float64 {
 	runtime.GC()
@@ -31,7 +31,8 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// sentBytes returns the bytes that entry instances have sent to each other.
+// sentBytes returns the number of bytes that the given entry instances have sent to
+// other entry instances.
 func sentBytes(nodes []*entry.Node) int64 {
 	sum := int64(0)
 	for _, n := range nodes {
@@ -40,10 +41,10 @@
 	return sum
 }
 
-// BenchmarkFleet measures what a fleet without jobs costs per entry instance, for
-// several numbers of entry instances and upstreams: CPU time, bytes sent and
-// memory. It also measures the calls to the platform. An iteration takes one
-// second.
+// BenchmarkFleet measures what an entry instance of a fleet without jobs costs: CPU
+// time, bytes sent and memory. It also measures how often the whole fleet calls the
+// platform. It does so for several numbers of entry instances and upstreams. An
+// iteration takes one second.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ entries, upstreams int }{{9, 48}, {30, 48}, {60, 48}, {9, 400}, {9, 1600}} {
 		b.Run(fmt.Sprintf("entries=%d/upstreams=%d", size.entries, size.upstreams), func(b *testing.B) {
--- a/experiment/history_test.go
+++ b/experiment/history_test.go
@@ -14,9 +14,10 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// fateRegister is the sequential model of one key: it has no fate until a call
-// returns one, and keeps that fate from then on. Calls without an answer, or with
-// the fate unknown or pending, carry no information and are valid at any time.
+// fateRegister is the sequential model against which porcupine, a linearizability
+// checker, checks the calls for each key. A key has no fate until a call returns
+// one, and keeps that fate from then on. Calls without an answer, or with the fate
+// unknown or pending, tell nothing about the fate and are allowed at any time.
 var fateRegister = porcupine.Model{
 	Init: func() any { return fate.Kind("") },
 	Step: func(state, _, output any) (bool, any) {
@@ -45,7 +46,7 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%v: %v", input, output) },
 }
 
-// callRecorder records the calls of callers and the fates that these returned.
+// callRecorder records the calls of callers and the fates that the calls returned.
 type callRecorder struct {
 	mu      sync.Mutex
 	start   time.Time
@@ -67,8 +68,8 @@
 }
 
 // TestHistory submits, resubmits and cancels jobs from many callers at all entry
-// instances, while these are killed and restarted. It checks the answers for each
-// key against fateRegister, and against the starts that the upstreams recorded.
+// instances, while the instances are killed and restarted. It checks the answers for
+// each key against fateRegister, and against the starts that the upstreams recorded.
 func TestHistory(t *testing.T) {
 	c := newTestCluster(t, func(s *ClusterSpec) {
 		detectFailuresFast(s)
@@ -85,11 +86,11 @@
 	close(stop)
 	killers.Wait()
 	if !porcupine.CheckOperations(fateRegister, h.history) {
-		t.Error("callers got different fates for one key")
+		t.Error("callers got contradictory fates for one key")
 	}
 	checkNoDuplicateStarts(t, c)
 	if leaked := c.LeakedSlots(); leaked > 0 {
-		t.Errorf("%d slots are held though no job runs", leaked)
+		t.Errorf("%d slots are still held although no job runs", leaked)
 	}
 	observed := map[fate.Kind]int{}
 	for _, op := range h.history {
@@ -99,12 +100,12 @@
 		if n := c.startCount(key); kind == fate.NotRun && n > 0 {
 			t.Errorf("%v was reported as not run, but started %d tasks", key, n)
 		} else if kind == fate.Complete && n != tasksPerJob {
-			t.Errorf("%v was reported as complete, but started %d tasks", key, n)
+			t.Errorf("%v was reported as complete, but started %d tasks instead of each task once", key, n)
 		}
 	}
 	t.Logf("%d calls, fates %v, %d kills of entry instances", len(h.history), observed, len(c.Losses()))
 	if observed[fate.Complete] == 0 || len(c.Losses()) == 0 {
-		t.Error("no job completed or no entry instance was killed")
+		t.Error("the test checked nothing: no job completed or no entry instance was killed")
 	}
 }
 
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -29,21 +29,22 @@
 	CPU            float64
 	MemoryMB       uint64
 	Deadline       time.Duration
-	// Resubmit is the share of jobs that are sent once more, to some entry
-	// instance, while they run, as by a caller that assumes they are lost.
+	// Resubmit is the share of jobs that are sent a second time under the same key
+	// while they run, to one of the entry instances, as a caller would do that
+	// assumes the first call is lost.
 	Resubmit float64
-	// CancelAt holds the times since the start at which all jobs in flight are
-	// cancelled, in ascending order.
+	// CancelAt holds the times, counted from the start of the load and in ascending
+	// order, at which all jobs in flight are cancelled.
 	CancelAt []time.Duration
-	// Burst multiplies the rate between BurstAt and BurstTo, which count from the
-	// start. Zero means no burst.
+	// Burst is the factor by which the rate is multiplied between the times BurstAt and
+	// BurstTo, counted from the start of the load. Zero means no burst.
 	Burst            float64
 	BurstAt, BurstTo time.Duration
 }
 
-// Dist is a distribution of run times, in milliseconds. It is lognormal with the
-// median Median, clamped to Min and Max. A share of LongShare is instead
-// distributed uniformly between Max and LongMax.
+// Dist is a distribution of run times, in milliseconds. Run times are lognormal with
+// the given median and sigma, clamped to Min and Max, except for the share LongShare
+// of them, which is distributed uniformly between Max and LongMax.
 type Dist struct {
 	Median, Sigma, Min, Max, LongMax float64
 	LongShare                        float64
@@ -78,8 +79,8 @@
 	ClientConfig func(caller int) client.Config
 }
 
-// Units and limits of the histograms: ratios are in thousandths, times in
-// microseconds.
+// Units and limits of the histograms, which hold integers: response ratios are
+// recorded in thousandths, times in microseconds.
 const (
 	ratioScale         = 1000
 	maxRatio           = 10000 * ratioScale
@@ -98,16 +99,16 @@
 	responseRatios *hdrhistogram.Histogram
 	refusalMicros  *hdrhistogram.Histogram
 	services       []*serviceRun
-	goodputMs      float64 // run time that counts as goodput
+	goodputMs      float64 // run time of the tasks that count as goodput, see Report.GoodputShare
 	resubmissions  atomic.Int64
 	jobs           []jobRecord
 }
 
-// jobRecord is the course of one job as its caller saw it.
+// jobRecord is what happened to one job as its caller saw it.
 type jobRecord struct {
 	home           string // name of the entry instance that is the job's home
 	started, ended time.Time
-	first, final   api.Answer // answer under the first key, and answer that the caller got in the end
+	first, final   api.Answer // answer under the first key, and the last answer, which may be under another key
 }
 
 // serviceRun is the part of a loadRun for one service.
@@ -121,8 +122,8 @@
 }
 
 // RunLoad submits load to c as an open loop: jobs are sent when they are due,
-// regardless of the progress of earlier ones. It returns when every job has ended
-// for its caller.
+// regardless of the progress of earlier ones. It returns when the callers have the
+// last answer or error for each job.
 func RunLoad(c *Cluster, load Load) (Report, error) {
 	r := &loadRun{
 		c: c, load: load,
@@ -175,7 +176,8 @@
 	return s, nil
 }
 
-// sendJobs sends the jobs of one service when they are due.
+// sendJobs sends the jobs of one service, and cancels jobs in flight, at the times
+// when this is due.
 func (r *loadRun) sendJobs(s *serviceRun, rng *rand.Rand) {
 	due := time.Duration(0)
 	cancels := s.spec.CancelAt
@@ -249,8 +251,8 @@
 	answer, err := sub.Submit(ctx)
 	record := jobRecord{home: homeName(sub), started: started, first: answer}
 	if sessionEnded(answer, err) {
-		// The job provably did not run, and only because its session or its home
-		// ended. It is therefore submitted again, under a new key.
+		// It is certain that the job did not run, and the only reason is that its
+		// session or its home ended. So it is submitted again under a new key.
 		cl.Leave(sub)
 		answer, err = cl.Do(ctx, job)
 	}
@@ -271,14 +273,15 @@
 	return log.Home.Instance()
 }
 
-// sessionEnded reports whether a job did not run for the sole reason that its
-// session or its home had ended or was shutting down.
+// sessionEnded reports whether the answer or the error says that the job did not run,
+// for the sole reason that its session or its home had ended or was shutting down.
 func sessionEnded(answer api.Answer, err error) bool {
 	return failure.Is(err, failure.SessionEnded) || failure.Is(err, failure.Stopping) || err == nil && client.HomeEnded(&answer)
 }
 
-// resubmit sends the same key to one of the entry instances, in turn, after half
-// of the ideal response time, when the job should be running.
+// resubmit waits for half of the ideal response time, after which the job should be
+// running, and then sends the job again under the same key. The entry instances
+// receive such resubmissions in turn.
 func (r *loadRun) resubmit(sub *client.Submission, cl *client.Client, idealMs float64) {
 	time.Sleep(time.Duration(idealMs / 2 * float64(time.Millisecond)))
 	addresses := r.c.CallerAddresses()
--- a/experiment/network.go
+++ b/experiment/network.go
@@ -14,13 +14,13 @@
 type Network struct {
 	mu         sync.Mutex
 	zones      map[string]string  // by address
-	partitions map[[2]string]bool // by zonePair
+	partitions map[[2]string]bool // whether two zones are partitioned, by zonePair
 	healed     chan struct{}      // closed and replaced when the partitions end
 	latency    func(from, to string) time.Duration
 }
 
-// partitionDialTimeout is how long opening a connection to a partitioned zone
-// takes to fail.
+// partitionDialTimeout is the time after which opening a connection to a partitioned
+// zone fails.
 const partitionDialTimeout = 200 * time.Millisecond
 
 // NewNetwork returns a network without partitions. latency returns the one-way
@@ -29,15 +29,16 @@
 	return &Network{zones: map[string]string{}, partitions: map[[2]string]bool{}, healed: make(chan struct{}), latency: latency}
 }
 
-// SetZone records the zone of an address. Dial takes any other address to be in
-// the zone from which it is dialed.
+// SetZone records the zone of an address. Dial assumes that an address without a
+// recorded zone is in the zone of the dialing side.
 func (n *Network) SetZone(address, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zones[address] = zone
 }
 
-// zonePair returns two zones in alphabetical order, as the key of a partition.
+// zonePair returns the key of Network.partitions for two zones: their names in
+// alphabetical order.
 func zonePair(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
@@ -45,8 +46,9 @@
 	return [2]string{a, b}
 }
 
-// Partition separates two zones. Until Heal, no data passes between them. Data on
-// open connections is delayed, not lost: TCP would retransmit it afterwards.
+// Partition separates two zones. Until Heal is called, no data passes between them.
+// Data on open connections is delayed and not lost, as TCP would retransmit it after
+// a real partition.
 func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,8 +72,8 @@
 	return n.partitions[zonePair(a, b)], n.healed
 }
 
-// Dial opens a connection from a zone to an address, with the latency of the two
-// zones and subject to their partitions.
+// Dial opens a connection from a zone to an address. The connection has the latency
+// between the two zones, and passes no data while they are partitioned.
 func (n *Network) Dial(from, address string) (net.Conn, error) {
 	n.mu.Lock()
 	to, ok := n.zones[address]
@@ -105,7 +107,7 @@
 }
 
 // waitUntilDeliverable waits until due, and then until the zones are not partitioned. It
-// returns false if done is closed first.
+// returns false if done is closed before that.
 func (p *zonePath) waitUntilDeliverable(due time.Time, done chan struct{}) bool {
 	if wait := time.Until(due); wait > 0 {
 		select {
@@ -138,7 +140,8 @@
 	once    sync.Once
 }
 
-// chunk is some bytes of one direction, or the error that ends it.
+// chunk is a part of the data that travels in one direction. An error ends the
+// direction: no further chunk follows.
 type chunk struct {
 	due  time.Time // earliest delivery
 	data []byte
--- a/experiment/report.go
+++ b/experiment/report.go
@@ -14,9 +14,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the result of a load. Response ratios divide the response time of a
-// job, counted from the time at which it was due to be sent, by the actual run
-// time of its longest task.
+// Report is the result of a load. The response ratio of a job is its response time,
+// counted from the time at which the job was due to be sent, divided by the actual
+// run time of its longest task.
 type Report struct {
 	Jobs            int64    `json:"jobs"`
 	Tasks           int64    `json:"tasks"`
@@ -32,23 +32,24 @@
 	RatioP50        float64  `json:"response_ratio_p50"`
 	RatioP99        float64  `json:"response_ratio_p99"`
 	RefusalP99Ms    float64  `json:"refusal_p99_ms"`
-	// GoodputShare is the run time of the jobs that completed between the warm-up
-	// and the end of the load, as a share of the time of all slots.
+	// GoodputShare is the total run time of the tasks of all jobs that completed
+	// between the end of the warm-up and the end of the load, divided by the time of
+	// all slots in that period.
 	GoodputShare  float64    `json:"goodput_share"`
 	Resubmissions int64      `json:"resubmissions"`
 	Losses        LossReport `json:"losses"`
-	// Reasons counts the answers that are not complete, by fate and reason, and the
-	// errors, by code.
+	// Reasons counts the answers with a fate other than complete, by fate and reason,
+	// and the errors that callers got instead of an answer, by error code.
 	Reasons  map[string]int   `json:"reasons"`
 	Sent     map[string]int64 `json:"sent"`
 	Wasted   map[string]int64 `json:"wasted"`
 	Services []ServiceReport  `json:"services"`
 }
 
-// LossReport describes the jobs that were in flight at an entry instance when it
-// was killed. First counts the fates under the key that was in flight. Final
-// counts the fates that callers got in the end, which is under a new key where
-// the first was provably not run.
+// LossReport describes the jobs whose home was killed while they were in flight.
+// First counts the fates under the key that was in flight. Final counts the fates
+// that callers got in the end: if it is certain that a job did not run, its caller
+// submits the job again under a new key, and Final counts the fate under that key.
 type LossReport struct {
 	Entries     int                 `json:"entries"` // kills of entry instances
 	Jobs        int                 `json:"jobs"`
@@ -71,7 +72,7 @@
 	MsP99    float64 `json:"response_ms_p99"`
 }
 
-// recordAnswer adds the answer to one job, or the error instead, to the report.
+// recordAnswer adds the answer to one job to the report, or err if there is no answer.
 func (r *loadRun) recordAnswer(s *serviceRun, job client.Job, answer api.Answer, err error, idealMs float64, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,11 +134,12 @@
 	}
 }
 
-// warmUp returns the length of the first part of the load, which the goodput
-// leaves out because no job can have ended at the very start.
+// warmUp returns the length of the first part of the load. The goodput leaves this
+// part out, because no job can complete at the very start of the load.
 func (r *loadRun) warmUp() time.Duration { return r.load.Duration / 4 }
 
-// computeReport computes the figures of the report and checks the invariants.
+// computeReport computes the figures of the report, except those that recordAnswer
+// has counted, and checks that no task was started twice and no slot was leaked.
 func (r *loadRun) computeReport(sentBefore, wastedBefore map[string]int64) {
 	sent, wasted := r.c.Messages()
 	subtract(sent, sentBefore)
@@ -187,8 +189,7 @@
 	return total
 }
 
-// lossReport reports on the jobs that were in flight at entry instances when these
-// were killed.
+// lossReport reports on the jobs whose homes were killed while they were in flight.
 func (r *loadRun) lossReport() LossReport {
 	report := LossReport{First: map[fate.Kind]int{}, Final: map[fate.Kind]int{}, Reasons: map[fate.Reason]int{}}
 	answerMicros := hdrhistogram.New(1, maxMicros, significantFigures)
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -18,8 +18,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Scenario is a cluster, a load and the faults to inject, as described by an INI
-// file.
+// Scenario is the contents of a scenario file in INI format: a cluster, a load and
+// the faults to inject.
 type Scenario struct {
 	Name     string
 	Cluster  ClusterSection
@@ -31,21 +31,21 @@
 // ClusterSection is the [cluster] section.
 type ClusterSection struct {
 	Zones          string  `ini:"zones"`            // names, comma separated
-	Entries        string  `ini:"entries"`          // number in each zone, comma separated; the last one also applies to further zones
-	Upstreams      string  `ini:"upstreams"`        // number in each zone, comma separated; the last one also applies to further zones
+	Entries        string  `ini:"entries"`          // number in each zone, comma separated; the last number also applies to all further zones
+	Upstreams      string  `ini:"upstreams"`        // number in each zone, comma separated; the last number also applies to all further zones
 	Slots          int     `ini:"slots"`            // slots of each upstream
 	CPU            float64 `ini:"cpu"`              // cores of each upstream
 	MemoryMB       uint64  `ini:"memory_mb"`        // memory of each upstream
-	PerRack        int     `ini:"per_rack"`         // upstreams in one rack
-	BetweenZonesUs int64   `ini:"between_zones_us"` // one-way latency
-	ToCallersUs    int64   `ini:"to_callers_us"`    // one-way latency
+	PerRack        int     `ini:"per_rack"`         // upstreams in each rack
+	BetweenZonesUs int64   `ini:"between_zones_us"` // one-way latency between zones, microseconds
+	ToCallersUs    int64   `ini:"to_callers_us"`    // one-way latency from callers to entry instances, microseconds
 	Order          string  `ini:"order"`            // order in which a broker serves waiting tasks
 	HeartbeatMs    int64   `ini:"heartbeat_ms"`
-	ReleaseDelayMs int64   `ini:"release_delay_ms"` // how long free slots wait before they are returned to the broker
-	Witness        string  `ini:"witness"`          // scope of the witness: none, zone or region
+	ReleaseDelayMs int64   `ini:"release_delay_ms"` // how long entry instances keep free slots in order to return several together
+	Witness        string  `ini:"witness"`          // where witnesses are chosen: none is no witness, zone the home's zone, region another zone if there is one
 	Placement      string  `ini:"placing"`          // how instances share upstreams: broker, static, guess or probe
 	MaxQueued      int     `ini:"max_queued"`       // tasks that may wait at a broker
-	NoEjection     bool    `ini:"no_ejection"`      // failing upstreams keep getting tasks
+	NoEjection     bool    `ini:"no_ejection"`      // upstreams get tasks even if their tasks keep failing
 	ListLagMs      int64   `ini:"list_lag_ms"`      // age of the platform's list of instances
 	Settings       string  `ini:"settings"`         // accepted, but without effect
 }
@@ -55,16 +55,17 @@
 	Seconds float64 `ini:"seconds"`
 	// Level is the offered load as a share of the capacity of all slots.
 	Level float64 `ini:"level"`
-	// Scale is what run times and deadlines are divided by.
+	// Scale is the number by which all run times and deadlines of the scenario are
+	// divided, so that the scenario runs faster.
 	Scale float64 `ini:"scale"`
 	Seed  uint64  `ini:"seed"`
 }
 
-// ServiceSection is a [service NAME] section. Run times are in milliseconds, to
-// be divided by LoadSection.Scale.
+// ServiceSection is a [service NAME] section. Run times are in milliseconds and are
+// divided by LoadSection.Scale.
 type ServiceSection struct {
 	Name       string
-	Share      float64   `ini:"share"` // share of the offered load, relative to the other services
+	Share      float64   `ini:"share"` // weight of the service when the offered load is divided among the services
 	Callers    int       `ini:"callers"`
 	MinTasks   int       `ini:"min_tasks"`
 	MaxTasks   int       `ini:"max_tasks"`
@@ -72,12 +73,12 @@
 	Sigma      float64   `ini:"sigma"`
 	MinMs      float64   `ini:"min_ms"`
 	MaxMs      float64   `ini:"max_ms"`
-	LongMs     float64   `ini:"long_ms"`    // highest run time
+	LongMs     float64   `ini:"long_ms"`    // maximum run time of the share LongShare
 	LongShare  float64   `ini:"long_share"` // share of tasks that run between MaxMs and LongMs
 	Declared   float64   `ini:"declared"`   // declared run time, as a multiple of the actual one
 	CPU        float64   `ini:"cpu"`
 	MemoryMB   uint64    `ini:"memory_mb"`
-	DeadlineMs int64     `ini:"deadline_ms"` // milliseconds, to be divided by LoadSection.Scale
+	DeadlineMs int64     `ini:"deadline_ms"` // divided by LoadSection.Scale
 	Resubmit   float64   `ini:"resubmit"`    // share of jobs that are resubmitted while they run
 	QuotaSlots int       `ini:"quota_slots"`
 	CancelAt   []float64 `ini:"cancel_at"` // seconds since the start
@@ -90,7 +91,7 @@
 type FaultSection struct {
 	Name   string
 	At     float64 `ini:"at"`  // seconds since the start
-	For    float64 `ini:"for"` // seconds; zero means until the end of the run
+	For    float64 `ini:"for"` // duration in seconds; zero means until the end of the run
 	Kind   string  `ini:"kind"`
 	Target string  `ini:"target"` // names of instances or zones, or prefixes of upstream IDs, comma separated
 	Factor int64   `ini:"factor"` // factor of run times (straggle) or number of kills (losses)
@@ -176,8 +177,8 @@
 	return strings.FieldsFunc(s, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// numberAt returns the i-th number of list, or the last one if the list is
-// shorter. An empty list yields zero.
+// numberAt returns the number at index i of list, or the last one if the list is
+// shorter. For an empty list, it returns zero.
 func numberAt(list []string, i int) int {
 	if len(list) == 0 {
 		return 0
@@ -222,7 +223,8 @@
 	return report, err
 }
 
-// callersZone is the zone from which callers open connections.
+// callersZone is the zone that a Network has for all callers, none of which is in a
+// zone of the cluster.
 const callersZone = "callers"
 
 func microseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/experiment/scenario_test.go
+++ b/experiment/scenario_test.go
@@ -11,7 +11,7 @@
 func TestScenariosAreRight(t *testing.T) {
 	files, err := filepath.Glob("../bench/*.ini")
 	if err != nil || len(files) < 15 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("found %d scenario files, error %v, want at least 15", len(files), err)
 	}
 	for _, file := range files {
 		if filepath.Base(file) == "bounds.ini" {
@@ -31,7 +31,7 @@
 		"wrong fault":  "[cluster]\nzones = a\n[service s]\n[fault f]\nkind = rain\n",
 	} {
 		if _, err := ParseScenario("x.ini", []byte(text)); !failure.Is(err, failure.InvalidInput) || failure.FieldOf(err) == "" {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("scenario with the fault %q: error %v, want InvalidInput in a field", name, err)
 		}
 	}
 }
@@ -48,6 +48,6 @@
 		t.Fatal(err)
 	}
 	if len(r.Violations) > 0 || r.DuplicateStarts > 0 || r.Jobs == 0 || r.Losses.Entries != 1 {
-		t.Errorf("report %+v", r)
+		t.Errorf("violations, duplicate starts, no jobs, or not one kill in the report: %+v", r)
 	}
 }
--- a/experiment/settings_test.go
+++ b/experiment/settings_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Concurrent changes by several operators lose no update: every change that was
-// accepted is stored.
+// Several operators change the settings concurrently. Every change must either be
+// refused as a conflict or be stored: no accepted change may be lost.
 func TestOperatorsRace(t *testing.T) {
 	c := newTestCluster(t, nil)
 	var wg sync.WaitGroup
@@ -56,7 +56,7 @@
 				accepted[node] = true
 				mu.Unlock()
 			} else if !failure.Is(err, failure.Conflict) || failure.FieldOf(err) != "revision" {
-				t.Errorf("error %v", err)
+				t.Errorf("error of a concurrent change: %v, want Conflict in the field revision", err)
 			}
 		})
 	}
@@ -64,18 +64,19 @@
 	store, _ := newSettingsStore(t, c)
 	head, tree, _, err := store.Load()
 	if err != nil || int(head.Number) != len(accepted) || len(accepted) == 0 {
-		t.Fatalf("revision %d after %d accepted changes, %v", head.Number, len(accepted), err)
+		t.Fatalf("revision %d after %d accepted changes, error %v, want one revision for each change", head.Number, len(accepted), err)
 	}
 	for node := range accepted {
 		name := node[len("service "):]
 		if v := tree.Get(settings.Path{Service: name}, settings.KeyWeight); v.Text != "7" || v.From.Name != name {
-			t.Errorf("%s: %+v", node, v)
+			t.Errorf("the accepted change of %s is not stored: %+v", node, v)
 		}
 	}
 	awaitRevision(t, c, head.Number)
 }
 
-// A write whose answer is lost takes effect once, and its writer finds that out.
+// If the answer to a change is lost, the writer must find out that the change took
+// effect, and must not repeat it.
 func TestLostAnswerToAChange(t *testing.T) {
 	c := newTestCluster(t, nil)
 	store, _ := newSettingsStore(t, c)
@@ -83,16 +84,17 @@
 	head, diff, err := store.Update(0, "op", setValue("fleet", settings.KeyDeadlineMs, "5000"))
 	c.Platform.Faults.DropAnswers.Store(false)
 	if err != nil || head.Number != 1 || len(diff) != 1 {
-		t.Fatalf("revision %d, %v, %v", head.Number, diff, err)
+		t.Fatalf("revision %d, differences %v, error %v, want revision 1 with one difference", head.Number, diff, err)
 	}
 	awaitRevision(t, c, 1)
 	c.Platform.Faults.Down.Store(true)
 	if _, _, err := store.Update(0, "op", setValue("fleet", settings.KeyDeadlineMs, "6000")); !failure.Is(err, failure.Lost) {
-		t.Errorf("a change while the platform is down: %v", err)
+		t.Errorf("error of a change while the platform is down: %v, want Lost", err)
 	}
 }
 
-// A platform that comes back with old data does not revert the settings in force.
+// The platform loses its latest data and serves an older revision of the settings.
+// The newer revision that the entry instances have applied must stay in force.
 func TestOldDataIsNotApplied(t *testing.T) {
 	c := newTestCluster(t, nil)
 	store, p := newSettingsStore(t, c)
@@ -118,18 +120,18 @@
 	if _, err := c.StartEntry(name); err != nil {
 		t.Fatal(err)
 	}
-	// The restarted entry instance reads the old revision first, and then gets the
-	// newer one from its peers.
+	// The restarted entry instance may read the old revision from the platform, but
+	// must then get the newer one from its peers.
 	awaitRevision(t, c, 2)
 	for _, n := range c.Nodes() {
 		if n.Revision() != 2 {
-			t.Errorf("revision %d is in force", n.Revision())
+			t.Errorf("revision %d is in force, want 2", n.Revision())
 		}
 	}
 }
 
-// An entry instance that starts while the platform is down gets from its peers
-// what it needs to serve jobs.
+// An entry instance that starts while the platform is down must get the settings and
+// the list of instances from its peers, so that it can serve jobs.
 func TestStartFromPeers(t *testing.T) {
 	c := newTestCluster(t, detectFailuresFast)
 	store, _ := newSettingsStore(t, c)
@@ -156,8 +158,8 @@
 	requireComplete(t, answer, err, 20)
 }
 
-// An entry instance that reaches neither the platform nor a peer has no settings,
-// and refuses jobs with that error.
+// An entry instance that reaches neither the platform nor a peer has no settings. It
+// must refuse jobs with the error NoSettings.
 func TestAloneWithoutSettings(t *testing.T) {
 	n, err := entry.New(entry.Config{
 		Fleet: "f", Instance: "e", Zone: "z", ListenCallers: "127.0.0.1:0", ListenInner: "127.0.0.1:0",
@@ -174,11 +176,11 @@
 	}
 	defer cl.Close()
 	if _, err := cl.Do(context.Background(), sleepJob(1, 0)); !failure.Is(err, failure.NoSettings) {
-		t.Errorf("error %v", err)
+		t.Errorf("error of a job at an instance without settings: %v, want NoSettings", err)
 	}
 }
 
-// A changed quota comes into force without a restart and without interrupting
+// A changed quota must come into force without a restart and without interrupting
 // requests.
 func TestQuotaComesIntoForce(t *testing.T) {
 	c := newTestCluster(t, nil)
@@ -204,12 +206,12 @@
 		}
 	}
 	if maxRunning > 6 || maxRunning == 0 {
-		t.Errorf("%d tasks ran at the same time, quota 6", maxRunning)
+		t.Errorf("%d tasks ran at the same time, want 1 to 6 with a quota of 6 slots", maxRunning)
 	}
 }
 
-// A change of how long the fleet keeps answers also applies to logs that are
-// already open.
+// A change of how long answers are kept must also apply to the permit logs (in which
+// homes keep the answers) that were open before the change.
 func TestKeptAnswersComeIntoForce(t *testing.T) {
 	c := newTestCluster(t, nil)
 	cl := newClient(t, c)
@@ -226,6 +228,6 @@
 		return err == nil && answer.Fate == fate.Unknown && answer.Reason == fate.ReasonNoLongerKept
 	})
 	if n := c.startCount(s.Key()); n != 2 {
-		t.Errorf("%d starts", n)
+		t.Errorf("%d starts, want 2: a job was run again after its answer was evicted", n)
 	}
 }
--- a/experiment/stop_test.go
+++ b/experiment/stop_test.go
@@ -26,14 +26,14 @@
 			requireComplete(t, answer, err, 40)
 			checkNoDuplicateStarts(t, c)
 			if starts, _ := c.Recorder.Starts(); starts != 40 {
-				t.Errorf("%d starts", starts)
+				t.Errorf("%d starts, want 40", starts)
 			}
 		})
 	}
 }
 
-// When an upstream is lost together with its running tasks, their job fails, and
-// the answer shows which tasks have an unknown outcome.
+// An upstream is lost together with its running tasks. The job of these tasks must
+// fail, and the answer must show which tasks have an unknown outcome.
 func TestUpstreamVanishes(t *testing.T) {
 	c := newTestCluster(t, detectFailuresFast)
 	cl := newClient(t, c)
@@ -44,7 +44,7 @@
 	c.Upstreams[0].Close()
 	answer := (<-done).answer
 	if answer.Fate != fate.Failed || answer.Reason != fate.ReasonTaskLost {
-		t.Fatalf("answer %s %s", answer.Fate, answer.Reason)
+		t.Fatalf("answer %s %s, want the fate failed and the reason task_lost", answer.Fate, answer.Reason)
 	}
 	unknown := 0
 	for _, task := range answer.Tasks {
@@ -53,7 +53,7 @@
 		}
 	}
 	if unknown == 0 || len(answer.Tasks) != 20 {
-		t.Errorf("%d of %d tasks are unknown", unknown, len(answer.Tasks))
+		t.Errorf("%d of %d tasks have an unknown outcome, want at least 1 of 20", unknown, len(answer.Tasks))
 	}
 	checkNoDuplicateStarts(t, c)
 }
@@ -113,8 +113,8 @@
 	}
 }
 
-// An upstream that the platform lists as leaving gets no new tasks after 2 s at
-// the latest, though it would still accept them.
+// The platform lists an upstream as leaving. The upstream must get no new tasks after
+// 2 s at the latest, even though it would still accept them.
 func TestListedLeaving(t *testing.T) {
 	c := newTestCluster(t, detectFailuresFast)
 	cl := newClient(t, c)
@@ -134,15 +134,16 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("a leaving upstream still gets tasks")
+			t.Fatal("an upstream still gets tasks 2 s after the platform listed it as leaving")
 		}
 	}
 }
 
-// A network partition separates the home of a job from its witness. The home goes
-// on with the tasks that it has started. A caller on the other side asks the
-// witness, which takes over. The two must not report contradicting fates, nor both
-// start the same task, and must agree after the partition.
+// A network partition separates the home of a job from the job's witness. The home
+// goes on with the tasks that it has started. A caller on the other side asks the
+// witness, which takes over. Home and witness must not report contradictory fates,
+// must not both start the same task, and must report the same fate after the
+// partition has ended.
 func TestHomeCutOff(t *testing.T) {
 	network := NewNetwork(func(_, _ string) time.Duration { return 0 })
 	c := newTestCluster(t, func(s *ClusterSpec) {
@@ -182,19 +183,19 @@
 			continue
 		}
 		if final != "" && kind != final {
-			t.Errorf("callers got different fates for one key: %v", fates)
+			t.Errorf("callers got contradictory fates for one key: %v", fates)
 		}
 		final = kind
 	}
 	if final == fate.NotRun {
-		t.Errorf("fates %v after %d starts", fates, c.startCount(s.Key()))
+		t.Errorf("a job was reported as not run although tasks started: fates %v, %d starts", fates, c.startCount(s.Key()))
 	}
 	t.Logf("fates %v", fates)
 	checkNoDuplicateStarts(t, c)
 }
 
-// Every entry instance is shut down gracefully and restarted under load, and no
-// job fails.
+// All entry instances are shut down gracefully and restarted under load, one after
+// another. No job may fail.
 func TestRollingRestart(t *testing.T) {
 	c := newTestCluster(t, detectFailuresFast)
 	stop := make(chan struct{})
--- a/experiment/throughput_test.go
+++ b/experiment/throughput_test.go
@@ -29,8 +29,9 @@
 	return c
 }
 
-// BenchmarkStarts runs jobs of 50 tasks that end at once. Its time, bytes and
-// allocations are per task, and include the callers and upstreams.
+// BenchmarkStarts runs jobs of 50 tasks that end at once, on one entry instance, where
+// jobs have no witness, and on two. Time, bytes and allocations are given per task,
+// and include those of the callers and upstreams, which run in the same process.
 func BenchmarkStarts(b *testing.B) {
 	for name, entries := range map[string]int{"alone": 1, "witness": 2} {
 		b.Run(name, func(b *testing.B) {
@@ -65,8 +66,9 @@
 	}
 }
 
-// BenchmarkDirect starts the same tasks as BenchmarkStarts directly at an
-// upstream. The difference between the two is the cost of sedgehatch.
+// BenchmarkDirect starts the same tasks as BenchmarkStarts directly at an upstream,
+// without an entry instance. The difference between the figures of the two
+// benchmarks is the cost of sedgehatch.
 func BenchmarkDirect(b *testing.B) {
 	c := startIdleCluster(b, 1)
 	cl := upstream.NewClient("u", c.Upstreams[0].Address(), 64, nil)
@@ -83,8 +85,9 @@
 	})
 }
 
-// BenchmarkAddedLatency compares a job of one task that ends at once with the same
-// task started directly at an upstream, in alternation.
+// BenchmarkAddedLatency measures how much longer a job of one task that ends at once
+// takes than the same task started directly at an upstream. It makes the two kinds
+// of calls alternately.
 func BenchmarkAddedLatency(b *testing.B) {
 	for name, entries := range map[string]int{"alone": 1, "witness": 2} {
 		b.Run(name, func(b *testing.B) {
@@ -112,8 +115,9 @@
 					_, err := cl.Do(context.Background(), job)
 					return err
 				})
-				// Looks the key up before the first attempt as well. The paper's
-				// protocol does so for each attempt, sedgehatch for resubmissions only.
+				// This call looks the key up before it submits the job, as the protocol of
+				// the paper does for every attempt. Sedgehatch looks the key up only for
+				// resubmissions.
 				measure(lookupFirst, func() error {
 					s, err := cl.Prepare(context.Background(), job)
 					if err != nil {
@@ -135,7 +139,7 @@
 	}
 }
 
-// bounds are the limits in bench/bounds.ini.
+// bounds are the limits per task in bench/bounds.ini.
 type bounds struct {
 	Allocations float64 `ini:"allocations"`
 	Messages    float64 `ini:"messages"`
@@ -160,7 +164,7 @@
 			requireComplete(t, answer, err, perJob)
 		}
 	}
-	run() // warm-up: creates connections, logs and histories
+	run() // warm-up: opens connections and permit logs, and records run times for estimates
 	var bound bounds
 	file, err := ini.Load("../bench/bounds.ini")
 	if err != nil {
@@ -185,6 +189,6 @@
 	waste := float64(sum(wastedAfter)) / (perJob * jobs)
 	t.Logf("a task: %.1f allocations, %.3f messages, %.4f wasted; %v", allocs, messages, waste, sentAfter)
 	if allocs > bound.Allocations || messages > bound.Messages || waste > bound.Wasted {
-		t.Errorf("a bound is exceeded: %+v", bound)
+		t.Errorf("a limit of bench/bounds.ini is exceeded; the limits are %+v", bound)
 	}
 }
--- a/experiment/variants.go
+++ b/experiment/variants.go
@@ -13,9 +13,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Variants lists values to compare on a scenario, which is run once for each
-// combination of them. For an empty list, or zero Seconds, the scenario's own
-// value applies.
+// Variants lists the values of a scenario's parameters to compare. The scenario is
+// run once for each combination of the values. Where a list is empty or Seconds is
+// zero, the value in the scenario applies.
 type Variants struct {
 	QueueOrders []string
 	Placements  []string
@@ -27,7 +27,7 @@
 // RunResult is the result of one run of a scenario.
 type RunResult struct {
 	Name    string  `json:"name"`
-	Variant string  `json:"way"` // all that varies but the load, as text
+	Variant string  `json:"way"` // the values of all parameters that vary except the load, as text
 	Load    float64 `json:"load"`
 	Report  Report  `json:"report"`
 }
@@ -53,7 +53,7 @@
 	return results, nil
 }
 
-// orDefault returns list, or a list of only value if list is empty.
+// orDefault returns list, or if list is empty, a list that holds only value.
 func orDefault[T any](list []T, value T) []T {
 	if len(list) == 0 {
 		return []T{value}
@@ -73,8 +73,9 @@
 	return result, err
 }
 
-// RunDemo runs the services of both users, scaled down, on a small fleet. Some
-// jobs are resubmitted on purpose while they run.
+// RunDemo runs jobs of two services, modelled on those of the two users of
+// sedgehatch and scaled down, on a small fleet. Some jobs are resubmitted on purpose
+// while they run.
 func RunDemo() (Report, error) {
 	c, err := StartCluster(ClusterSpec{
 		Zones:             []ZoneSpec{{"plaine", 2, 6}, {"depot", 2, 6}},
@@ -101,8 +102,8 @@
 	plotHeight = 11 * vg.Centimeter
 )
 
-// WritePlots plots response ratios and messages per task against the load, as
-// PNG files in dir.
+// WritePlots writes plots of the response ratios and the messages per task as PNG
+// files in dir. The horizontal axis is the load; each variant is one line.
 func WritePlots(dir string, results []RunResult) error {
 	plots := []struct {
 		file, title, axis string
