--- a/api/decode.go
+++ b/api/decode.go
@@ -44,7 +44,7 @@
 }
 
 // structureChecker reads the tokens of a JSON value one by one and checks what encoding/json
-// does not: the depth of nesting, and that no name is repeated in an object.
+// does not check: that the nesting is at most MaxDepth deep, and that no object repeats a name.
 type structureChecker struct {
 	d      *json.Decoder
 	levels []level
@@ -113,7 +113,8 @@
 	return nil
 }
 
-// endValue records that a value has ended in the innermost object or array.
+// endValue records that a value has ended in the innermost object or array: an object continues
+// with a name, an array with the next index.
 func (s *structureChecker) endValue() {
 	top := s.innermost()
 	switch {
--- a/api/platform.go
+++ b/api/platform.go
@@ -39,7 +39,7 @@
 type PlatformInstance struct {
 	ID      string `json:"id"`
 	Role    string `json:"role"`
-	Address string `json:"address"` // where an upstream accepts starts of tasks, or an entry instance accepts its peers
+	Address string `json:"address"` // where an upstream accepts starts of tasks, or an entry instance accepts connections of its peers
 	// CallerAddress is the address on which an instance with RoleEntry accepts requests
 	// of callers.
 	CallerAddress string `json:"caller_address,omitempty"`
--- a/api/upstream.go
+++ b/api/upstream.go
@@ -46,7 +46,7 @@
 // RefusedDuplicate proves that no task has started or will start under the lease.
 type Refusal string
 
-// Reasons not to start a task.
+// The reasons for which an upstream refuses to start a task.
 const (
 	RefusedNoSlot      Refusal = "no_slot"
 	RefusedBarred      Refusal = "barred"
--- a/experiment/cluster.go
+++ b/experiment/cluster.go
@@ -108,7 +108,7 @@
 	stoppedNodes []*entry.Node // killed or shut down; Messages still counts their messages
 	losses       []Loss
 	zoneOf       map[string]string       // zone of each entry instance, by name
-	configs      map[string]entry.Config // configuration of each entry instance, by name; restarts reuse its addresses
+	configs      map[string]entry.Config // configuration of each entry instance, by name; a restart reuses the addresses in it
 	entryNames   []string
 }
 
@@ -336,15 +336,15 @@
 	return list
 }
 
-// Client returns a client for the named caller, which calls the entry instances
-// that are running now.
+// Client returns a client for the named caller. The client will call the entry
+// instances that are running now.
 func (c *Cluster) Client(caller string) (*client.Client, error) {
 	return client.New(client.Config{Entries: c.CallerAddresses(), Caller: caller, Tracer: c.Spec.Tracer})
 }
 
 // Messages returns, by kind, the number of messages that the entry instances have
-// sent so far, and how many of the messages were wasted. It includes messages of
-// instances that have ended.
+// sent so far, and the number of messages among these that were wasted, that is,
+// turned out to be useless. It includes messages of instances that have ended.
 func (c *Cluster) Messages() (sent, wasted map[string]int64) {
 	c.mu.Lock()
 	nodes := append([]*entry.Node(nil), c.stoppedNodes...)
--- a/experiment/faults.go
+++ b/experiment/faults.go
@@ -149,8 +149,8 @@
 }
 
 // matchUpstreams returns the upstreams that match one of the comma-separated
-// targets. A target matches an ID that is equal to it, or that begins with it and
-// a hyphen.
+// targets. A target is the ID of an upstream, or the part of IDs before a hyphen, such
+// as a zone.
 func (c *Cluster) matchUpstreams(targets string) []*standin.Upstream {
 	var list []*standin.Upstream
 	for _, u := range c.Upstreams {
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -30,8 +30,8 @@
 	MemoryMB       uint64
 	Deadline       time.Duration
 	// Resubmit is the share of jobs that are sent a second time under the same key
-	// while they run, to one of the entry instances, as a caller would do that
-	// assumes the first call is lost.
+	// while they run, to one of the entry instances. This emulates callers that
+	// assume that their first call is lost.
 	Resubmit float64
 	// CancelAt holds the times, counted from the start of the load and in ascending
 	// order, at which all jobs in flight are cancelled.
@@ -118,7 +118,7 @@
 	responseRatios *hdrhistogram.Histogram
 	responseMicros *hdrhistogram.Histogram
 	clients        []*client.Client
-	inFlight       sync.Map // client of each job in flight, by *client.Submission
+	inFlight       sync.Map // the *client.Client that submitted each job in flight, by *client.Submission
 }
 
 // RunLoad submits load to c as an open loop: jobs are sent when they are due,
@@ -176,8 +176,8 @@
 	return s, nil
 }
 
-// sendJobs sends the jobs of one service, and cancels jobs in flight, at the times
-// when this is due.
+// sendJobs sends the jobs of one service and cancels jobs in flight, both at their
+// scheduled times.
 func (r *loadRun) sendJobs(s *serviceRun, rng *rand.Rand) {
 	due := time.Duration(0)
 	cancels := s.spec.CancelAt
--- a/experiment/network.go
+++ b/experiment/network.go
@@ -13,7 +13,7 @@
 // and callers open.
 type Network struct {
 	mu         sync.Mutex
-	zones      map[string]string  // by address
+	zones      map[string]string  // zone of each address that SetZone has recorded
 	partitions map[[2]string]bool // whether two zones are partitioned, by zonePair
 	healed     chan struct{}      // closed and replaced when the partitions end
 	latency    func(from, to string) time.Duration
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -23,7 +23,7 @@
 	Time     time.Time // when the event happened: the field "decided" if there is one, else "time"
 	Instance string
 	Event    string
-	Fields   map[string]any // all other fields
+	Fields   map[string]any // all fields except the time, instance, event, level and event number
 }
 
 // Field returns the value of a field as text, or "" if the line does not have the field.
--- a/inner/call.go
+++ b/inner/call.go
@@ -42,8 +42,8 @@
 	return err
 }
 
-// CallAsyncConn is like CallAsync and also returns the connection that carries the
-// request. Messages that must arrive after the request have to be sent on it.
+// CallAsyncConn is like CallAsync and also returns the connection on which the request is sent.
+// Messages that must arrive after the request have to be sent on the same connection.
 func (m *Mesh) CallAsyncConn(peer fate.Incarnation, f *Frame, done func(*Frame, error)) (Connection, error) {
 	c, err := m.connectionOrStartDial(peer)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return c, nil
 }
 
-// replyOf returns the reply, or the error that it carries. A nil reply means that the
-// connection broke before the reply arrived.
+// replyOf returns reply, or the typed error if reply carries one. If reply is nil, the
+// connection broke before the reply arrived, and the error is Lost.
 func replyOf(peer fate.Incarnation, reply *Frame) (*Frame, error) {
 	if reply == nil {
 		return nil, failure.Lost.New("the connection to %s broke before it replied", peer)
--- a/inner/connection.go
+++ b/inner/connection.go
@@ -15,7 +15,7 @@
 )
 
 // maxQueuedBytes limits the memory that one lane uses for a peer that reads slowly. While
-// more is queued, sending on the lane fails with the error Unreachable.
+// more than this is queued, sending on the lane fails with the error Unreachable.
 const maxQueuedBytes = 64 << 20
 
 // readBufferBytes is the size of a lane's read buffer. It is small because every
@@ -39,7 +39,7 @@
 	sendState  *sendState
 }
 
-// sendState is shared by all lanes of a mesh.
+// sendState is what all lanes of a mesh share for sending.
 type sendState struct {
 	activeReaders atomic.Int32 // reader goroutines that are handling a frame
 	sentBytes     atomic.Int64 // total size of all sent frames, including their headers
@@ -251,8 +251,8 @@
 	return c.lastCallID, nil
 }
 
-// call sends the request f. done is called with the reply, or with nil if the connection
-// breaks before it arrives.
+// call sends the request f. If that succeeds, done is later called with the reply, or with nil
+// if the connection breaks before the reply arrives.
 func (c *connection) call(f *Frame, done func(*Frame)) error {
 	id, err := c.addCall(done)
 	if err != nil {
@@ -301,7 +301,7 @@
 	}
 }
 
-// KindOf returns the kind of f, the name under which Config.CountSent counts frames like f.
+// KindOf returns the name of the kind of frame that f is, as passed to Config.CountSent.
 func KindOf(f *Frame) string {
 	switch f.GetBody().(type) {
 	case *Frame_Heartbeat:
--- a/inner/mesh.go
+++ b/inner/mesh.go
@@ -93,8 +93,9 @@
 
 // Mesh manages the connections to other instances. By default there are two connections for
 // each peer: this instance opens one when it first sends to the peer, and the peer opens the
-// other when it first sends to this instance; each sends only on its own, apart from replies.
-// With Config.ShareConnections, both send on the same connection.
+// other when it first sends to this instance. Messages and requests are sent on the connection
+// that their sender opened, replies on the connection on which the request arrived. With
+// Config.ShareConnections, both instances send everything on the same connection.
 type Mesh struct {
 	cfg        Config
 	mu         sync.Mutex
--- a/inner/shared.go
+++ b/inner/shared.go
@@ -16,7 +16,7 @@
 
 // spareIdleTimeout is how long a connection that is not the best one to its peer is kept after
 // the last call on it. It has to be longer than any job: the result of a job arrives on the
-// connection on which the call was made, and would be lost if that were closed before.
+// connection on which the call was made, and would be lost if the connection were closed before.
 const spareIdleTimeout = 15 * time.Second
 
 // addConnection adds c to the open connections to its peer. m.mu must be held.
@@ -104,8 +104,8 @@
 }
 
 // SendHeartbeat sends the heartbeat e on every open connection to an incarnation, and then
-// closes the connections to the instance that are no longer needed. If the heartbeat could be
-// sent on none, the errors are those of TrySend.
+// closes the connections to the instance that are no longer needed. If there is no connection
+// to send e on, it starts to open one, and the errors are those of TrySend.
 func (m *Mesh) SendHeartbeat(peer fate.Incarnation, e EncodedFrame) error {
 	sent := false
 	for _, c := range m.connectionsTo(peer.Instance()) {
--- a/kv/client.go
+++ b/kv/client.go
@@ -91,7 +91,8 @@
 	return entry, err
 }
 
-// GrantLease creates a lease, to which keys can be tied. It ends after ttl unless it is renewed.
+// GrantLease creates a lease, to which keys can be tied. The lease ends after ttl unless it is
+// renewed.
 func (c *Client) GrantLease(ttl time.Duration) (api.KVLease, error) {
 	var lease api.KVLease
 	_, err := c.do(fasthttp.MethodPost, api.PathPlatformLeases, api.KVLease{TTLMs: ttl.Milliseconds()}, c.timeout, &lease)
--- a/settings/store.go
+++ b/settings/store.go
@@ -78,9 +78,10 @@
 const readBackAttempts = 5
 
 // Update calls edit with the current tree and stores the tree that edit returns as the next
-// revision. It returns that revision and what it changes. base is the number of the revision
-// that the operator has seen, or zero to change whichever revision is current. If the write
-// fails, the settings are read back to find out whether it took effect. The errors are:
+// revision. It returns the new revision and its differences from the previous one. base is the
+// number of the revision that the operator has seen, or zero to change whichever revision is
+// current. If the write fails, the settings are read back to find out whether the change took
+// effect. The errors are:
 //   - Conflict: base is not the current revision, or another update was faster;
 //   - Lost: the change may have taken effect;
 //   - the first problem that edit returns, or the error of a failed read.
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -1,8 +1,8 @@
 // Package upstream is the client of the upstreams' HTTP interface. It starts tasks under
 // leases, and looks up, renews and stops those leases.
 //
-// A lease identifies one attempt to run a task on an upstream, and limits how long the task may
-// run unless the lease is renewed. An incarnation is one run of an upstream process.
+// A lease identifies one attempt to run a task on an upstream. It expires after a given time
+// unless it is renewed. An incarnation is one run of an upstream process.
 //
 // The client sends every request at most once. An error of type Unreachable means that no
 // byte of the request was sent. An error of type Lost means that the upstream may have
@@ -29,7 +29,7 @@
 type StartRequest struct {
 	Lease       string
 	LeaseMs     int64  // duration of the lease in milliseconds
-	Incarnation string // the upstream refuses the start if it is another incarnation; "" allows any
+	Incarnation string // incarnation of the upstream; any other refuses the start; "" means any
 	Service     string
 	Task        *fate.Task
 	Trace       string
@@ -193,8 +193,8 @@
 	return false
 }
 
-// readReply returns the reply in res. If res has no valid lease state, it does not tell whether
-// the task has started, and the error is Lost.
+// readReply returns the reply in res. The error is Lost if res has no valid lease state, because
+// such a response does not tell whether the task has started.
 func readReply(id string, res *fasthttp.Response) (StartReply, error) {
 	r := StartReply{State: api.LeaseState(res.Header.Peek(api.HeaderState)), Refusal: api.Refusal(res.Header.Peek(api.HeaderRefusal))}
 	switch r.State {
