--- a/client/client.go
+++ b/client/client.go
@@ -50,7 +50,7 @@
 const (
 	DefaultCallTimeout = 3 * time.Second
 	DefaultMaxConns    = 512
-	defaultDeadline    = 30 * time.Second // for timeouts of calls, if a job has no deadline
+	defaultDeadline    = 30 * time.Second // assumed for the timeouts of calls if a job has no deadline
 )
 
 // Job describes the work to submit.
@@ -203,9 +203,10 @@
 	return answer, err
 }
 
-// Submit sends the job to its home, and to other instances if the home does not answer,
-// until the fate of the job is known. An error means that the fate is still unknown; Submit
-// can be called again.
+// Submit sends the job to its home, and to other instances if the home does not answer, until
+// the fate of the job is known. It returns an error if an instance refuses the request, if ctx
+// ends, or if the fate is not known when the deadline and CallTimeout have passed. After the
+// last two errors, the job may have run, and Submit can be called again.
 func (s *Submission) Submit(ctx context.Context) (api.Answer, error) {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = 20 * time.Millisecond
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -73,7 +73,7 @@
 	Sigma      float64   `ini:"sigma"`
 	MinMs      float64   `ini:"min_ms"`
 	MaxMs      float64   `ini:"max_ms"`
-	LongMs     float64   `ini:"long_ms"`    // maximum run time of the share LongShare
+	LongMs     float64   `ini:"long_ms"`    // maximum run time of the tasks in LongShare
 	LongShare  float64   `ini:"long_share"` // share of tasks that run between MaxMs and LongMs
 	Declared   float64   `ini:"declared"`   // declared run time, as a multiple of the actual one
 	CPU        float64   `ini:"cpu"`
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -162,7 +162,8 @@
 	return zones
 }
 
-// addContext adds the context events around the lines of the job.
+// addContext adds the context events from contextMargin before the first line of the job to
+// contextMargin after its last line.
 func (e *Explanation) addContext(logs *Logs) {
 	if len(e.Lines) == 0 {
 		return
--- a/inner/mesh.go
+++ b/inner/mesh.go
@@ -26,8 +26,8 @@
 }
 
 // ConnectionHandler is a Handler that needs to know on which connection each frame arrived,
-// and when a connection is closed. After that, replies to the requests that arrived on the
-// connection are lost.
+// and when a connection is closed. Replies to requests that arrived on a connection are lost
+// once the connection is closed.
 type ConnectionHandler interface {
 	Handler
 	// HandleConnectionFrame is like HandleFrame and is called instead of it.
--- a/inner/mesh_test.go
+++ b/inner/mesh_test.go
@@ -146,7 +146,7 @@
 	}()
 	select {
 	case <-sent:
-	case <-time.After(8 * time.Second): // a yamux write times out after 10 s
+	case <-time.After(8 * time.Second): // less than the 10 s after which a blocked yamux write fails
 		t.Error("the sender is blocked by a peer that does not read")
 	}
 	for range 4001 {
--- a/settings/store.go
+++ b/settings/store.go
@@ -171,7 +171,7 @@
 	return list, nil
 }
 
-// Revision returns the copy of a revision. The error is NotFound if there is none.
+// Revision returns the copy of a revision. The error is NotFound if there is no copy.
 func (s *Store) Revision(number uint64) (Revision, error) {
 	entry, err := s.kv.Get(historyKey(number))
 	if err != nil {
