--- a/node/orphans.go
+++ b/node/orphans.go
@@ -68,9 +68,9 @@
 	return groups
 }
 
-// foreignCandidates returns the instances that may own orphaned groups: this one and the
+// orphanCandidates returns the instances that may own orphaned groups: this one and the
 // live hubs of all zones. n.mu is held.
-func (n *Node) foreignCandidates() []membership.Candidate {
+func (n *Node) orphanCandidates() []membership.Candidate {
 	list := []membership.Candidate{{Name: n.settings.Name, CPUShare: n.settings.CPUShare}}
 	hubs := n.peers.Filter(func(p membership.Peer) bool {
 		return n.neighboursIfAllAlive.Has(p.Instance) && !n.neighboursIfAllAlive.Spokes[p.Instance]
@@ -78,18 +78,18 @@
 	return append(list, n.liveCandidates(hubs)...)
 }
 
-// isForeign reports whether a group belongs to another zone.
-func (n *Node) isForeign(group string) bool { return zoneOfGroup(group) != n.settings.Zone }
+// isInOtherZone reports whether a group belongs to another zone.
+func (n *Node) isInOtherZone(group string) bool { return zoneOfGroup(group) != n.settings.Zone }
 
-// dropRejectedForeignGroups gives up the foreign groups whose upstreams have not accepted
+// dropRejectedOtherZoneGroups gives up the foreign groups whose upstreams have not accepted
 // this instance within orphanTrialTime, or follow a higher token.
-func (n *Node) dropRejectedForeignGroups() {
+func (n *Node) dropRejectedOtherZoneGroups() {
 	var dropped []*ownedGroup
 	n.mu.Lock()
 	for _, g := range n.ownedGroupsLocked() {
 		fenced, accepted := g.FencedAt()
 		trialOver := clock.Since(g.takenAt) >= orphanTrialTime
-		if g.handingOver || !n.isForeign(g.Name) || fenced.IsZero() && (accepted || !trialOver) {
+		if g.handingOver || !n.isInOtherZone(g.Name) || fenced.IsZero() && (accepted || !trialOver) {
 			continue
 		}
 		n.orphanRetryAt[zoneOfGroup(g.Name)] = clock.Now().Add(orphanRetryDelay)
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -19,7 +19,7 @@
 func (n *Node) reconcileGroups() {
 	n.ensureGroupCount()
 	n.dropSupersededGroups()
-	n.dropRejectedForeignGroups()
+	n.dropRejectedOtherZoneGroups()
 	n.dropFencedGroups()
 	n.handOverToBetterOwner()
 	n.releaseDrained() // the caller's next heartbeat lists the released upstreams
@@ -96,10 +96,10 @@
 )
 
 const (
-	// minOwnershipTime is how long this instance owns a group before it hands it over to
+	// minHandoverAge is how long this instance owns a group before it hands it over to
 	// a better owner. Ownership must not alternate between two instances, and each
 	// handover makes some capacity unavailable for a moment.
-	minOwnershipTime = 5 * time.Second
+	minHandoverAge = 5 * time.Second
 	// muchLargerFactor is how many times the CPU share of this instance a peer must have
 	// for a handover to be worth it because of its size.
 	muchLargerFactor = 2
@@ -125,7 +125,7 @@
 			return // one at a time
 		}
 		to := owners[g.Name]
-		if handedOver == nil && to != "" && to != n.settings.Name && clock.Since(g.takenAt) > minOwnershipTime && (n.isForeign(g.Name) || n.isBetterOwner(to, owners)) {
+		if handedOver == nil && to != "" && to != n.settings.Name && clock.Since(g.takenAt) > minHandoverAge && (n.isInOtherZone(g.Name) || n.isBetterOwner(to, owners)) {
 			handedOver = g
 		}
 	}
@@ -168,7 +168,7 @@
 	n.mu.Lock()
 	noMoreWaiting := elapsed > time.Duration(keepGroupsFraction*float64(limit))
 	for _, g := range n.ownedGroupsLocked() {
-		if g.handingOver || !noMoreWaiting && !n.isForeign(g.Name) && !n.hasSuccessor() {
+		if g.handingOver || !noMoreWaiting && !n.isInOtherZone(g.Name) && !n.hasSuccessor() {
 			continue
 		}
 		g.handingOver = true
@@ -234,10 +234,10 @@
 	}
 	n.mu.Lock()
 	taken := false
-	if n.neighbours.IsHub && n.membershipSettled() && !n.isIsolated() {
+	if n.neighbours.IsHub && n.doneWaitingForPeers() && !n.isIsolated() {
 		taken = n.takeAssignedGroups(membership.Assign(n.ownZoneGroups(), n.ownZoneCandidates()))
 		if orphaned := n.orphanedGroups(); len(orphaned) > 0 {
-			taken = n.takeAssignedGroups(membership.Assign(orphaned, n.foreignCandidates())) || taken
+			taken = n.takeAssignedGroups(membership.Assign(orphaned, n.orphanCandidates())) || taken
 		}
 	}
 	n.mu.Unlock()
@@ -272,20 +272,20 @@
 		slog.Int("upstreams", len(n.groupMembers(group))), slog.Int("candidates", len(n.ownZoneCandidates())))
 }
 
-// membershipSettled reports whether this instance knows enough about its peers to take a
+// doneWaitingForPeers reports whether this instance knows enough about its peers to take a
 // group. It has to receive a heartbeat from every listed hub of its zone first, except from
 // those that do not accept connections. After busySettleTime it stops waiting. n.mu is held.
-func (n *Node) membershipSettled() bool {
+func (n *Node) doneWaitingForPeers() bool {
 	age := clock.Since(n.startedAt)
-	if age >= busySettleTime {
+	if age >= busyPeerWait {
 		return true
 	}
 	for _, p := range n.hubPeers() {
-		if p.State == membership.Listed && !n.refusedRecently(p.Instance) && (age < settleTime || n.dialOutcomes[p.Address] != dialFailed) {
+		if p.State == membership.Listed && !n.refusedRecently(p.Instance) && (age < heartbeatWait || n.dialOutcomes[p.Address] != dialFailed) {
 			return false
 		}
 	}
-	return n.peerListRead && (age >= settleTime || n.peers.Len() > 0)
+	return n.peerListRead && (age >= heartbeatWait || n.peers.Len() > 0)
 }
 
 // canTakeGroup reports whether a group has upstreams and no owner, as far as this instance
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -77,13 +77,13 @@
 		dial       dialOutcome
 		want       bool
 	}{
-		"just started":               {age: settleTime / 2, dial: dialFailed, want: false},
-		"connection refused":         {age: settleTime / 2, refused: true, want: true},
-		"dial failed":                {age: settleTime, dial: dialFailed, want: true},
-		"dial accepted":              {age: settleTime, dial: dialAccepted, want: false},
-		"dial pending":               {age: settleTime, dial: dialPending, want: false},
-		"no heartbeat for long":      {age: busySettleTime, dial: dialAccepted, want: true},
-		"list of instances not read": {age: settleTime, listUnread: true, dial: dialFailed, want: false},
+		"just started":               {age: heartbeatWait / 2, dial: dialFailed, want: false},
+		"connection refused":         {age: heartbeatWait / 2, refused: true, want: true},
+		"dial failed":                {age: heartbeatWait, dial: dialFailed, want: true},
+		"dial accepted":              {age: heartbeatWait, dial: dialAccepted, want: false},
+		"dial pending":               {age: heartbeatWait, dial: dialPending, want: false},
+		"no heartbeat for long":      {age: busyPeerWait, dial: dialAccepted, want: true},
+		"list of instances not read": {age: heartbeatWait, listUnread: true, dial: dialFailed, want: false},
 	} {
 		n := &Node{
 			peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{Near: map[string]bool{"a-2": true}},
@@ -94,7 +94,7 @@
 		if c.refused {
 			n.refusedAt["a-2"] = clock.Now()
 		}
-		if got := n.membershipSettled(); got != c.want {
+		if got := n.doneWaitingForPeers(); got != c.want {
 			t.Errorf("%s: settled %v, want %v", name, got, c.want)
 		}
 	}
@@ -113,12 +113,12 @@
 	return n
 }
 
-// TestSettledOnceListed checks that an instance waits for the heartbeats of the peers on the list
+// TestWaitsForListedPeers checks that an instance waits for the heartbeats of the peers on the list
 // of instances as soon as it has read the list, before it takes a group.
-func TestSettledOnceListed(t *testing.T) {
+func TestWaitsForListedPeers(t *testing.T) {
 	n := newIdleNode("a-2", "a")
 	n.setPeerList(map[string]membership.Listing{"a-1": {Instance: "a-1", Zone: "a", Address: "there"}})
-	if n.membershipSettled() {
+	if n.doneWaitingForPeers() {
 		t.Error("the instance takes groups although the listed peer has not sent a heartbeat")
 	}
 }
--- a/node/timing.go
+++ b/node/timing.go
@@ -26,15 +26,15 @@
 	// dialTimeout is the time limit for opening a connection to a peer. A round trip
 	// takes about 1 ms, and a lost SYN packet is sent again only after seconds.
 	dialTimeout = 250 * time.Millisecond
-	// settleTime is how long a new instance waits for heartbeats before it takes groups.
+	// heartbeatWait is how long a new instance waits for heartbeats before it takes groups.
 	// Peers that run respond within a few round trips, and after a restart of the whole
 	// fleet there is no service until the groups are taken.
-	settleTime = 200 * time.Millisecond
-	// busySettleTime is how long a new instance waits before it takes groups if a peer
+	heartbeatWait = 200 * time.Millisecond
+	// busyPeerWait is how long a new instance waits before it takes groups if a peer
 	// accepts connections but has not sent a heartbeat yet. Such a peer runs, and may own
 	// the groups. When the whole fleet starts, a small instance is unresponsive for most
 	// of a second.
-	busySettleTime = 2 * time.Second
+	busyPeerWait = 2 * time.Second
 	// seedDelay is the age at which an instance that knows no peers contacts the seed
 	// peers of its settings.
 	seedDelay = 100 * time.Millisecond
@@ -113,7 +113,7 @@
 	peerListTimeout = 100 * time.Millisecond
 	// standbyDelay is the age up to which an instance reads no upstreams while larger
 	// instances are listed. By then these own groups, or are known not to run.
-	standbyDelay = busySettleTime
+	standbyDelay = busyPeerWait
 	// minRetryPause is the first pause after a failed call to the store.
 	minRetryPause = 50 * time.Millisecond
 	// modePollInterval is how often a storeFollower that does not follow continuously
