--- a/lab/simulation.go
+++ b/lab/simulation.go
@@ -149,7 +149,7 @@
 				s.SlowdownFactor = sim.deployment.slowdown
 			}
 		case StalledUpstreams:
-			s.Stalled = faulty
+			s.RunsStalled = faulty
 		case PartitionedUpstreams:
 			s.Partitioned = faulty
 		case UnansweredCalls:
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -98,7 +98,7 @@
 		"silent": func(u *standin.Upstream) { u.SetFault(standin.NoAnswer) },
 		"busy":   func(u *standin.Upstream) { u.SetFault(standin.Unavailable) },
 		"reset":  func(u *standin.Upstream) { u.SetFault(standin.ConnectionReset) },
-		"stalls": func(u *standin.Upstream) { u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = true }) },
+		"stalls": func(u *standin.Upstream) { u.WithModel(func(c *standin.UpstreamModel) { c.RunsStalled = true }) },
 		"slow":   func(u *standin.Upstream) { u.WithModel(func(c *standin.UpstreamModel) { c.SlowdownFactor = 20 }) },
 		"fails":  func(u *standin.Upstream) { u.WithModel(func(c *standin.UpstreamModel) { c.Failing = true }) },
 		"late":   func(u *standin.Upstream) { u.DelayOrders(0.3, 2*time.Second) },
@@ -174,7 +174,7 @@
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	cluster.store.SetFault(standin.Unavailable, 0)
 	cluster.upstreams[0].Close()
-	cluster.store.DropHistory()
+	cluster.store.DropRevisionHistory()
 	cluster.configure(5, "/checks/")
 	cluster.store.SetFault(standin.NoFault, 0)
 	n := cluster.nodes["a-1"]
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -164,7 +164,7 @@
 // on. New connections work.
 func (cluster *testCluster) blackholePeerConnections() {
 	for _, n := range cluster.nodes {
-		n.peerListener.(*standin.BlackholeListener).BlackholeOpen()
+		n.peerListener.(*standin.BlackholeListener).BlackholeOpenConnections()
 	}
 }
 
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -57,7 +57,7 @@
 // version of the configuration must still be applied soon.
 func TestStoreConnectionsGoSilent(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
-	cluster.store.BlackholeOpen()
+	cluster.store.BlackholeOpenConnections()
 	cluster.configure(2, "/checks/", "/more/")
 	began := time.Now()
 	cluster.waitUntil("the next version is applied", func() bool { return cluster.nodes["a-1"].config.Load().Version == 2 })
@@ -74,7 +74,7 @@
 		cluster.mustComplete("a-1", 2, 20)
 	}
 	for range 3 {
-		cluster.upstreams[0].BlackholeOpen()
+		cluster.upstreams[0].BlackholeOpenConnections()
 		cluster.mustComplete("a-1", 2, 20)
 	}
 }
--- a/schedule/model_test.go
+++ b/schedule/model_test.go
@@ -318,7 +318,7 @@
 	}
 	w.setFaults(0, 0)
 	for _, u := range w.upstreams {
-		u.Partitioned, u.Stalled, u.Failing = false, false, false
+		u.Partitioned, u.RunsStalled, u.Failing = false, false, false
 	}
 	if w.evacuated {
 		w.toggleEvacuation()
@@ -342,7 +342,7 @@
 	case 0:
 		u.Partitioned = !u.Partitioned
 	case 1:
-		u.Stalled = !u.Stalled
+		u.RunsStalled = !u.RunsStalled
 	case 2:
 		u.Failing = !u.Failing
 	case 3:
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -59,9 +59,9 @@
 // reset as soon as it receives data or has data on hold.
 func (p *Proxy) SetMode(m Mode) { p.mode.Store(int32(m)) }
 
-// BlackholeOpen makes the connections that are open now drop all data from then on, without
+// BlackholeOpenConnections makes the connections that are open now drop all data from then on, without
 // a reset. New connections are not affected.
-func (p *Proxy) BlackholeOpen() { p.listener.BlackholeOpen() }
+func (p *Proxy) BlackholeOpenConnections() { p.listener.BlackholeOpenConnections() }
 
 // Close stops the proxy and closes its connections.
 func (p *Proxy) Close() {
--- a/soak/run.go
+++ b/soak/run.go
@@ -169,9 +169,9 @@
 		return func(d time.Duration) { u.proxy.SetMode(mode); time.Sleep(d); u.proxy.SetMode(Forward) }
 	case 7:
 		return func(d time.Duration) {
-			u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = true })
+			u.WithModel(func(c *standin.UpstreamModel) { c.RunsStalled = true })
 			time.Sleep(d)
-			u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = false })
+			u.WithModel(func(c *standin.UpstreamModel) { c.RunsStalled = false })
 		}
 	case 8:
 		return func(d time.Duration) { u.DelayOrders(0.2, 2*time.Second); time.Sleep(d); u.DelayOrders(0, 0) }
@@ -185,16 +185,16 @@
 			}
 		}
 	case 10:
-		return func(time.Duration) { in.store.DropHistory() }
+		return func(time.Duration) { in.store.DropRevisionHistory() }
 	case 11:
 		if err := in.configure(); err != nil {
 			r.addViolation("a configuration is not written: %v", err)
 		}
 		return func(time.Duration) {}
 	case 12:
-		return func(time.Duration) { p.store.BlackholeOpen() }
+		return func(time.Duration) { p.store.BlackholeOpenConnections() }
 	case 13:
-		return func(time.Duration) { u.proxy.BlackholeOpen() }
+		return func(time.Duration) { u.proxy.BlackholeOpenConnections() }
 	default:
 		return func(d time.Duration) { in.replaceUpstream(u, d, r) }
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -182,12 +182,12 @@
 	if !echoes(open) {
 		t.Error("an open connection does not echo in mode Forward")
 	}
-	p.BlackholeOpen()
+	p.BlackholeOpenConnections()
 	if echoes(open) {
-		t.Error("a connection echoes after BlackholeOpen")
+		t.Error("a connection echoes after BlackholeOpenConnections")
 	}
 	if !echo() {
-		t.Error("a new connection does not echo after BlackholeOpen")
+		t.Error("a new connection does not echo after BlackholeOpenConnections")
 	}
 	// Hold comes last: the proxy must also close while it holds data.
 	for _, c := range []struct {
