--- a/node/orphans.go
+++ b/node/orphans.go
@@ -9,26 +9,26 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// A zone without any instance is called orphaned here, and so are its groups. They are
-// owned by instances of other zones until the zone has an instance again. A group of
-// another zone is called foreign.
+// A zone without any instance is called orphaned here, and so are its groups. Instances of
+// other zones own the groups until the zone has an instance again.
 
 const (
-	// orphanDelay is how long a zone must have had no instance, counted from when the
-	// entries of its instances in the store have expired, before its groups may be
-	// taken. A restart of an instance takes less.
+	// orphanDelay is how long a zone must have had no instance before instances of other
+	// zones take its groups. It starts when the store has removed the last entry of an
+	// instance of the zone. A restart of an instance takes less time, and so does not move
+	// groups to another zone.
 	orphanDelay = 2 * time.Second
-	// orphanTrialTime is how long this instance waits until an upstream of an orphaned
-	// zone accepts it as the owner. If none does, the whole zone may be partitioned from
-	// this instance and still have owners of its own.
+	// orphanTrialTime is how long this instance keeps a group of an orphaned zone although
+	// none of its upstreams has accepted this instance as the owner. The whole zone may be
+	// partitioned from this instance and still have owners of its own.
 	orphanTrialTime = 5 * time.Second
-	// orphanRetryDelay is the pause before the next attempt to own the groups of a zone
-	// whose upstreams did not accept this instance, or where a higher token has fenced it.
+	// orphanRetryDelay is how long this instance then waits before it takes groups of that
+	// zone again. It waits as long after it has lost one of them to a higher token.
 	orphanRetryDelay = 15 * time.Second
 )
 
 // zoneHasInstance reports whether an availability zone has an instance that is listed in the
-// store or sends heartbeats. It is true while the list has not been read. n.mu is held.
+// store or sends heartbeats. Until the list has been read, it returns true. n.mu is held.
 func (n *Node) zoneHasInstance(zone string) bool {
 	if !n.peerListRead {
 		return true // not known yet
@@ -48,8 +48,8 @@
 	})
 }
 
-// orphanedGroups returns the groups of all zones that have been orphaned for orphanDelay and
-// in which no failed attempt is too recent. n.mu is held.
+// orphanedGroups returns the groups of all zones that have been orphaned for orphanDelay, except
+// of those where this instance has failed to own a group within orphanRetryDelay. n.mu is held.
 func (n *Node) orphanedGroups() []string {
 	var groups []string
 	for zone, count := range n.groupCounts {
@@ -81,8 +81,8 @@
 // isInOtherZone reports whether a group belongs to another zone.
 func (n *Node) isInOtherZone(group string) bool { return zoneOfGroup(group) != n.settings.Zone }
 
-// dropRejectedOtherZoneGroups gives up the foreign groups whose upstreams have not accepted
-// this instance within orphanTrialTime, or follow a higher token.
+// dropRejectedOtherZoneGroups gives up the groups of other zones that have lost an upstream to a
+// higher token, or of which no upstream has accepted this instance within orphanTrialTime.
 func (n *Node) dropRejectedOtherZoneGroups() {
 	var dropped []*ownedGroup
 	n.mu.Lock()
@@ -104,9 +104,9 @@
 	}
 }
 
-// assignedOwners returns the instance that should own each group of the own zone and each
-// group that this instance owns. A foreign group should be owned by an instance of its own
-// zone, if there is one. n.mu is held.
+// assignedOwners returns the instance that should own each group of the own zone, and each group
+// of another zone that this instance owns. The latter should be owned by a live instance of that
+// zone; the name is empty if there is none. n.mu is held.
 func (n *Node) assignedOwners() map[string]string {
 	owners := membership.Assign(n.ownZoneGroups(), n.ownZoneCandidates())
 	if owners == nil {
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -27,13 +27,13 @@
 }
 
 // dropSupersededGroups gives up the groups that a peer claims under a higher token: their
-// upstreams reject orders of this instance.
+// upstreams reject the orders that this instance sends under its lower token.
 func (n *Node) dropSupersededGroups() {
 	var superseded []*ownedGroup
 	n.mu.Lock()
 	for name, g := range n.groups {
 		if g.handingOver {
-			continue // the next owner takes the upstreams that this instance has released
+			continue // the next owner claims it before the handover is complete, for the released upstreams
 		}
 		peer, claim := n.claimOf(name, false)
 		if claim.GetToken() > g.Token {
@@ -50,18 +50,21 @@
 }
 
 const (
-	// fenceMargin is added to MinOwnershipInterval, within which the ownership of an
-	// upstream must not alternate between two instances.
+	// MinOwnershipInterval plus fenceMargin is how long this instance waits, after it has
+	// lost the first upstream of a group to a higher token, before it gives the group up and
+	// may take it again. Within MinOwnershipInterval, the ownership of an upstream must not
+	// alternate between two instances; the margin keeps clear of that limit.
 	fenceMargin = 200 * time.Millisecond
-	// staleFenceDelay is the delay after which a group whose upstreams never accepted
-	// the token of this instance may be taken again. Such upstreams remember a higher
-	// token of an owner that does not exist any more.
+	// staleFenceDelay is the same wait for a group whose upstreams never accepted the token
+	// of this instance. They remember a higher token of an owner that does not exist any
+	// more, so that there is no owner to alternate with.
 	staleFenceDelay = 100 * time.Millisecond
 )
 
-// dropFencedGroups gives up the groups that a higher token has fenced, after a wait that keeps
-// their ownership from alternating between two instances. It raises highestToken, so that a
-// group that no peer claims is taken again under a higher token.
+// dropFencedGroups gives up the groups that have lost an upstream to a higher token, after a
+// wait that keeps their ownership from alternating between two instances. It also raises
+// highestToken. If no peer claims such a group, this instance then takes it again, under a
+// token that the upstreams are more likely to accept.
 func (n *Node) dropFencedGroups() {
 	var dropped []*ownedGroup
 	n.mu.Lock()
@@ -70,7 +73,7 @@
 		wait := staleFenceDelay
 		if accepted {
 			wait = n.settings.Timing.MinOwnershipInterval + fenceMargin
-			n.incrementDoublings = 0
+			n.incrementDoublings = 0 // the last increment was large enough for the token to be accepted
 		}
 		if fencedAt.IsZero() || clock.Since(fencedAt) < wait {
 			continue
@@ -88,26 +91,28 @@
 }
 
 const (
-	// tokenIncrement raises the next token by one second, because the clock of the owner
-	// that has fenced this instance may be ahead. The increment is doubled each time, up
-	// to maxIncrementDoublings times.
+	// tokenIncrement is added to highestToken when a group of this instance has been fenced.
+	// It is one second: above their TokenNameBits low bits, tokens hold a time in
+	// milliseconds. The clock of the owner with the higher token may be ahead by more, so
+	// the increment is doubled each time until a token is accepted, up to
+	// maxIncrementDoublings times, which makes it 256 s.
 	tokenIncrement        = 1000 << membership.TokenNameBits
 	maxIncrementDoublings = 8
 )
 
 const (
-	// minHandoverAge is how long this instance owns a group before it hands it over to
-	// a better owner. Ownership must not alternate between two instances, and each
-	// handover makes some capacity unavailable for a moment.
+	// minHandoverAge is how long this instance must have owned a group before it hands the
+	// group over to a better owner. Ownership must not alternate between two instances, and
+	// each handover makes some capacity unavailable for a moment.
 	minHandoverAge = 5 * time.Second
-	// muchLargerFactor is how many times the CPU share of this instance a peer must have
-	// for a handover to be worth it because of its size.
+	// muchLargerFactor is how many times the CPU share of this instance a peer must at least
+	// have for its size alone to justify a handover.
 	muchLargerFactor = 2
 )
 
-// handOverToBetterOwner starts to hand over a group that another instance should own, if that
-// instance is much larger or owns fewer groups, or if the group is foreign. Only one group is
-// handed over at a time.
+// handOverToBetterOwner starts to hand over a group that is assigned to another instance, if
+// the group belongs to another zone or isBetterOwner considers the handover worth its cost.
+// Only one group is handed over at a time.
 func (n *Node) handOverToBetterOwner() {
 	if n.shuttingDown.Load() {
 		return
@@ -139,9 +144,13 @@
 	}
 }
 
-// isBetterOwner reports whether handing over a group to a peer is worth its cost: the peer is
-// much larger, this instance is no hub any more, or the handover evens out the number of
-// groups. owners holds the assigned owner of each group. n.mu is held.
+// isBetterOwner reports whether handing over a group to a peer is worth its cost, for one of
+// these reasons:
+//   - This instance is no hub any more.
+//   - The peer has at least muchLargerFactor times the CPU share of this instance.
+//   - The handover makes the numbers of groups of the two instances more even.
+//
+// The map owners holds the instance to which each group is assigned. n.mu is held.
 func (n *Node) isBetterOwner(peer string, owners map[string]string) bool {
 	if !n.neighbours.IsHub || n.lastHeartbeat[peer].GetShare() >= muchLargerFactor*n.settings.CPUShare {
 		return true
@@ -152,17 +161,20 @@
 			assigned++
 		}
 	}
-	// The handover must make the numbers of groups of the two instances more even.
+	// This instance owns more groups than are assigned to it, and at least two more than
+	// the peer does.
 	return len(n.groups) > assigned && len(n.lastHeartbeat[peer].GetClaims())+1 < len(n.groups)
 }
 
-// keepGroupsFraction is the fraction of a planned shutdown during which groups are kept if no
-// other instance of the zone can take them. Their upstreams would be idle until another
-// instance has started. The rest of the time is left for running tasks to end.
+// keepGroupsFraction is the fraction of the time for a planned shutdown during which this
+// instance keeps its groups while no other instance of the zone can take them: after a
+// handover their upstreams would be idle until another instance has started. A larger fraction
+// leaves less time for the tasks that still run at the handover.
 const keepGroupsFraction = 0.4
 
-// handOverForShutdown starts to hand over the groups in a planned shutdown, of which elapsed
-// has passed and which may take up to limit.
+// handOverForShutdown starts to hand over the groups of this instance in a planned shutdown. It
+// keeps those of the own zone for keepGroupsFraction of limit, the time for the whole shutdown,
+// while no instance can take them. Elapsed is the time since the shutdown began.
 func (n *Node) handOverForShutdown(elapsed, limit time.Duration) {
 	var handedOver []*ownedGroup
 	n.mu.Lock()
@@ -184,22 +196,23 @@
 	}
 }
 
-// hasSuccessor reports whether another live instance may own the groups of this zone. n.mu
-// is held.
+// hasSuccessor reports whether there is another live instance that may own the groups of this
+// zone. n.mu is held.
 func (n *Node) hasSuccessor() bool {
 	return slices.ContainsFunc(n.ownZoneCandidates(), func(c membership.Candidate) bool { return c.Name != n.settings.Name })
 }
 
-// releaseAndNotifyPeers releases drained upstreams and, if there are any, sends heartbeats at
-// once, so that the next owner can take them.
+// releaseAndNotifyPeers calls releaseDrained. If that has released any upstreams, it sends
+// heartbeats at once, so that the next owner can take them.
 func (n *Node) releaseAndNotifyPeers() {
 	if n.releaseDrained() > 0 {
 		n.sendHeartbeats()
 	}
 }
 
-// releaseDrained releases the upstreams on which nothing runs in groups that are being handed
-// over, and gives up the groups that are idle. It returns the number of released upstreams.
+// releaseDrained goes through the groups that are being handed over. It releases the upstreams
+// on which nothing runs, and gives up each group that is idle. It returns the number of upstreams
+// that it has released.
 func (n *Node) releaseDrained() int {
 	count := 0
 	for _, g := range n.ownedGroups() {
@@ -226,8 +239,8 @@
 	return count
 }
 
-// takeFreeGroups takes the groups that no instance owns and that are assigned to this one,
-// from its own zone and from orphaned zones.
+// takeFreeGroups takes the groups that no instance owns and that are assigned to this one. They
+// belong to its own zone, or to a zone that has no instance (an orphaned zone).
 func (n *Node) takeFreeGroups() {
 	if n.shuttingDown.Load() || n.ctx.Err() != nil {
 		return
@@ -247,8 +260,8 @@
 	}
 }
 
-// takeAssignedGroups takes the free groups that owners assigns to this instance, and reports
-// whether there were any. n.mu is held.
+// takeAssignedGroups takes the groups for which the map owners names this instance and that no
+// other instance owns. It reports whether it has taken any. n.mu is held.
 func (n *Node) takeAssignedGroups(owners map[string]string) bool {
 	taken := false
 	for group, name := range owners {
@@ -265,16 +278,20 @@
 	n.highestToken = membership.NextToken(clock.WallClock().UnixMilli(), n.highestToken, string(n.self))
 	cfg := schedule.ConfigForMaxLease(n.settings.Timing.MaxTaskLease)
 	cfg.RemoteFactor = n.settings.Timing.RemoteFactor
-	cfg.LinkRate = n.settings.LinkRate // each group of this instance assumes the full rate
+	cfg.LinkRate = n.settings.LinkRate // not divided: each group may use the whole link, even if there are several
 	n.groups[group] = &ownedGroup{Group: owner.NewGroup(group, cfg, n.highestToken, n.upstreamClient, n), takenAt: clock.Now()}
 	n.lastTakenAt = clock.Now()
 	event.GroupTaken.Log(n.log, slog.String("group", group), slog.Uint64("token", n.highestToken),
 		slog.Int("upstreams", len(n.groupMembers(group))), slog.Int("candidates", len(n.ownZoneCandidates())))
 }
 
-// doneWaitingForPeers reports whether this instance knows enough about its peers to take a
-// group. It has to receive a heartbeat from every listed hub of its zone first, except from
-// those that do not accept connections. After busySettleTime it stops waiting. n.mu is held.
+// doneWaitingForPeers reports whether this instance has waited long enough for its peers to take
+// a group. Until it is busyPeerWait old, it waits for the list of instances and then for a
+// heartbeat of each listed hub of its zone, except of
+//   - hubs that have refused a connection within refusalValidity, and
+//   - hubs to which the last dial failed, once this instance is heartbeatWait old.
+//
+// If it knows no peer at all, it waits until it is heartbeatWait old. n.mu is held.
 func (n *Node) doneWaitingForPeers() bool {
 	age := clock.Since(n.startedAt)
 	if age >= busyPeerWait {
@@ -288,8 +305,8 @@
 	return n.peerListRead && (age >= heartbeatWait || n.peers.Len() > 0)
 }
 
-// canTakeGroup reports whether a group has upstreams and no owner, as far as this instance
-// can know. n.mu is held.
+// canTakeGroup reports whether this instance may take a group: it knows the upstreams and the
+// evacuated zones, the group has upstreams, and no known peer owns it. n.mu is held.
 func (n *Node) canTakeGroup(group string) bool {
 	if n.groups[group] != nil || !n.directory.Ready() || len(n.groupMembers(group)) == 0 {
 		return false
@@ -298,14 +315,15 @@
 	return claim == nil
 }
 
-// isolationTimeout is how long an isolated instance refrains from taking groups, which its
-// unreachable peers may own.
+// isolationTimeout is how long an isolated instance takes no groups, because peers that it cannot
+// reach may own them. It is also the age below which an instance does not count as isolated: until
+// then the store may still list instances that were lost before a restart of the whole fleet.
 const isolationTimeout = 6 * time.Second
 
-// isIsolated reports whether no peer sends heartbeats to this instance although the store
-// lists some of its zone that do not refuse connections. Most likely this instance is
-// partitioned from them, and would take upstreams away from a working owner. The result
-// is false again after isolationTimeout. n.mu is held.
+// isIsolated reports whether no peer at all sends heartbeats to this instance, although the store
+// lists peers in its zone that do not refuse connections. Most likely this instance is partitioned
+// from them, and would take upstreams away from a working owner. After isolationTimeout the
+// instance no longer counts as isolated. n.mu is held.
 func (n *Node) isIsolated() bool {
 	peerListed := false
 	for p := range n.peers.All() {
@@ -318,7 +336,7 @@
 		}
 	}
 	if !peerListed || clock.Since(n.startedAt) < isolationTimeout {
-		return false // the list may still name instances lost before a restart of the whole fleet
+		return false // no peer is listed, or the list may be outdated
 	}
 	if n.isolatedSince.IsZero() {
 		n.isolatedSince = clock.Now()
@@ -326,8 +344,8 @@
 	return clock.Since(n.isolatedSince) < isolationTimeout
 }
 
-// ownZoneCandidates returns the live hubs of the own zone, which may own its groups. n.mu is
-// held.
+// ownZoneCandidates returns the instances that may own the groups of the own zone: its live hubs,
+// including this instance if it is one. n.mu is held.
 func (n *Node) ownZoneCandidates() []membership.Candidate {
 	var list []membership.Candidate
 	if n.neighbours.IsHub {
