--- a/node/follow.go
+++ b/node/follow.go
@@ -12,23 +12,25 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// storeFollower passes on the store's keys below a prefix, and their changes.
+// storeFollower says how follow reads the store's keys with a prefix and the changes to them, and
+// to which functions it passes them.
 type storeFollower struct {
 	prefix string
 	// watchWait returns how long the store may keep a watch open before it responds
 	// without changes.
 	watchWait func() time.Duration
-	// readPause returns the pause after each response of the store. A longer pause reads
-	// more changes with one call.
+	// readPause returns the pause between two calls that read changes. With a longer pause,
+	// one call returns more changes.
 	readPause func() time.Duration
-	// mode returns how closely the keys have to be followed at the moment. If it is nil,
+	// mode returns how closely the keys have to be followed at the moment. If mode is nil,
 	// they are followed continuously.
 	mode func() followMode
-	// replace is called with all keys as of a revision, update with changed keys.
+	// replace is called with all keys as of a revision, and update with the keys that have
+	// changed since the last call of either.
 	replace func(items []platform.Item, revision uint64)
 	update  func(items []platform.Item)
-	// onReadFailure is called when a call to the store fails before all keys have been
-	// read, or read again. It may be nil.
+	// onReadFailure is called after a failed call to the store if all keys have not been read
+	// yet, or must be read again. It may be nil.
 	onReadFailure func()
 }
 
@@ -49,8 +51,8 @@
 	return f.mode()
 }
 
-// follow runs f until the instance ends. The store may be unavailable for a long time: it is
-// retried, and f keeps what it has read.
+// follow reads the keys of f until the instance ends. However long the store is unavailable, it
+// repeats failed calls, and what it has passed on before stays valid.
 func (n *Node) follow(f storeFollower) {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval, retry.MaxInterval = minRetryPause, maxRetryPause
@@ -93,8 +95,8 @@
 }
 
 // waitForNextFullRead waits while the mode of f is followPeriodically, for fullReadInterval
-// at most. It reports whether it has waited: changes were missed, and all keys have to be
-// read again.
+// at most. It reports whether it has waited at all. If so, changes may have been missed, and all
+// keys have to be read again.
 func (n *Node) waitForNextFullRead(f storeFollower) bool {
 	began, paused := clock.Now(), false
 	for f.currentMode() == followPeriodically && n.ctx.Err() == nil {
@@ -112,8 +114,8 @@
 
 func noPause() time.Duration { return 0 }
 
-// read returns all keys of f or, if f is synced, the changes since a revision. It also returns
-// the revision that was read.
+// read returns all keys of f or, if synced is set, those that have changed since a revision. It
+// also returns the revision from which the next call must continue.
 func (n *Node) read(f storeFollower, synced bool, revision uint64) ([]platform.Item, uint64, error) {
 	if synced {
 		return n.store.Watch(f.prefix, revision, f.watchWait())
--- a/node/groups.go
+++ b/node/groups.go
@@ -99,10 +99,10 @@
 	}
 }
 
-// claimOf returns the peer that claims a group, and its claim, or nil if there is none. It
-// considers only claims that are being handed over, or only claims that are not. If several
-// peers claim the group, the highest token wins. Claims of dead peers do not count. n.mu is
-// held.
+// claimOf returns the peer that claims a group, and its claim, which is nil if no peer does. If
+// handingOver is set, it considers only peers that are handing the group over, and otherwise only
+// peers that are not. If several peers claim the group, the claim with the highest token wins.
+// Claims of dead peers and of peers that need not send heartbeats do not count. n.mu is held.
 func (n *Node) claimOf(group string, handingOver bool) (string, *inner.Claim) {
 	var best *inner.Claim
 	claimant := ""
@@ -124,14 +124,15 @@
 	// the first start of the system before the number of groups is derived from it. The
 	// upstreams register over more than one of their heartbeat intervals of 1.5 s.
 	countSettleTime = 2 * time.Second
-	// countTimeout is the age of the instance from which on the number of upstreams is
-	// used even if it still changes.
+	// countTimeout is the age at which an instance uses the number of upstreams even if it
+	// is still changing.
 	countTimeout = 7 * time.Second
 )
 
-// upstreamCountSettled reports whether the number of upstreams of the own zone is final
-// enough to derive the number of groups from it. It only waits at the first start of the
-// whole system, while upstreams are still registering. n.mu is held.
+// upstreamCountSettled reports whether the number of groups may be derived from count, the number
+// of upstreams in the own zone. At the first start of the whole system, upstreams are still
+// registering, so that count must have been unchanged for countSettleTime first. At any other
+// start it may be used at once. n.mu is held.
 func (n *Node) upstreamCountSettled(count int, now time.Time) bool {
 	if !n.settings.FirstStart || now.Sub(n.startedAt) >= countTimeout {
 		return true
@@ -168,7 +169,7 @@
 	err := n.store.Create(platform.GroupCountPrefix+n.settings.Zone, []byte(strconv.Itoa(groups)))
 	if err == nil {
 		n.setGroupCount(n.settings.Zone, groups)
-	} else if !failure.Is(err, failure.Conflict) { // an existing number arrives through the watch
+	} else if !failure.Is(err, failure.Conflict) { // on a conflict, the watch delivers the existing number
 		event.RegisterFailed.Log(n.log, slog.String("what", "number of groups"), slog.String("error", err.Error()))
 	}
 	n.sleep(minRetryPause)
--- a/node/operators.go
+++ b/node/operators.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// zoneStatesFromStore returns the states of availability zones that are among some keys of
-// the store.
+// zoneStatesFromStore returns the states of the availability zones to which keys of the store
+// belong. It leaves out keys that do not belong to a zone.
 func zoneStatesFromStore(items []platform.Item) []directory.ZoneState {
 	return lo.FilterMap(items, func(i platform.Item, _ int) (directory.ZoneState, bool) {
 		zone, isZone := platform.EvacuatedZone(i.Key)
@@ -59,8 +59,8 @@
 	n.tick()
 }
 
-// applyPeerZones applies the evacuations in the heartbeat of a peer, if it knows any state
-// from the store.
+// applyPeerZones applies the evacuations in the heartbeat of a peer. A revision of 0 means that
+// the peer itself does not know the evacuations yet.
 func (n *Node) applyPeerZones(from string, p *inner.Presence) {
 	if p.GetZonesRevision() == 0 {
 		return
@@ -97,7 +97,7 @@
 	}
 }
 
-// applyConfigItem applies the configuration if it is among some keys of the store.
+// applyConfigItem applies the configuration if its key is among the items.
 func (n *Node) applyConfigItem(items []platform.Item) {
 	for _, item := range items {
 		if item.Key == platform.ConfigKey && !item.Deleted {
@@ -106,10 +106,11 @@
 	}
 }
 
-// configWatchWait returns how long the store may keep a watch on the configuration open. If a
-// response is lost, a new version is noticed only after that time, so that the first hubs of
-// a zone use a short one. The other instances learn of a new version from the heartbeats of
-// those. An instance that receives heartbeats from too few hubs uses the short time too.
+// configWatchWait returns how long the store may keep a watch on the configuration open. If the
+// response to a watch is lost, an instance notices a new version only after that time. Therefore
+// the first shortConfigWatchers hubs of a zone use a short time, and the other instances learn of
+// a new version from their heartbeats. An instance that receives heartbeats from fewer hubs than
+// that uses the short time as well.
 func (n *Node) configWatchWait() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/registration.go
+++ b/node/registration.go
@@ -16,8 +16,8 @@
 	"github.com/samber/lo"
 )
 
-// followPeers follows the keys that instances write to the store, which are the entries of the
-// instances and the number of groups of each zone, until the instance ends.
+// followPeers follows the keys that instances write to the store, until this instance ends. They
+// hold the entries of the instances and the number of groups of each zone.
 func (n *Node) followPeers() {
 	listings := map[string]membership.Listing{}
 	update := func(items []platform.Item) {
@@ -61,8 +61,9 @@
 	}
 }
 
-// maxGroupsPerZone is the maximum number of groups of an availability zone. It is several
-// times what the largest planned zone needs, which has 460 upstreams.
+// maxGroupsPerZone is the maximum number of groups of an availability zone. A larger number in the
+// store or in a heartbeat is ignored. The maximum is several times the number that the largest
+// planned zone, with 460 upstreams, needs.
 const maxGroupsPerZone = 256
 
 // parseGroupCount parses and validates the number of groups of an availability zone.
@@ -74,15 +75,15 @@
 	return groups, nil
 }
 
-// applyPeerList takes the list of instances and sends heartbeats to new ones at once.
+// applyPeerList applies the list of instances and sends heartbeats to new ones at once.
 func (n *Node) applyPeerList(listings map[string]membership.Listing) {
 	n.setPeerList(listings)
 	n.tick()
 }
 
-// setPeerList takes the list of instances, and updates the neighbours under the same lock. If
-// the lock were released in between, this instance could take the groups of peers on the list
-// without waiting for their heartbeats, because they would not be neighbours yet.
+// setPeerList applies the list of instances, and updates the neighbours without releasing n.mu in
+// between. Otherwise this instance could take the groups of peers on the list before they are its
+// neighbours, and it waits only for the heartbeats of neighbours.
 func (n *Node) setPeerList(listings map[string]membership.Listing) {
 	list := make([]membership.Listing, 0, len(listings))
 	for name, l := range listings {
@@ -140,8 +141,9 @@
 	return lease
 }
 
-// readPausePerPeer is the pause between reads of the list of instances, for each instance on
-// it. Every change is read by all instances, so that the load grows with their number.
+// readPausePerPeer times the number of listed instances is the pause between reads of the list.
+// Every change is read by all instances, so that the load on the store grows with their number.
+// With a longer pause, one read returns more changes.
 const readPausePerPeer = time.Millisecond
 
 // peerReadPause returns the pause between reads of the list of instances.
--- a/node/upstreamrequest.go
+++ b/node/upstreamrequest.go
@@ -68,7 +68,7 @@
 	list := lo.Map(f.GetUpstreamsReply().GetUpstreams(), func(u *inner.Upstream, _ int) fleet.Upstream { return upstreamFromProto(u) })
 	event.UpstreamsTold.Log(n.log, slog.String("peer", string(peer)), slog.Int("upstreams", len(list)))
 	n.applyUpstreamChanges(n.directory.Merge(clock.Now(), list))
-	n.tick() // takes groups, which may be possible now
+	n.tick() // now that the upstreams are known, this instance may be able to take groups
 }
 
 // replyWithUpstreams replies to a peer that requests the upstreams of an availability zone.
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -49,8 +49,8 @@
 	return list
 }
 
-// markMissingStartTimes marks the entries without a start time as invalid. It is called on
-// platforms whose upstreams report their start time, where only another writer leaves it out.
+// markMissingStartTimes marks the entries without a start time as invalid. It is called only on
+// platforms whose upstreams report it: an entry without it was written by something else there.
 func (n *Node) markMissingStartTimes(list []directory.Entry) {
 	missing := failure.Field(failure.Protocol, "born", "is missing")
 	for i, e := range list {
@@ -67,7 +67,7 @@
 	n.updateGroups()
 }
 
-// logDrains logs that upstreams are draining, for those that this instance owns.
+// logDrains logs that upstreams are draining. It leaves out those that this instance does not own.
 func (n *Node) logDrains(incarnations []fleet.UpstreamIncarnation, from string) {
 	for _, incarnation := range incarnations {
 		u, listed := n.directory.Lookup(incarnation.ID)
@@ -80,7 +80,8 @@
 	}
 }
 
-// maxInvalidKeys is the maximum number of keys in invalidEntries.
+// maxInvalidKeys is the maximum number of keys in invalidEntries. When it is reached, the next new
+// reason clears the map, and the reasons of all keys are logged once more.
 const maxInvalidKeys = 1024
 
 // invalidEntries records why entries of the store are invalid, so that each reason is logged
@@ -137,11 +138,11 @@
 }
 
 // upstreamFollowModeLocked is upstreamFollowMode with n.mu held. In large zones only hubs own
-// groups, and hubs that are small compared to others own some only after the larger ones are
-// lost. Small hubs read the upstreams from time to time, in case the store is unavailable at
-// that moment.
+// groups, and a hub that is small compared to others owns some only after the larger ones are
+// lost. It reads the upstreams from time to time, because the store may be unavailable when they
+// are lost.
 func (n *Node) upstreamFollowModeLocked() followMode {
-	groupCountKnown := n.groupCounts[n.settings.Zone] > 0 // until then hubs read the upstreams, since it is derived from their number
+	groupCountKnown := n.groupCounts[n.settings.Zone] > 0 // if not, hubs read the upstreams to derive the number of groups from theirs
 	switch {
 	case len(n.groups) > 0:
 		return followContinuously
