--- a/node/convert.go
+++ b/node/convert.go
@@ -14,7 +14,8 @@
 	"github.com/samber/lo"
 )
 
-// claimToProto returns the claim of the owner of a group, with the load of the group.
+// claimToProto returns the message by which this instance claims a group that it owns, with the
+// load of the group.
 func claimToProto(g *owner.Group, l schedule.Load) *inner.Claim {
 	return &inner.Claim{Group: g.Name, Token: g.Token, Free: uint32(max(l.Free, 0)), Waiting: uint32(l.Waiting), Capacity: l.Capacity, Closed: l.Closed}
 }
--- a/node/lease.go
+++ b/node/lease.go
@@ -12,18 +12,24 @@
 )
 
 // An owner runs the tasks of a coordinator under a lease (see coordinator.go in package
-// schedule). The owner's heartbeats carry the time of its monotonic clock. The coordinator
-// ends the jobs whose customers have disconnected, and then returns that time in a renewal
-// on each connection on which it has open offers. This proves that the coordinator was alive
-// after the owner had sent the heartbeat. Offers carry a time of the owner's clock too, the
-// latest one known less the time since the customer was last known to be connected.
+// schedule), which is renewed in these steps:
+//
+//  1. The owner sends a heartbeat that contains the time of its monotonic clock.
+//  2. The coordinator receives the heartbeat and ends the jobs whose customers have
+//     disconnected.
+//  3. If it still has open offers on the connection, the coordinator sends a renewal on it that
+//     repeats the time from the heartbeat.
+//
+// However late the renewal arrives, it proves that the coordinator was alive after the owner had
+// sent the heartbeat. An offer contains a time of the owner's clock too: the latest that the
+// coordinator has received, less the time since the customer was last known to be connected.
 
-// clockOffset is the reading of the clock in heartbeats when an instance starts. It is far
-// longer than any lease, so that 0, which stands for an unknown time, is always too long ago
-// to keep a lease alive.
+// clockOffset is what clockMs returns when the instance starts. It is far longer than any lease.
+// A time of 0 stands for an unknown time, and is therefore always too long ago to keep a lease
+// alive.
 const clockOffset = time.Hour
 
-// clockMs returns the time of the monotonic clock that heartbeats carry.
+// clockMs returns the time of the monotonic clock of this instance, as its heartbeats contain it.
 func (n *Node) clockMs() uint64 {
 	return uint64((clockOffset + clock.Since(n.startedAt)).Milliseconds())
 }
@@ -33,9 +39,10 @@
 	return n.startedAt.Add(time.Duration(ms)*time.Millisecond - clockOffset)
 }
 
-// aliveOnPeerClock converts aliveAt, when a customer was last known to be connected, to the
-// clock of a peer. The peer's clock has reached peerClockMs by now, so that the result is
-// never too late. It is 0 if the peer's clock is not known.
+// aliveOnPeerClock converts aliveAt, the time at which a customer was last known to be connected,
+// to the clock of a peer. PeerClockMs is the latest time that the peer has sent. Its clock shows a
+// later time by now, so that the result may be too early but never too late. The result is 0 if
+// the peer has not sent a time yet.
 func aliveOnPeerClock(peerClockMs uint64, aliveAt time.Time) uint64 {
 	ageMs := uint64(clock.Since(aliveAt).Milliseconds()) + 1
 	if ageMs >= peerClockMs {
@@ -51,9 +58,10 @@
 	r.peerClocks[peer] = max(r.peerClocks[peer], ms)
 }
 
-// leaseRenewInterval is the minimum time between two renewals of a lease. Near neighbours
-// send heartbeats more often than that. Others send one every 250 ms, so that a lease is
-// renewed at an age of 250 ms, half of the age up to which tasks may start under it.
+// leaseRenewInterval is the minimum time between two renewals of a lease. It is longer than the
+// 100 ms between the heartbeats of near neighbours, not each of which needs a renewal. It is
+// shorter than the 250 ms between the heartbeats of other peers, each of which gets one: a lease
+// is then renewed at an age of 250 ms, half of the age up to which tasks may start under it.
 const leaseRenewInterval = 150 * time.Millisecond
 
 // renewalDue reports whether there are open offers on a connection and their lease is due
@@ -74,11 +82,11 @@
 	return false
 }
 
-// handlePeerClock records the time that a peer has sent of its clock. If this instance has
-// open offers on the connection and their lease is due, it renews the lease with that time.
-// First it ends the jobs whose customers have disconnected. It does not renew while
-// decisions on jobs are still being sent: a renewal ahead of a withdrawal would vouch for a
-// customer that has disconnected.
+// handlePeerClock records the time that a peer has sent of its clock. If this instance has open
+// offers on the connection and their lease is due for renewal, it ends the jobs whose customers
+// have disconnected, and then sends the time back to renew the lease. It sends no renewal while
+// offers or withdrawals are still being sent: a renewal that overtakes a withdrawal would tell
+// the owner that the customer is still connected.
 func (r *router) handlePeerClock(conn inner.Connection, from fate.Incarnation, clockMs uint64) {
 	r.recordPeerClock(from, clockMs)
 	if !r.renewalDue(conn) || !r.node.ingress.EndDisconnected() {
--- a/node/log.go
+++ b/node/log.go
@@ -29,11 +29,12 @@
 }
 
 const (
-	// sampleInterval is the sampling rate of the log: of the offers and responses that
-	// ended normally, one in sampleInterval is logged.
+	// sampleInterval is the sampling rate of the log: one in sampleInterval of the offers
+	// that end normally is logged, and one in sampleInterval of the jobs completed in time.
 	sampleInterval = 50
-	// maxPendingPerJob bounds the decisions that are buffered for one job, and
-	// maxPendingJobs the number of jobs with buffered decisions.
+	// maxPendingPerJob bounds the decisions that are buffered for one job; when there are
+	// more, the buffered ones are logged. maxPendingJobs bounds the number of jobs with
+	// buffered decisions; the decisions of further jobs are logged at once.
 	maxPendingPerJob = 48
 	maxPendingJobs   = 4096
 )
@@ -81,7 +82,7 @@
 		return []pendingDecision{p}, 0
 	}
 	if len(pending) == maxPendingPerJob {
-		write, pending = pending, nil // the job needs so many decisions that they are worth logging
+		write, pending = pending, nil // the buffer is full: log it, since so many decisions are unusual
 	}
 	pending = append(pending, p)
 	l.pending[p.Job] = pending
--- a/node/main.go
+++ b/node/main.go
@@ -67,9 +67,9 @@
 	return ExitOK
 }
 
-// reload reads the settings file again. It applies nothing: it logs whether the file is
-// valid, and whether the addresses of the listeners or the zone have changed, which take
-// effect only after a restart.
+// reload reads the settings file again but applies nothing. It logs the first error if the file
+// is invalid, and otherwise whether a restart is needed because the zone or an address for
+// customers or peers has changed.
 func (n *Node) reload(path string) {
 	settings, problems := platform.LoadSettings(path)
 	if len(problems) > 0 {
--- a/node/router.go
+++ b/node/router.go
@@ -42,7 +42,7 @@
 	owner.OfferCallbacks
 	peer string           // name of the instance that the offer was sent to
 	conn inner.Connection // connection on which the offer was sent; nil while it is being sent
-	// withdrawn is set when the coordinator withdraws the offer, with the reason.
+	// withdrawn and reason are set when the coordinator withdraws the offer.
 	withdrawn bool
 	reason    string
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-// findGroup returns a group that this instance owns, nil if it does not own it, and whether
+// findGroup returns the group with a name, or nil if this instance does not own it, and whether
 // the group accepts offers. A group that is being handed over accepts none.
 func (r *router) findGroup(name string) (g *owner.Group, open bool) {
 	r.node.mu.Lock()
@@ -205,7 +205,7 @@
 	return offer
 }
 
-// handleOfferEnd takes the reply to an offer, or the error if the connection broke, and passes
+// handleOfferEnd handles the reply to an offer, or the error if the connection broke, and passes
 // the result to the coordinator.
 func (r *router) handleOfferEnd(k offerKey, f *inner.Frame, err error) {
 	offer := r.removeOffer(k)
@@ -230,8 +230,8 @@
 	}
 }
 
-// updateLoad updates the load of a group from a claim that came with a reply, if the claim is
-// made under the known token.
+// updateLoad updates the load of a group from a claim in a reply to an offer, unless the token of
+// the claim differs from that of the group's known owner.
 func (r *router) updateLoad(c *inner.Claim) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -285,8 +285,8 @@
 	}
 }
 
-// coordinatorName returns the name under which a group knows the coordinator of the offers on
-// a connection. It differs between the connections of one peer.
+// coordinatorName returns the name by which a group identifies the coordinator of the offers on a
+// connection. Each connection of a peer has another name, and therefore a lease of its own.
 func coordinatorName(conn inner.Connection, from fate.Incarnation) string {
 	return string(from) + "#" + strconv.FormatUint(conn.ID(), 10)
 }
@@ -303,7 +303,7 @@
 	o.AliveAt = r.node.timeOfClock(m.GetAliveMs())
 	err := g.Offer(o, owner.OfferCallbacks{
 		TasksReturned: func(res schedule.Result, l schedule.Load) {
-			_ = conn.Send(offerReturnedFrame(g, res, l)) // if the connection is closed, the offer has been ended
+			_ = conn.Send(offerReturnedFrame(g, res, l)) // it fails if the connection is closed, which withdraws the offer
 		},
 		OfferEnded: func(res schedule.Result, l schedule.Load) { reply(offerEndedFrame(g, res, l)) },
 	})
@@ -330,9 +330,9 @@
 	r.mu.Unlock()
 }
 
-// activeOwners returns the instances that have an open offer of this one, or were sent one
-// within activeOwnerPeriod. They exchange heartbeats with this instance, because each side
-// must detect soon if the other is lost.
+// activeOwners returns the instances that have an open offer of this one, or that were sent an
+// offer within activeOwnerPeriod. They and this instance exchange heartbeats, because each side
+// must detect the loss of the other soon.
 func (r *router) activeOwners() map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/suspension.go
+++ b/node/suspension.go
@@ -8,13 +8,13 @@
 	"github.com/sedgehatch/sedgehatch/event"
 )
 
-// minSuspension is the shortest suspension of the machine that is acted on. It is as long as
-// the heartbeat interval, so that peers may have missed a heartbeat.
+// minSuspension is the shortest suspension of the machine that is acted on. It is the heartbeat
+// interval: after a shorter suspension, peers have missed no heartbeat.
 const minSuspension = 100 * time.Millisecond
 
 // detectSuspension checks whether the machine was suspended since the last tick, and if so,
-// ends the jobs whose customers have stopped waiting. The timers of those jobs do not include
-// suspended time, as package clock does, and fire late by it.
+// ends the jobs whose customers have stopped waiting. Unlike package clock, the timers of jobs do
+// not count suspended time, so that they fire late by the length of the suspension.
 func (n *Node) detectSuspension() {
 	total := clock.Suspended()
 	n.mu.Lock()
