--- a/node/timing.go
+++ b/node/timing.go
@@ -19,20 +19,22 @@
 	// longer because traffic between zones is charged for, and because a large zone has
 	// many instances.
 	farHeartbeatInterval = 250 * time.Millisecond
-	// joinHeartbeatInterval is the interval of heartbeats for joinPeriod after this
-	// instance has taken a group, while the upstreams of the group accept it.
+	// joinHeartbeatInterval is the interval of heartbeats during joinPeriod, which begins
+	// when this instance takes a group. In that time the upstreams of the group accept this
+	// instance, and the load that its heartbeats report changes quickly.
 	joinHeartbeatInterval = 20 * time.Millisecond
 	joinPeriod            = 400 * time.Millisecond
-	// dialTimeout is the time limit for opening a connection to a peer. A round trip
-	// takes about 1 ms, and a lost SYN packet is sent again only after seconds.
+	// dialTimeout is the time limit for opening a connection to a peer. A round trip takes
+	// about 1 ms. If the SYN packet is lost, it is faster to dial again than to wait for
+	// its retransmission, which takes seconds.
 	dialTimeout = 250 * time.Millisecond
-	// heartbeatWait is how long a new instance waits for heartbeats before it takes groups.
-	// Peers that run respond within a few round trips, and after a restart of the whole
-	// fleet there is no service until the groups are taken.
+	// heartbeatWait is how long a new instance waits for the heartbeats of its peers before
+	// it takes groups. Running peers send theirs within a few round trips. A longer wait
+	// prolongs a restart of the whole fleet, in which no task runs until groups are taken.
 	heartbeatWait = 200 * time.Millisecond
 	// busyPeerWait is how long a new instance waits before it takes groups if a peer
-	// accepts connections but has not sent a heartbeat yet. Such a peer runs, and may own
-	// the groups. When the whole fleet starts, a small instance is unresponsive for most
+	// accepts connections but has not sent a heartbeat yet. Such a peer is running, and may
+	// own the groups. When the whole fleet starts, a small instance is unresponsive for most
 	// of a second.
 	busyPeerWait = 2 * time.Second
 	// seedDelay is the age at which an instance that knows no peers contacts the seed
@@ -40,8 +42,9 @@
 	seedDelay = 100 * time.Millisecond
 )
 
-// silenceLimits holds how long a peer may be silent before it is suspected or dead. The tasks
-// of a lost instance must be stopped well before its customers submit their jobs again.
+// silenceLimits holds the times in milliseconds without a heartbeat after which a peer is suspected
+// and considered dead. For far neighbours both are doubled, because their heartbeats are rarer. The
+// tasks of a lost instance must be stopped well before its customers submit their jobs again.
 var silenceLimits = membership.Config{SuspectMs: 350, DeadMs: 600, FarFactor: 2}
 
 // dialYieldDelay is how long an instance waits before it dials a peer whose name sorts before
@@ -49,7 +52,7 @@
 const dialYieldDelay = 30 * time.Millisecond
 
 // recentChangePeriod is how long heartbeats report that an upstream is draining or has changed
-// its capacity. By then every peer has received it or reads it from the store.
+// its capacity. By then every peer has received the report or reads the change from the store.
 const recentChangePeriod = 3 * time.Second
 
 // relayInterval is the interval at which a hub relays owners in other zones to the spokes of
@@ -63,12 +66,11 @@
 const maxLoadAge = 350 * time.Millisecond
 
 const (
-	// maxRelayedLoadAge is the maximum age of the last load report for an owner that a hub
-	// relays. Its reports arrive later by up to the interval of relays and that of
-	// heartbeats between zones.
+	// maxRelayedLoadAge takes the place of maxLoadAge for reports that a hub relays. They may
+	// arrive later by the interval of relays plus that of heartbeats between zones.
 	maxRelayedLoadAge = maxLoadAge + relayInterval + farHeartbeatInterval
-	// relayedOwnerExpiry is the age of the last report at which a relayed owner is
-	// removed.
+	// relayedOwnerExpiry is the age of the last relayed report of an owner at which this
+	// instance forgets that owner.
 	relayedOwnerExpiry = 3 * time.Second
 	// activeOwnerPeriod is how long an instance counts as an active owner after the last
 	// offer was sent to it.
@@ -91,28 +93,30 @@
 	// for hubs.
 	hubPeerWatchWait = 3 * time.Second
 	// spokeWatchWait is how long the store may keep a watch on the configuration or the
-	// list of instances open for spokes that receive heartbeats of several hubs: what a
-	// lost response contained arrives with those heartbeats. Most calls to the store are
-	// watches that end without changes, so that a long time saves many of them.
+	// list of instances open for a spoke that receives heartbeats from several hubs. It may
+	// be long because these heartbeats also bring what a lost response contained. It saves
+	// many calls to the store, most of which are watches that end without changes.
 	spokeWatchWait = 15 * time.Second
 	// ownerReadPause is the pause between reads of the upstreams on an instance that owns
-	// groups, and standbyReadPause on one that does not. The upstreams change their
-	// entries with each of their heartbeats, so that a watch returns at once. An owner must
-	// learn soon that an upstream drains, other instances need the list only for a
-	// takeover.
+	// groups, and standbyReadPause on one that does not. Without a pause there would be one
+	// read after the other: each upstream changes its entry with each of its heartbeats, so
+	// that a watch returns at once. An owner must learn soon that an upstream drains; other
+	// instances need the list only when they take a group.
 	ownerReadPause   = 400 * time.Millisecond
 	standbyReadPause = 1200 * time.Millisecond
-	// fullReadInterval is how often a standby instance, which owns groups only if larger
-	// instances are lost, reads all upstreams, in case the store is unavailable at that
-	// moment. It is long because an entry has some 400 bytes on the wire, and there are
-	// some thousand entries.
+	// fullReadInterval is how often a standby instance reads all upstreams. It takes groups
+	// only when larger instances are lost, and needs the upstreams then even if the store is
+	// unavailable at that moment. The interval is long because there are some thousand
+	// entries, of some 400 bytes each on the wire.
 	fullReadInterval = 30 * time.Second
-	// peerListTimeout is how long a new instance waits for the list of instances before
-	// it reads the upstreams. The store responds within milliseconds, and a slow store
-	// must not delay a small zone.
+	// peerListTimeout is how long a new instance waits for the list of instances before it
+	// reads the upstreams. Normally the list arrives within milliseconds, and shows that most
+	// instances of a large zone need not read the upstreams. In a small zone all may need
+	// them, and a longer wait for a slow store would only delay the start.
 	peerListTimeout = 100 * time.Millisecond
 	// standbyDelay is the age up to which an instance reads no upstreams while larger
-	// instances are listed. By then these own groups, or are known not to run.
+	// instances are listed. After that time, the larger instances own the groups or are known
+	// not to run.
 	standbyDelay = busyPeerWait
 	// minRetryPause is the first pause after a failed call to the store.
 	minRetryPause = 50 * time.Millisecond
@@ -128,12 +132,13 @@
 const shortConfigWatchers = 3
 
 const (
-	// registrationTTL is how long the entry of a lost instance stays in the store. Peers
-	// find each other by their entries, and an instance that is partitioned from its peers
-	// concludes from their entries that they run.
+	// registrationTTL is the time to live of an instance's entry in the store, and so how
+	// long the entry of a lost instance stays there. Peers find each other by their entries,
+	// and an instance that receives no heartbeats concludes from the entries of its peers
+	// that it is partitioned from them.
 	registrationTTL = 4 * time.Second
-	// registrationRenewInterval is the interval at which the lease of the entry is
-	// renewed. It is short enough for the entry to outlast one or two lost renewals.
+	// registrationRenewInterval is the interval at which an instance renews the lease of its
+	// entry. It is short enough for the entry to outlast one or two lost renewals.
 	registrationRenewInterval = 1200 * time.Millisecond
 )
 
@@ -142,13 +147,12 @@
 const (
 	// drainPollInterval is how often a planned shutdown checks whether it is complete.
 	drainPollInterval = 20 * time.Millisecond
-	// minDrainTime is how long new customers may still arrive after a planned shutdown has
-	// begun. The platform probes the readiness once a second, and stops sending customers
-	// after the second failed probe.
+	// minDrainTime is the minimum duration of a planned shutdown, because new customers still
+	// arrive at its beginning: the platform probes the readiness once a second, and stops
+	// sending customers after the second failed probe.
 	minDrainTime = 3200 * time.Millisecond
-	// graceMargin is the part of the grace period that is reserved for the end of the
-	// process. responseFlushTime is the part of graceMargin in which the last responses
-	// are sent.
+	// graceMargin is the last part of the grace period, which a planned shutdown leaves for
+	// the process to end. The first responseFlushTime of it is for sending the last responses.
 	graceMargin       = 500 * time.Millisecond
 	responseFlushTime = 50 * time.Millisecond
 )
