--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -25,7 +25,7 @@
 	all          []membership.Member // instances whose zone is known
 	running      []membership.Member // those of all that are not known to be down
 	groupCounts  map[string]int      // number of groups by availability zone
-	activeOwners map[string]bool     // instances that own tasks of jobs coordinated here
+	activeOwners map[string]bool     // instances that have, or recently had, an offer of this one
 }
 
 func (in neighbourInputs) equal(other neighbourInputs) bool {
@@ -68,7 +68,7 @@
 	}
 	for name := range activeOwners {
 		if !neighbours.Has(name) {
-			neighbours.Far[name] = true // also changes ifAllAlive if both share the map, which is harmless
+			neighbours.Far[name] = true // ifAllAlive may share this map; the addition is harmless there
 		}
 	}
 	if neighbours.IsHub != n.neighbours.IsHub || neighbours.HubCount != n.neighbours.HubCount {
@@ -106,7 +106,7 @@
 // at the same time.
 type heartbeatVariant struct {
 	unwanted bool // this instance does not need heartbeats of the receiver
-	relayed  bool // includes the owners in other zones, for a spoke
+	relayed  bool // the heartbeat also reports the owners in other zones, because the receiver is a spoke
 }
 
 // heartbeatFrames encodes the heartbeats of one tick. Each variant is encoded once, when it
--- a/node/node.go
+++ b/node/node.go
@@ -1,7 +1,22 @@
-// Package node assembles an instance that runs on the users' platform. Package ingress
-// serves its customers, package owner runs the groups of upstreams that it owns, package
-// inner carries its messages to other instances, its peers, and it watches the keys of the
-// platform's store.
+// Package node assembles an instance that runs on the users' platform from other packages:
+// ingress serves its customers, owner runs the groups of upstreams that it owns, inner carries
+// its messages to other instances, and platform reads and watches the platform's store.
+//
+// These are the central terms:
+//   - Peers are the other instances. Neighbours are the peers with which an instance exchanges
+//     heartbeats.
+//   - Upstreams are the processes that run tasks. A group is a fixed part of the upstreams of an
+//     availability zone.
+//   - The coordinator of a job is the instance that accepted it from a customer. It sends owners
+//     offers: requests to run some tasks of the job.
+//   - The owner of a group is the instance that alone may start tasks on its upstreams. Its claim,
+//     a part of its heartbeats, tells the peers so.
+//   - A fencing token is the number under which an instance owns a group. It rises with each
+//     change of the owner, and upstreams refuse orders under a lower token than they have seen.
+//   - A coordinator has a lease with each owner that runs tasks for it. Without renewals, the owner
+//     stops those tasks.
+//   - Hubs are the instances of a zone that may own its groups; in a small zone all are. In a large
+//     zone the others, the spokes, exchange heartbeats only with the hubs of their zone.
 package node
 
 import (
@@ -76,21 +91,21 @@
 
 	peerListReady chan struct{} // closed once the list of instances has been read for the first time
 
-	updateMu sync.Mutex // held while the owned groups get their upstreams; locked before mu
+	updateMu sync.Mutex // held by updateGroups; locked before mu
 
 	mu            sync.Mutex // guards the fields below
 	peers         *membership.Table
 	lastHeartbeat map[string]*inner.Presence // by name of the instance
 	groups        map[string]*ownedGroup
 	highestToken  uint64                 // highest fencing token seen on any instance
-	dialing       map[string]bool        // instances that a connection is being opened to
+	dialing       map[string]bool        // instances to which contactPeer is sending a heartbeat
 	dialOutcomes  map[string]dialOutcome // result of the last dial, by address of the peer
 	refusedAt     map[string]time.Time   // when an instance last refused a connection, by name
 	// registeredZones holds the zone of each instance that the store lists, by name.
 	registeredZones map[string]string
 	peerListRead    bool // the list of instances has been read at least once; peerListReady is then closed
-	// emptySince holds since when a zone has had no instance. orphanRetryAt holds when
-	// this instance may try again to take the groups of such a zone. Both are by zone.
+	// emptySince holds, by zone, since when the zone has had no instance. orphanRetryAt
+	// holds, by zone, when this instance may again try to take the groups of such a zone.
 	emptySince, orphanRetryAt map[string]time.Time
 	isolatedSince             time.Time // since when no peer has been alive; zero while one is
 	// groupCounts holds the number of groups of each availability zone.
@@ -111,8 +126,8 @@
 	neighbourInputs      neighbourInputs        // what neighbours and neighboursIfAllAlive were computed from
 	finalHeartbeatSent   map[string]bool        // peers that were sent a last heartbeat because neither side needs the other
 	lastTakenAt          time.Time              // when this instance last took a group
-	suspendedTotal       time.Duration          // total suspension of the machine that was last detected
-	incrementDoublings   uint                   // how often tokenIncrement is doubled for the next raise of highestToken
+	suspendedTotal       time.Duration          // total time for which the machine has been suspended, as last detected
+	incrementDoublings   uint                   // number of doublings of tokenIncrement at its next use
 }
 
 // New returns an instance with open listeners. Run starts it.
@@ -131,7 +146,7 @@
 	return platform.NewStore(do.MustInvoke[fleet.Instance](i).StoreAddress, func(kind string, status int, took time.Duration) {
 		counters.CountSent("store_" + kind)
 		counters.Add("store_"+kind+"_"+strconv.Itoa(status), 1)
-		if kind != "watch" { // a watch is a long poll: its latency says nothing
+		if kind != "watch" { // a watch is a long poll: its latency says nothing about the store
 			counters.Latencies.Observe("store_"+kind, took)
 		}
 	}), nil
@@ -162,8 +177,8 @@
 	return n, nil
 }
 
-// listen opens the listeners and stores their actual addresses in the settings: tests ask
-// for port 0, which selects a free port.
+// listen opens the listeners. It replaces the addresses in the settings by the actual ones: tests
+// ask for port 0, which selects a free port.
 func (n *Node) listen() error {
 	for _, l := range []struct {
 		field    string
@@ -277,8 +292,9 @@
 	}
 }
 
-// writeTrafficGauges writes the bytes that this instance has received and sent, by kind of
-// remote party, and the delays of the calls to the upstreams that it owns.
+// writeTrafficGauges writes the bytes that this instance has received from and sent to customers,
+// the store and upstreams, the bytes that it has sent to peers, and the delays of its calls to the
+// upstreams that it owns.
 func (n *Node) writeTrafficGauges(w io.Writer) {
 	for _, l := range []struct {
 		with  string
@@ -339,7 +355,7 @@
 		n.mu.Unlock()
 		drained = n.ingress.OpenJobs() == 0 && owned == 0 && clock.Since(began) >= minDrainTime
 	}
-	n.drainDeadline.Store(&began) // from now on no job is accepted
+	n.drainDeadline.Store(&began) // no time remains, so that no further job is accepted
 	jobs := n.ingress.OpenJobs()
 	n.ingress.Abandon()
 	time.Sleep(responseFlushTime)
@@ -379,7 +395,7 @@
 		n.metrics.Add(kind+"_"+failure.Code(err), 1)
 		return
 	}
-	if kind != "hold" { // a hold is a long poll: its latency says nothing
+	if kind != "hold" { // a hold is a long poll: its latency says nothing about the upstream
 		n.metrics.Latencies.Observe("upstream_"+kind, took)
 	}
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -90,7 +90,7 @@
 	}
 	go func() {
 		if n.settings.Name > instance {
-			n.sleep(dialYieldDelay) // seeds, which are named after their address, sort before this instance
+			n.sleep(dialYieldDelay) // seeds too: their names start with @, which sorts before the names of instances
 		}
 		err := n.mesh.Send(fate.Incarnation(instance), n.heartbeatFor(instance)) // the next tick tries again
 		n.recordRefusal(instance, err)
@@ -138,8 +138,9 @@
 	n.recordRefusal(instance, n.mesh.SendOnNewConnection(instance, n.heartbeatFor(instance)))
 }
 
-// refusalValidity is how long an instance that refused a connection is considered not
-// running. A further refusal extends that, and any other result of an attempt ends it.
+// refusalValidity is how long an instance is considered not running after it has refused a
+// connection. Another refusal starts that time again. Any other result of an attempt to send it
+// something ends the time at once.
 const refusalValidity = time.Second
 
 // refusedRecently reports whether an instance has refused a connection within
@@ -149,8 +150,9 @@
 	return found && clock.Since(at) < refusalValidity
 }
 
-// recordRefusal takes the result of contacting an instance. It records when the connection
-// was refused, because nothing listens at the address, and clears the record otherwise.
+// recordRefusal handles the result of sending something to an instance. If the connection was
+// refused, because nothing listens at the address, it records the time. Otherwise it deletes the
+// record of an earlier refusal.
 func (n *Node) recordRefusal(instance string, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -211,8 +213,8 @@
 	go n.probe(from)
 }
 
-// probe connects to a peer after a connection to it broke. A refused connection proves that
-// the peer does not run any more, so that it is dead without waiting for a timeout.
+// probe connects to a peer after a connection to it broke. If the peer refuses, it does not run
+// any more, and probe marks it as dead without waiting until its heartbeats are missed.
 func (n *Node) probe(peer fate.Incarnation) {
 	_, err := n.mesh.Connect(peer.Instance())
 	if !failure.Is(err, failure.Gone) {
@@ -251,8 +253,8 @@
 	n.router.handleRelayedOwners(p.GetRelayed())
 	n.applyPeerChanges(changes)
 	if len(changes) > 0 {
-		// The reply goes on the same connection: one in the other direction may
-		// take long to open, and until then the peer could consider itself isolated.
+		// The peer could consider itself isolated until it receives a heartbeat. The
+		// reply uses the open connection, because opening one to the peer may take long.
 		n.replyWithHeartbeat(conn, from.Instance())
 	}
 	if len(draining) > 0 || resized {
