--- a/node/configrequest_test.go
+++ b/node/configrequest_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestConfigAsk makes 70 neighbours announce a new version at about the same time. The instance
-// must first wait for the store, then request the version from one neighbour, and from another
-// one only after the first has not responded in time.
+// must wait for the store first, and then request the version from one neighbour. It may request
+// it from a second neighbour only if the first does not respond in time.
 func TestConfigAsk(t *testing.T) {
 	began := time.Now()
 	at := func(d time.Duration) time.Time { return began.Add(d) }
@@ -29,11 +29,11 @@
 	}
 	announce(configStoreWait, configStoreWait+configRequestInterval-time.Millisecond, 7, false)
 	if requests != 1 {
-		t.Errorf("%d requests were sent while the first peer had time to respond", requests)
+		t.Errorf("%d requests were sent while the first peer had time to respond, want 1", requests)
 	}
 	announce(configStoreWait+configRequestInterval, configStoreWait+2*configRequestInterval-time.Millisecond, 7, false)
 	if requests != 2 {
-		t.Errorf("%d requests were sent after the first peer had not responded", requests)
+		t.Errorf("%d requests were sent in total after the first peer had not responded, want 2", requests)
 	}
 	if !c.due(at(time.Hour), 8, true) {
 		t.Error("an instance without a configuration waits for the store first")
@@ -55,6 +55,6 @@
 		requests += metrics.Values(n.metrics.Messages)["config_request"]
 	}
 	if requests > int64(len(cluster.nodes)) {
-		t.Errorf("8 instances sent %d requests for 9 versions", requests)
+		t.Errorf("8 instances sent %d requests for 9 versions, want at most one per instance", requests)
 	}
 }
--- a/node/disconnect_test.go
+++ b/node/disconnect_test.go
@@ -9,8 +9,8 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// longTaskMs is the duration of tasks that must be stopped, in milliseconds: longer than any
-// test.
+// longTaskMs is the duration in milliseconds of tasks that must be stopped. It is longer than any
+// test, so that they cannot end by themselves.
 const longTaskMs = 60_000
 
 // submitWithDisconnect submits a job on a new connection. It returns a function that closes the
@@ -33,8 +33,8 @@
 	return func() { cancel(); <-answered }
 }
 
-// checkJobStopped waits until no task of a job runs, runs another job on the same upstreams, and
-// checks that no task of the first job has started meanwhile.
+// checkJobStopped waits until no task of a job runs. Then it runs another job on the same
+// upstreams, and checks that no task of the first job has started meanwhile.
 func (cluster *testCluster) checkJobStopped(id, instance string) {
 	cluster.t.Helper()
 	cluster.waitUntil("no task of the job runs", func() bool { return !cluster.runs.IsRunning(id) })
@@ -57,10 +57,10 @@
 	return cluster, owner, cluster.other(owner)
 }
 
-// TestNoRunAfterCustomerDisconnects checks that no task of a job runs or starts after its
-// customer has disconnected, even if the owner is partitioned or lost at that time, or if orders
-// to upstreams are still under way. Otherwise the job could run twice when the customer submits
-// it again.
+// TestNoRunAfterCustomerDisconnects checks that soon after the customer of a job has disconnected
+// none of its tasks runs or starts any more. This must hold even if the owner is partitioned or
+// lost at that time, and if orders to upstreams are still under way. Otherwise a task could run
+// twice when the customer submits the job again.
 func TestNoRunAfterCustomerDisconnects(t *testing.T) {
 	t.Run("owner partitioned", func(t *testing.T) {
 		cluster, _, coordinator := newOwnerAndCoordinator(t)
@@ -81,7 +81,7 @@
 		cluster.waitUntil("the other instance owns the group", func() bool { return cluster.owner("a/0") == coordinator })
 		cluster.checkJobStopped(id, coordinator)
 	})
-	t.Run("owner that is also the coordinator killed", func(t *testing.T) {
+	t.Run("coordinator killed that owns the group itself", func(t *testing.T) {
 		cluster, owner, other := newOwnerAndCoordinator(t)
 		id := cluster.newJobID()
 		disconnect := cluster.submitWithDisconnect(owner, id, 2)
@@ -115,8 +115,8 @@
 	})
 }
 
-// delayOrders makes all upstreams execute a share of the orders late, and not respond to
-// them.
+// delayOrders makes all upstreams execute a share of their orders late. They do not respond to the
+// orders that they execute late.
 func (cluster *testCluster) delayOrders(share float64, late time.Duration) {
 	for _, u := range cluster.upstreams {
 		u.DelayOrders(share, late)
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -11,8 +11,9 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// waitUntilClosed waits until the owner of a group has applied the evacuation of its zone and
-// its earlier orders have arrived. It returns the time from which on no task may start there.
+// waitUntilClosed waits until the owner of a group has applied the evacuation of the group's zone,
+// and until the orders that the owner sent before have arrived. It returns the time from which on
+// no task may start in the zone.
 func (cluster *testCluster) waitUntilClosed(group string) time.Time {
 	cluster.t.Helper()
 	cluster.waitUntil(group+" is closed", func() bool {
@@ -48,9 +49,9 @@
 	}
 }
 
-// TestEvacuation evacuates a zone while tasks run there. They are completed there, and new jobs
-// that customers submit in the zone run in the other zone, even while the old tasks still run.
-// After the evacuation ends, the zone is used again.
+// TestEvacuation evacuates a zone while tasks run there. The tasks must be completed there. Jobs
+// that customers then submit in the zone must run in the other zone, even while the first tasks
+// still run. After the evacuation ends, the zone must be used again.
 func TestEvacuation(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
 	response := cluster.submitAsync("a-1", cluster.newJobID(), 4, 600)
@@ -79,8 +80,8 @@
 	})
 }
 
-// evacuatedAt returns the revision of the store at which a zone was evacuated, as far as an
-// instance knows, or 0 if it does not consider the zone evacuated.
+// evacuatedAt returns the revision of the store at which, as an instance knows, a zone was
+// evacuated. It returns 0 if the instance does not consider the zone evacuated.
 func (cluster *testCluster) evacuatedAt(name, zone string) uint64 {
 	states, _ := cluster.nodes[name].directory.Zones()
 	for _, s := range states {
@@ -91,8 +92,8 @@
 	return 0
 }
 
-// TestEvacuationSetAgain ends an evacuation and starts it again at once, several times, and
-// submits jobs in between. All instances must apply the last state, so that no task starts in
+// TestEvacuationSetAgain ends an evacuation and starts it again at once. It does so several times,
+// and submits jobs each time. All instances must apply the later state, so that no task starts in
 // the zone.
 func TestEvacuationSetAgain(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
@@ -112,9 +113,9 @@
 	}
 }
 
-// TestEvacuationOutlastsPlannedStop shuts down the owner of an evacuated zone as planned while
-// a job still runs there. The job is completed, and the next owner starts no task in the
-// zone.
+// TestEvacuationOutlastsPlannedStop begins a planned shutdown of the owner of an evacuated zone
+// while a job still runs there. The job must be completed, and the next owner must start no task
+// in the zone.
 func TestEvacuationOutlastsPlannedStop(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
 	response := cluster.submitAsync("a-1", cluster.newJobID(), 4, 600)
@@ -189,9 +190,9 @@
 	cluster.checkNoStarts("a", since)
 }
 
-// TestEvacuationWhileStoreForgets changes evacuations while the store is unavailable and drops
-// its history, so that watches miss the changes. Twice, the instances must apply the state that
-// the store has when it is available again.
+// TestEvacuationWhileStoreForgets changes evacuations while the store is unavailable, and makes the
+// store drop the history of the changes, so that watches miss them. When the store is available
+// again, the instances must apply the state that it then has. The test does this twice.
 func TestEvacuationWhileStoreForgets(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "b-1")
 	cluster.store.SetFault(standin.ConnectionReset, 0)
@@ -213,9 +214,9 @@
 	cluster.checkNoStarts("b", since)
 }
 
-// TestEvacuationHeardFromPeers applies the heartbeats of a peer to a directory that reads
-// nothing from the store. It must follow the start and the end of an evacuation, and ignore
-// heartbeats that are older than what it knows.
+// TestEvacuationHeardFromPeers applies the heartbeats of a peer to a directory that reads nothing
+// from the store. The directory must apply the start and the end of an evacuation, and ignore
+// heartbeats that are older than what it has applied.
 func TestEvacuationHeardFromPeers(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 1, "a-1", "b-1")
 	source := cluster.nodes["b-1"]
@@ -233,20 +234,20 @@
 	receive(during)
 	receive(before)
 	if !evacuated() {
-		t.Error("the evacuation was not applied")
+		t.Error("the evacuation was not applied, or was undone by an older heartbeat")
 	}
 	cluster.store.EndEvacuation("a")
 	cluster.waitUntil("the peer knows that the evacuation has ended", func() bool { return !source.heartbeat().GetZones()[0].GetEvacuated() })
 	receive(source.heartbeat())
 	receive(during)
 	if evacuated() {
-		t.Error("the end of the evacuation was not applied")
+		t.Error("the end of the evacuation was not applied, or was undone by an older heartbeat")
 	}
 }
 
-// TestEntriesOfOtherWriters writes invalid entries of upstreams to the store, and overwrites a
-// valid one. They must not be used. The other upstream is still used, and the overwritten one
-// is used again after its valid entry is back.
+// TestEntriesOfOtherWriters writes invalid entries of upstreams to the store, and overwrites the
+// valid entry of one of two upstreams with an invalid one. Only the other upstream may be used
+// then. The overwritten one must be used again after it has written its valid entry again.
 func TestEntriesOfOtherWriters(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	for name, raw := range map[string]string{
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -13,8 +13,9 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// TestOwnerKilled kills the owner of the only group while a job runs. The other instance takes
-// over the upstreams, and the job, submitted again, never has two runs of a task at once.
+// TestOwnerKilled kills the owner of the only group while a job runs, and submits the job again.
+// The other instance must take over the upstreams and complete the job, and no task may have two
+// runs at once, which the cluster checks when it is closed.
 func TestOwnerKilled(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	owner := cluster.owner("a/0")
@@ -27,7 +28,7 @@
 	}
 	remaining := cluster.owner("a/0")
 	if status, body := cluster.submit(remaining, id, 4, 20); status != http.StatusOK {
-		t.Errorf("the same job again: %d %q", status, body)
+		t.Errorf("the resubmitted job got status %d, body %q", status, body)
 	}
 }
 
@@ -44,7 +45,7 @@
 	<-response
 	cluster.waitUntil("the tasks of the job are stopped", func() bool { return !cluster.runs.IsRunning(id) })
 	if status, body := cluster.submit(owner, id, 4, 20); status != http.StatusOK {
-		t.Errorf("the same job again: %d %q", status, body)
+		t.Errorf("the resubmitted job got status %d, body %q", status, body)
 	}
 }
 
@@ -77,7 +78,7 @@
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	again := cluster.submitAsync("a-1", id, 2, 400)
 	if a, b := <-first, <-again; a != http.StatusOK || b != http.StatusOK {
-		t.Errorf("the same job twice at one instance: %d, %d", a, b)
+		t.Errorf("a job submitted twice to one instance got status %d and status %d, want 200 twice", a, b)
 	}
 	if starts := cluster.runs.Starts(); starts != 2 {
 		t.Errorf("2 tasks were started %d times", starts)
@@ -87,12 +88,12 @@
 	cluster.waitUntil("the job runs", func() bool { return cluster.runs.IsRunning(id) })
 	again = cluster.submitAsync("a-2", id, 2, 100)
 	if a, b := <-first, <-again; a != http.StatusGatewayTimeout || b != http.StatusOK {
-		t.Errorf("the same job at two instances: %d, %d", a, b)
+		t.Errorf("a job submitted to two instances got status %d and then status %d, want 504 and 200", a, b)
 	}
 }
 
-// TestUpstreamTroubles makes an upstream fail in various ways. Jobs must be completed on the
-// others.
+// TestUpstreamTroubles makes one of three upstreams fail in various ways. Jobs must still be
+// completed.
 func TestUpstreamTroubles(t *testing.T) {
 	for name, fail := range map[string]func(*standin.Upstream){
 		"silent": func(u *standin.Upstream) { u.SetFault(standin.NoAnswer) },
@@ -116,8 +117,9 @@
 	}
 }
 
-// TestStoreAway kills the owner of the group while the store is unavailable. Jobs must be
-// completed all the time, and a new configuration is applied once the store is back.
+// TestStoreAway kills the owner of the group while the store is unavailable. Jobs must be completed
+// before and after the kill, and a new configuration must be applied once the store is available
+// again.
 func TestStoreAway(t *testing.T) {
 	for name, fault := range map[string]standin.Fault{"silent": standin.NoAnswer, "busy": standin.Unavailable, "reset": standin.ConnectionReset} {
 		t.Run(name, func(t *testing.T) {
@@ -136,8 +138,8 @@
 	}
 }
 
-// TestConfigFromPeer starts an instance that never reaches the store. It must get the
-// configuration and later versions from its peer, and must not go back to an older one.
+// TestConfigFromPeer starts an instance whose store never serves a request. The instance must get
+// the configuration and later versions from its peer, and must not go back to an older version.
 func TestConfigFromPeer(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	deadStore, err := standin.NewStore("127.0.0.1:0")
@@ -168,8 +170,8 @@
 	}
 }
 
-// TestHistoryForgotten makes the store drop its history, so that a watch cannot continue. The
-// instance must read all keys again, and notice an upstream that was removed meanwhile.
+// TestHistoryForgotten makes the store drop its history, so that watches fail. The instance must
+// read all keys again, and notice that an upstream has been removed meanwhile.
 func TestHistoryForgotten(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	cluster.store.SetFault(standin.Unavailable, 0)
@@ -185,8 +187,8 @@
 	cluster.mustComplete("a-1", 2, 10)
 }
 
-// TestPlannedStop shuts down the owner of the only group as planned while jobs run. All jobs
-// must be completed, and the other instance owns the group afterwards.
+// TestPlannedStop begins a planned shutdown of the owner of the only group while jobs run. All jobs
+// must be completed, and the other instance must complete a job afterwards.
 func TestPlannedStop(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 3, "a-1", "a-2")
 	owner := cluster.owner("a/0")
@@ -214,8 +216,9 @@
 	cluster.mustComplete(other, 2, 20)
 }
 
-// TestFencedByStranger makes an upstream accept a higher token that no instance has issued. The
-// owner must take the group again under a higher token after the minimum ownership interval.
+// TestFencedByStranger makes an upstream accept a fencing token that no instance has issued and
+// that is higher than its owner's. The owner must give up the group after the minimum ownership
+// interval, and take it again under a token that is higher still.
 func TestFencedByStranger(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	n := cluster.nodes["a-1"]
@@ -234,9 +237,9 @@
 	})
 }
 
-// TestHeardWithoutOwnConnection starts an instance that its peer cannot connect to. The peer
-// must send heartbeats on the connection that the instance opens, so that the instance does not
-// take a group of its peer.
+// TestHeardWithoutOwnConnection starts an instance that accepts no connections. Its peer must send
+// it heartbeats on the connection that the instance opens. Otherwise the instance would not know
+// the peer's claim on the group, and would take the group.
 func TestHeardWithoutOwnConnection(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	settings := cluster.settings("a-2")
@@ -261,8 +264,9 @@
 	}
 }
 
-// TestStaleToken makes the upstream remember a token far ahead of the clock, of an owner that
-// does not exist any more. A new owner must get above that token within a few attempts.
+// TestStaleToken makes the upstream remember the token of an owner that does not exist any more,
+// with a time 100 s ahead of the clock. A new owner must reach a higher token within a few
+// attempts.
 func TestStaleToken(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	cluster.kill("a-1")
--- a/node/groups_test.go
+++ b/node/groups_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestCounted checks when the number of upstreams counts as settled. At the first start of the
-// system, upstreams register one after the other, so that the number is used only after it was
-// unchanged for a while. At a later start it is used at once.
+// system, upstreams register one after the other, so that the number must not be used before it
+// has been unchanged for a while. At a later start it must be used at once.
 func TestCounted(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
@@ -22,7 +22,7 @@
 		{5100, 89, false}, {7000, 90, true},
 	} {
 		if got := n.upstreamCountSettled(step.count, at(step.ms)); got != step.want {
-			t.Errorf("%d upstreams after %d ms: settled %v", step.count, step.ms, got)
+			t.Errorf("%d upstreams after %d ms: settled is %v, want the opposite", step.count, step.ms, got)
 		}
 	}
 	n = &Node{startedAt: began}
--- a/node/incarnations_test.go
+++ b/node/incarnations_test.go
@@ -10,9 +10,9 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// TestUpstreamStartsAgain crashes upstreams while tasks run there and restarts them under the
-// same ids, in the second round while they are draining. The jobs must be completed on other
-// upstreams or on the new incarnations, and the new incarnations must be used like new
+// TestUpstreamStartsAgain crashes upstreams while tasks run there and restarts them under the same
+// ids. In the second of three rounds they are draining when they crash. The jobs must be completed
+// on other upstreams or on the new incarnations, and the new incarnations must be used like new
 // upstreams.
 func TestUpstreamStartsAgain(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestTaskCrashesUpstreams submits a task that crashes each upstream that starts it, while tasks
-// of another job run there. Its job must fail after at most three crashes, the other job must
-// be completed, and the upstreams must be used again.
+// TestTaskCrashesUpstreams submits a job whose task crashes each upstream that starts it, while
+// tasks of another job run there. The job must fail after at most three crashes, the other job
+// must be completed, and the upstreams must be used again.
 func TestTaskCrashesUpstreams(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 3, "a-1", "a-2", "b-1")
 	crashingJob := cluster.newJobID()
@@ -78,7 +78,7 @@
 	cluster.waitUntil("tasks of the other job run", func() bool { return cluster.runningTasks() == 4 })
 	status, body := cluster.submit("a-1", crashingJob, 1, 300)
 	if status != http.StatusOK || !strings.Contains(body, "failed") || crashes.Load() > 3 {
-		t.Errorf("response %d %s after %d crashes", status, body, crashes.Load())
+		t.Errorf("the crashing job got status %d, body %s, after %d crashes", status, body, crashes.Load())
 	}
 	if status := <-otherResponse; status != http.StatusOK {
 		t.Errorf("the other job got status %d", status)
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -45,12 +45,12 @@
 	return cluster, hubs, spokes
 }
 
-// TestLargeZone checks that spokes exchange no heartbeats with each other, but know the owners
-// in their own and in other zones and complete jobs on both.
+// TestLargeZone checks that spokes exchange no heartbeats with each other. They must still know
+// the owners in their own zone and in other zones, and complete jobs on the upstreams of both.
 func TestLargeZone(t *testing.T) {
 	cluster, _, spokes := newLargeTestCluster(t)
 	first := cluster.nodes[spokes[0]]
-	cluster.waitUntil("the spoke has no heartbeats of other spokes and zones", func() bool {
+	cluster.waitUntil("no other spoke and no other zone exchanges heartbeats with the spoke", func() bool {
 		first.mu.Lock()
 		defer first.mu.Unlock()
 		for _, other := range spokes[1:] {
@@ -123,8 +123,9 @@
 	return b.String()
 }
 
-// TestInUse checks the active owners: an instance with an open offer is one, however long ago
-// the offer was sent, and an instance whose offers have ended is one for activeOwnerPeriod.
+// TestInUse checks which instances are active owners. An instance with an open offer is one,
+// however long ago the offer was sent. An instance without one is an active owner for
+// activeOwnerPeriod after the last offer was sent to it.
 func TestInUse(t *testing.T) {
 	r := newRouter(nil)
 	now := clock.Now()
@@ -140,8 +141,9 @@
 	}
 }
 
-// TestStandbyReadsUpstreams checks that a standby instance beside a larger one does not read
-// each change of the upstreams, but reads them all when it becomes their owner.
+// TestStandbyReadsUpstreams checks that a standby instance, which owns no group because another one
+// is larger, does not read each change of the upstreams. When it becomes their owner, it must read
+// them all.
 func TestStandbyReadsUpstreams(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	cluster.startWithCPUShare("a-2", 0.1)
@@ -182,7 +184,7 @@
 		change()
 		n.updateNeighboursLocked(n.router.activeOwners())
 		if (n.neighbours != before) != want {
-			t.Errorf("%s: computed again %v, want %v", what, !want, want)
+			t.Errorf("%s: the neighbours are computed again: %v, want %v", what, !want, want)
 		}
 	}
 	check("instances are listed", func() { n.peers.SetListed(lo.Values(listings)) }, true)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -59,7 +59,7 @@
 			return cluster.status("GET", cluster.nodes[name].settings.ReadinessAddress, "/readiness") == http.StatusOK
 		})
 	}
-	cluster.waitUntil("every zone has an owner", func() bool {
+	cluster.waitUntil("every group has an owner", func() bool {
 		return len(cluster.nodes[instances[0]].router.Loads()) == len(zones)*membership.GroupCount(upstreamsPerZone, len(instances), 0)
 	})
 	return cluster
@@ -283,7 +283,7 @@
 	}
 }
 
-// TestCalm submits jobs to all instances while nothing fails, among them jobs with more tasks
+// TestCalm submits jobs to all instances while nothing fails. Some of the jobs have more tasks
 // than one zone can run at once.
 func TestCalm(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
@@ -294,8 +294,8 @@
 	}
 }
 
-// TestAnswers checks the responses to requests that are not valid jobs, to jobs that are not
-// supported, and to the other methods of the interface.
+// TestAnswers checks the responses to invalid jobs, to jobs that are valid but not supported, and
+// to the other methods of the interface.
 func TestAnswers(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	address := cluster.nodes["a-1"].settings.CustomerAddress
--- a/node/ownership_test.go
+++ b/node/ownership_test.go
@@ -8,8 +8,9 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// TestBetterOwner checks that a group is handed over only to a much larger instance, or to one
-// that owns at least two groups fewer, and not just because it is assigned to the other.
+// TestBetterOwner checks that a hub hands over a group only to a much larger instance, or to one
+// that owns at least two groups fewer. That the group is assigned to the other instance is not
+// enough.
 func TestBetterOwner(t *testing.T) {
 	for name, c := range map[string]struct {
 		share    float64
@@ -41,7 +42,7 @@
 		}
 		n.lastHeartbeat["peer"] = p
 		if got := n.isBetterOwner("peer", owners); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: isBetterOwner returned %v, want the opposite", name, got)
 		}
 	}
 }
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -8,8 +8,8 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// newStartingFleet returns the instances of a fleet that have all just started and read the list
-// of instances. Each zone has five large ones.
+// newStartingFleet returns the instances of a fleet, all of which have just started and have read
+// the list of instances. Five instances of each zone are large.
 func newStartingFleet(zones, instances int) []*Node {
 	listings := map[string]membership.Listing{}
 	for i := range instances {
@@ -34,10 +34,10 @@
 	return fleet
 }
 
-// TestReadersDoNotGrow starts all instances at once, as after a loss of power. Each instance that
-// reads the entries of all upstreams takes bandwidth of the store, and no task starts before the
-// owners have read them. Therefore only the instances that may own groups must read them, however
-// large the fleet is.
+// TestReadersDoNotGrow starts all instances at once, as after a loss of power. No task starts
+// before the owners have read the entries of all upstreams, and each other instance that reads
+// them takes bandwidth of the store away from the owners. Therefore only the large instances,
+// which may own groups, may read the entries, however many instances the fleet has.
 func TestReadersDoNotGrow(t *testing.T) {
 	const zones, largeOfZone = 6, 5
 	for _, instances := range []int{100, 300, 1000} {
@@ -55,7 +55,7 @@
 			t.Errorf("%d of %d instances read the upstreams at the start, want %d", readers, instances, zones*largeOfZone)
 		}
 		if rareWatchers > 0 {
-			t.Errorf("%d of %d instances use long watches before they have received heartbeats", rareWatchers, instances)
+			t.Errorf("%d of %d instances use long watches before they have received heartbeats, want none", rareWatchers, instances)
 		}
 	}
 }
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -9,9 +9,8 @@
 )
 
 // TestRestartOfAll kills all instances at once while tasks run, and starts all of them at once
-// while each call to the store takes long. Every instance must complete jobs, each group must
-// have one owner, and no task may have two runs at once, which the cluster checks when it is
-// closed.
+// while each call to the store takes 400 ms. Every instance must complete jobs, and each group must
+// have one owner. No task may have two runs at once, which the cluster checks when it is closed.
 func TestRestartOfAll(t *testing.T) {
 	names := []string{"a-1", "a-2", "a-3", "a-4", "b-1", "b-2", "b-3"}
 	cluster := newTestCluster(t, []string{"a", "b"}, 3, names...)
--- a/node/silence_test.go
+++ b/node/silence_test.go
@@ -18,8 +18,8 @@
 }
 
 // TestPeerConnectionsGoSilent makes the open connections between instances drop all data, while
-// new ones work. No group may change its owner, since no peer is lost. The result of a job that
-// runs through such a connection is unknown, and the customer must get a response soon.
+// new ones work. No group may change its owner, since no peer is lost. A job with an open offer on
+// such a connection has an unknown result, which its customer must be told soon.
 func TestPeerConnectionsGoSilent(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "a-2", "b-1")
 	owner := cluster.owner("a/0")
@@ -49,7 +49,7 @@
 		cluster.mustComplete(name, 6, 20)
 	}
 	if cluster.tokenOf("a/0") != token || cluster.tokenOf("b/0") != otherZoneToken {
-		t.Error("a group was taken again")
+		t.Error("a group is owned under another token: it was taken again")
 	}
 }
 
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestZoneCutHeals makes two instances consider each other dead, as in a partition between their
-// zones. They must find each other again once they are reachable.
+// TestZoneCutHeals makes two instances consider each other dead, as after a partition between
+// their zones. They must find each other again, since they can reach each other.
 func TestZoneCutHeals(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a", "b"}, 2, "a-1", "b-1")
 	a, b := cluster.nodes["a-1"], cluster.nodes["b-1"]
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -12,8 +12,9 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// TestStopWithoutSuccessor shuts down the only instance of a zone as planned. It must keep its
-// group and complete jobs until another instance has started and takes the group.
+// TestStopWithoutSuccessor begins a planned shutdown of the only instance of a zone. The instance
+// must keep its group and complete jobs until another one has started, which must then own the
+// group.
 func TestStopWithoutSuccessor(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	n := cluster.nodes["a-1"]
@@ -46,8 +47,9 @@
 	}
 }
 
-// TestStopHandsOverInTime checks that without a successor a group is kept at the beginning of a
-// planned shutdown, and handed over early enough for running tasks to end.
+// TestStopHandsOverInTime checks that an instance that no other can replace keeps its group at the
+// beginning of a planned shutdown, and begins to hand it over before half of the time has passed,
+// so that running tasks can end.
 func TestStopHandsOverInTime(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	n := cluster.nodes["a-1"]
@@ -95,13 +97,13 @@
 			n.refusedAt["a-2"] = clock.Now()
 		}
 		if got := n.doneWaitingForPeers(); got != c.want {
-			t.Errorf("%s: settled %v, want %v", name, got, c.want)
+			t.Errorf("%s: done waiting is %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// newIdleNode returns an instance that has just started and knows no peers. It does no work of
-// its own.
+// newIdleNode returns an instance that has just started and knows no peers. It has no listeners
+// and runs nothing in the background.
 func newIdleNode(name, zone string) *Node {
 	n := &Node{
 		peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{},
@@ -113,8 +115,8 @@
 	return n
 }
 
-// TestWaitsForListedPeers checks that an instance waits for the heartbeats of the peers on the list
-// of instances as soon as it has read the list, before it takes a group.
+// TestWaitsForListedPeers checks that an instance that has just read the list of instances takes no
+// group, because a listed peer of its zone has not sent a heartbeat yet.
 func TestWaitsForListedPeers(t *testing.T) {
 	n := newIdleNode("a-2", "a")
 	n.setPeerList(map[string]membership.Listing{"a-1": {Instance: "a-1", Zone: "a", Address: "there"}})
--- a/node/upstreamrequest_test.go
+++ b/node/upstreamrequest_test.go
@@ -7,9 +7,9 @@
 	"github.com/sedgehatch/sedgehatch/platform/standin"
 )
 
-// TestReplacedWithoutStore replaces all instances of a zone one after the other by planned
-// shutdowns while the store is unavailable. Each new instance must get the upstreams from a peer
-// that has read them, and jobs must be completed all the time.
+// TestReplacedWithoutStore shuts down the instances of a zone as planned, one after the other, and
+// starts a new one for each, while the store is unavailable. Each new instance must get the
+// upstreams from a peer that knows them, and jobs must be completed all the time.
 func TestReplacedWithoutStore(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1", "a-2")
 	cluster.store.SetFault(standin.ConnectionReset, 0)
