--- a/ingress/server.go
+++ b/ingress/server.go
@@ -108,7 +108,7 @@
 		s.handleQueue(ctx, route)
 		return
 	}
-	if err := platform.ParseJobID(id); err != nil {
+	if err := platform.ValidateJobID(id); err != nil {
 		writeError(ctx, err)
 		return
 	}
