--- a/cli/bench.go
+++ b/cli/bench.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// invariantError returns an error if a run violated an invariant.
+// invariantError returns an Invariant error if a run violated an invariant or started a task
+// twice.
 func invariantError(r *experiment.Report) error {
 	if len(r.Violations) > 0 || r.DuplicateStarts > 0 {
 		return failure.Invariant.New("%d tasks started twice; %s", r.DuplicateStarts, strings.Join(r.Violations, "; "))
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,9 @@
 // Package cli implements the sedgehatch command-line tool for operators and callers.
+//
+// A caller is a program or person that submits jobs. The fate of a job is its final outcome:
+// complete, failed, not run or unknown. A job is identified by the session in which it was
+// submitted, its sequence number in that session and its generation. Settings are a tree of
+// values, of which each change makes a new revision.
 package cli
 
 import (
@@ -17,17 +22,17 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The exit codes of the process. Each fate (final outcome) of a job has its own code.
+// The exit codes of the process. Each fate of a job has its own code.
 const (
 	ExitComplete  = 0 // the job is complete, or another command succeeded
-	ExitError     = 1 // the command failed without a fate of a job
+	ExitError     = 1 // the command failed for a reason other than the fate of a job
 	ExitUsage     = 2 // the command line or the input is invalid
 	ExitConflict  = 3 // the settings were changed by someone else in the meantime
 	ExitFailed    = 10
 	ExitNotRun    = 11
 	ExitUnknown   = 12
-	ExitPending   = 13 // the job has no fate yet, or a change of settings is not in force on all instances yet
-	ExitInvariant = 20 // an invariant of the product was violated
+	ExitPending   = 13 // the job has no fate yet, or some instances do not use the changed settings yet
+	ExitInvariant = 20 // a demo, benchmark or soak run violated an invariant of the product
 )
 
 // exitCodes maps the fate of a job to the exit code.
@@ -36,8 +41,8 @@
 	fate.Unknown: ExitUnknown, fate.Pending: ExitPending,
 }
 
-// exitError ends the process with an exit code and without an error message. Commands return it
-// after they have printed their result.
+// exitError is returned by commands that have printed their result, to end the process with an
+// exit code but without an error message.
 type exitError struct{ code int }
 
 func (e exitError) Error() string { return fmt.Sprintf("exit code %d", e.code) }
@@ -66,13 +71,14 @@
 	case failure.Is(err, failure.Invariant):
 		return ExitInvariant
 	case failure.Code(err) == "internal":
-		return ExitUsage // also errors of the command-line parser, which have no type
+		return ExitUsage // errors of the command-line parser, which have no type of package failure
 	default:
 		return ExitError
 	}
 }
 
-// formatError returns the message to print for an error: the field, the text and the type.
+// formatError returns the message to print for an error: the field if it has one, the text and
+// the type.
 func formatError(err error) string {
 	text := failure.Text(err)
 	if field := failure.FieldOf(err); field != "" {
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -56,7 +56,7 @@
 		code, out, errOut := run("submit", entry, "--json", writeTempFile(t, test.text))
 		var a api.Answer
 		if err := json.Unmarshal([]byte(out), &a); err != nil || code != test.code || a.Fate != test.fate {
-			t.Errorf("%s: exit code %d, %s %s %v", test.text, code, out, errOut, err)
+			t.Errorf("%s: exit code %d, output %s %s, decoding error %v", test.text, code, out, errOut, err)
 		}
 	}
 	for _, args := range [][]string{
@@ -67,11 +67,11 @@
 		{"settings", "set", "planet", "witness", "zone"},
 	} {
 		if code, _, errOut := run(args...); code != ExitUsage || errOut == "" {
-			t.Errorf("%v: code %d, %s", args, code, errOut)
+			t.Errorf("invalid command %v: exit code %d, error output %q", args, code, errOut)
 		}
 	}
 	if code, _, _ := run("instances", "--entry=127.0.0.1:1"); code != ExitError {
-		t.Errorf("unreachable instance: code %d", code)
+		t.Errorf("unreachable instance: exit code %d, want 1", code)
 	}
 }
 
@@ -83,7 +83,7 @@
 		t.Helper()
 		code, out, errOut := run(args...)
 		if code != want || !strings.Contains(out+errOut, contains) {
-			t.Errorf("%v: code %d\n%s%s", args, code, out, errOut)
+			t.Errorf("%v: unexpected exit code %d or output:\n%s%s", args, code, out, errOut)
 		}
 	}
 	command := func(name string, flags []string, args ...string) []string {
--- a/cli/lab.go
+++ b/cli/lab.go
@@ -106,10 +106,14 @@
 	return variants, nil
 }
 
-// printLabTable prints a line for each row. Some headings differ from the fields of lab.Metrics:
-// crowded is PeakWorth, room is RefusedWithRoom, "tell p50" to "p99 ms" are the Unserved fields,
-// kind, large and zone are the Worst fields, and doubts and silences are FalseEjections and
-// FalseSilences.
+// printLabTable prints a line for each row. These headings differ from the fields of lab.Metrics
+// below them:
+//   - crowded: PeakWorth
+//   - room: RefusedWithRoom
+//   - tell p50, p90, p99 ms: UnservedP50, UnservedP90, UnservedP99Ms
+//   - kind, large, zone: WorstKind, WorstLarge, WorstZone
+//   - later, later s: ServedLater, ServedLaterSeconds
+//   - doubts, silences: FalseEjections, FalseSilences
 func printLabTable(out io.Writer, rows []lab.Row) error {
 	t := tabwriter.NewWriter(out, 2, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "rules\tworth\tgain\t±\tcrowded\tbound\tin time\tlate\trefused\troom\tgiven up\tfailed\twasted\ttell p50\tp90\tp99 ms\tkind\tlarge\tzone\tlater\tlater s\tdoubts\tsilences\t")
--- a/cli/lab_test.go
+++ b/cli/lab_test.go
@@ -18,11 +18,11 @@
 	} {
 		code, _, errOut := run("lab", "--seeds", "1", "--"+flag, value)
 		if code != ExitUsage || !strings.Contains(errOut, flag+":") {
-			t.Errorf("--%s %s: exit code %d, %q", flag, value, code, errOut)
+			t.Errorf("--%s %s: exit code %d, error output %q", flag, value, code, errOut)
 		}
 	}
 	if code, _, errOut := run("lab", "--seeds", "1", "--plot", "x.png"); code != ExitUsage || !strings.Contains(errOut, "plot:") {
-		t.Errorf("plot of a single variant: exit code %d, %q", code, errOut)
+		t.Errorf("plot of a single variant: exit code %d, error output %q", code, errOut)
 	}
 }
 
@@ -32,18 +32,18 @@
 	args := []string{"lab", "--seeds", "2", "--load", "0.6", "--trouble", "none", "--without", "WholeJobs+RejectEarly", "--plot", plot}
 	code, table, errOut := run(args...)
 	if code != ExitComplete || !strings.Contains(table, "product") || !strings.Contains(table, "without WholeJobs,RejectEarly") {
-		t.Fatalf("exit code %d, %q, %q", code, table, errOut)
+		t.Fatalf("table output: exit code %d, output %q, error output %q", code, table, errOut)
 	}
 	if info, err := os.Stat(plot); err != nil || info.Size() == 0 {
-		t.Errorf("no plot: %v", err)
+		t.Errorf("the plot is missing or empty: %v", err)
 	}
 	_, text, _ := run(append(args, "--json")...)
 	var rows []lab.Row
 	if err := json.Unmarshal([]byte(text), &rows); err != nil || len(rows) != 2 {
-		t.Fatalf("%d rows, %v: %s", len(rows), err, text)
+		t.Fatalf("JSON output: got %d rows, want 2; decoding error %v: %s", len(rows), err, text)
 	}
 	if code, _, errOut := run("lab", "--seeds", "1", "--load", "0.6", "--trouble", "none", "--json"); code != ExitComplete {
-		t.Errorf("single seed: exit code %d, %q", code, errOut)
+		t.Errorf("single seed: exit code %d, error output %q", code, errOut)
 	}
 	if w := rows[0].Metrics.Worth; w <= 0.5 || w > 1 {
 		t.Errorf("worth %f, want more than 0.5 and at most 1", w)
--- a/cli/pages_test.go
+++ b/cli/pages_test.go
@@ -24,7 +24,7 @@
 	"github.com/samber/lo"
 )
 
-// pages lists the documentation pages with the commands that TestPages runs.
+// pages lists the documentation pages whose commands TestPages runs.
 var pages = []string{"README.md", "docs/OPERATIONS.md"}
 
 var (
@@ -48,8 +48,8 @@
 	return lo.Uniq(commands)
 }
 
-// splitCommand splits a command into words as a shell does, but supports only blanks and double
-// quotes.
+// splitCommand splits a command into words as a shell does. Of the shell's syntax it supports only
+// blanks and double quotes.
 func splitCommand(t *testing.T, command string) []string {
 	t.Helper()
 	r := csv.NewReader(strings.NewReader(command))
@@ -61,7 +61,8 @@
 	return fields
 }
 
-// extraArgs are added to commands that would take long, to shorten them.
+// extraArgs holds arguments that shorten commands that would take long. They are added to the
+// commands that start with the prefix.
 var extraArgs = []struct {
 	prefix string
 	args   []string
@@ -144,9 +145,9 @@
 	innerPort     = 17500
 )
 
-// daemonIP returns a loopback address that no other process uses, derived from the process ID.
-// Choosing free ports instead would be a race: another process could take them before the
-// daemon listens.
+// daemonIP returns a loopback address derived from the process ID, so that no other run of this
+// test uses it. Choosing free ports instead would be a race: another process could take them
+// before the daemon listens.
 func daemonIP() string {
 	const hosts = 254
 	pid := os.Getpid()
@@ -176,7 +177,7 @@
 	code, out := p.run("sedgehatch", "submit", "--json", job)
 	var answer api.Answer
 	if err := json.Unmarshal([]byte(out), &answer); err != nil || code != ExitComplete {
-		p.t.Fatalf("exit %d, %s, %v", code, out, err)
+		p.t.Fatalf("submitting a job: exit code %d, output %s, decoding error %v", code, out, err)
 	}
 	return string(answer.Session)
 }
@@ -219,7 +220,7 @@
 		case <-timeout:
 			_ = cmd.Process.Kill()
 			<-ended
-			p.t.Fatalf("the daemon is not ready in time: %s", text)
+			p.t.Fatalf("the daemon did not become ready in time; its output: %s", text)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -233,7 +234,7 @@
 	var settings struct{ Listen struct{ Readiness string } }
 	raw, err := os.ReadFile(filepath.Join(p.dir, "settings.json"))
 	if err != nil || json.Unmarshal(raw, &settings) != nil {
-		p.t.Fatalf("settings %s: %v", raw, err)
+		p.t.Fatalf("cannot read or decode the settings file %s: %v", raw, err)
 	}
 	res, err := http.Get("http://" + settings.Listen.Readiness + "/readiness")
 	if err != nil {
@@ -268,7 +269,7 @@
 	_, out := p.run("sedgehatch", "settings", "history", "--limit", "1")
 	fields := strings.Fields(regexp.MustCompile(`(?m)^\d+ .*$`).FindString(out))
 	if len(fields) == 0 {
-		p.t.Fatalf("no revision in %s", out)
+		p.t.Fatalf("the command settings history printed no revision: %s", out)
 	}
 	return fields[0]
 }
@@ -296,9 +297,9 @@
 	return args
 }
 
-// TestPages runs every command in README and OPERATIONS as written there, with the programs
-// built from this checkout and in its root directory. Placeholders for files, sessions and
-// revisions are replaced, and commands that take long are shortened.
+// TestPages runs every command in the pages, in the root directory of this checkout and with the
+// programs built from it. Each command must succeed. It is run as written, except that placeholders
+// for files, sessions and revisions are replaced, and that extraArgs shorten long commands.
 func TestPages(t *testing.T) {
 	t.Chdir("..")
 	p := newPageTest(t)
@@ -323,7 +324,7 @@
 				code, out = p.run(args...)
 			}
 			if code != ExitComplete {
-				t.Errorf("exit %d: %s", code, out)
+				t.Errorf("exit code %d, output: %s", code, out)
 			}
 		})
 	}
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -67,8 +67,8 @@
 	return settings.Path{Region: c.String("region"), Zone: c.String("zone"), Service: c.String("service"), Caller: c.String("caller-name")}
 }
 
-// exactArgs returns the arguments of a command. It returns an error unless there is exactly one
-// argument for each name.
+// exactArgs returns the arguments of a command. It returns an InvalidInput error unless there are
+// as many arguments as names.
 func exactArgs(c *cli.Command, names ...string) ([]string, error) {
 	if c.Args().Len() != len(names) {
 		return nil, failure.Field(failure.InvalidInput, "arguments", "%s requires the arguments %s", c.Name, strings.Join(names, " "))
@@ -161,7 +161,7 @@
 	}
 }
 
-// affectedServices describes to which services a change at a node applies.
+// affectedServices describes to which services a change at a node of the settings tree applies.
 func affectedServices(n settings.Node) string {
 	switch n.Level {
 	case settings.LevelFleet:
@@ -173,11 +173,12 @@
 	}
 }
 
-// revisionPollInterval is the interval at which the revisions of the instances are polled.
+// revisionPollInterval is the interval at which waitInForce asks for the revisions of the instances.
 const revisionPollInterval = 100 * time.Millisecond
 
-// waitInForce waits until a revision is in force on all running instances, for at most the time
-// of the flag wait. It prints how long that took, or the instances with an older revision.
+// waitInForce waits until a revision is in force on all running instances, and prints how long that
+// took. If it takes longer than the duration of the flag wait, it prints the instances that still
+// have an older revision, and returns an exitError with ExitPending.
 func waitInForce(ctx context.Context, c *cli.Command, revision uint64) error {
 	wait := c.Duration("wait")
 	cl, err := newClient(c)
--- a/cli/soak.go
+++ b/cli/soak.go
@@ -35,8 +35,8 @@
 			&cli.StringFlag{Name: "keep", Usage: "`DIRECTORY` in which to keep the settings and logs of all instances"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			// An interrupted run must still stop its processes, also if it is
-			// interrupted because the pipe of its output was closed.
+			// An interrupted run must still stop the daemons that it has started. SIGPIPE
+			// arrives if the reader of its output ends first.
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM, syscall.SIGPIPE)
 			defer stop()
 			daemon, cleanup, err := findDaemon(c.String("daemon"))
@@ -60,10 +60,10 @@
 // daemonName is the name of the daemon's executable.
 const daemonName = "sedgehatchd"
 
-// findDaemon returns the path of the daemon's executable: the given one or else, in this order,
-// one in the directory of this program, one in the PATH, or one that it builds from the
-// checkout in the working directory. Cleanup removes what was built. The error is InvalidInput
-// and says how to provide the daemon.
+// findDaemon returns the path of the daemon's executable. This is name, if it is not empty. If it
+// is empty, findDaemon looks in the directory of this program and then in the PATH, and otherwise
+// builds the daemon from the checkout in the working directory. Cleanup removes what was built. If
+// there is no daemon, the error is InvalidInput and says how to provide one.
 func findDaemon(name string) (program string, cleanup func(), err error) {
 	noCleanup := func() {}
 	if name != "" {
@@ -99,8 +99,8 @@
 	return program, cleanup, nil
 }
 
-// runSoak runs one seed and prints its summary. The error is Invariant if an invariant was
-// violated.
+// runSoak does the soak run of one seed and prints a summary. The error is Invariant if an
+// invariant was violated; the settings and logs of the instances are then kept.
 func runSoak(ctx context.Context, c *cli.Command, daemon string, seed uint64) error {
 	dir := c.String("keep")
 	if dir == "" {
--- a/cli/soak_test.go
+++ b/cli/soak_test.go
@@ -9,8 +9,9 @@
 	"github.com/sedgehatch/sedgehatch/failure"
 )
 
-// TestSoakDaemon checks that the daemon is found by its given path or in the PATH, and is built
-// in a checkout. Outside of a checkout, the error must say how to provide the daemon.
+// TestSoakDaemon checks that findDaemon finds the daemon by a given path or in the PATH, and
+// otherwise builds it if the working directory is a checkout. If it is not, the error must say how
+// to provide the daemon.
 func TestSoakDaemon(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, daemonName)
@@ -18,17 +19,17 @@
 		t.Fatal(err)
 	}
 	if found, cleanup, err := findDaemon(program); err != nil || found != program {
-		t.Errorf("given path: %q, %v", found, err)
+		t.Errorf("given path: found %q, error %v", found, err)
 	} else {
 		cleanup()
 	}
 	if _, _, err := findDaemon(filepath.Join(dir, "none")); failure.FieldOf(err) != "daemon" {
-		t.Errorf("given path that does not exist: %v", err)
+		t.Errorf("given path that does not exist: error %v, want one of field daemon", err)
 	}
 	before := os.Getenv("PATH")
 	t.Setenv("PATH", dir+string(os.PathListSeparator)+before)
 	if found, cleanup, err := findDaemon(""); err != nil || found != program {
-		t.Errorf("in the PATH: %q, %v", found, err)
+		t.Errorf("in the PATH: found %q, error %v", found, err)
 	} else {
 		cleanup()
 	}
@@ -47,6 +48,6 @@
 	}
 	t.Chdir(t.TempDir())
 	if _, _, err := findDaemon(""); failure.FieldOf(err) != "daemon" || !strings.Contains(failure.Text(err), "run this in a checkout") {
-		t.Errorf("outside of a checkout: %v", err)
+		t.Errorf("outside of a checkout: error %v, want one that says how to provide the daemon", err)
 	}
 }
--- a/cli/submit.go
+++ b/cli/submit.go
@@ -56,8 +56,8 @@
 	}
 	answer, err := sub.Submit(ctx)
 	if client.HomeEnded(&answer) || failure.Is(err, failure.SessionEnded) || failure.Is(err, failure.Stopping) {
-		// The instance or the session ended without running the job, so it is submitted
-		// again in another session.
+		// The instance or the session ended before the job ran, so that the job may be
+		// submitted again, in another session.
 		cl.Leave(sub)
 		answer, err = cl.Do(ctx, job)
 	}
