--- a/cli/cli.go
+++ b/cli/cli.go
@@ -3,7 +3,7 @@
 // A caller is a program or person that submits jobs. The fate of a job is its final outcome:
 // complete, failed, not run or unknown. A job is identified by the session in which it was
 // submitted, its sequence number in that session and its generation. Settings are a tree of
-// values, of which each change makes a new revision.
+// values, and each change to them makes a new revision.
 package cli
 
 import (
--- a/node/convert.go
+++ b/node/convert.go
@@ -81,7 +81,7 @@
 	})
 }
 
-// taskHistoryToProto returns the histories of tasks, ordered by task.
+// taskHistoryToProto returns the messages for the histories of tasks, in the order of the tasks.
 func taskHistoryToProto(history map[int]schedule.TaskHistory) []*inner.TaskPast {
 	var list []*inner.TaskPast
 	for _, task := range slices.Sorted(maps.Keys(history)) {
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -264,9 +264,9 @@
 	}
 }
 
-// TestStaleToken makes the upstream remember the token of an owner that does not exist any more,
-// with a time 100 s ahead of the clock. A new owner must reach a higher token within a few
-// attempts.
+// TestStaleToken makes the upstream remember the token of an owner that does not exist any more.
+// The time in that token is 100 s ahead of the clock. A new owner must reach a higher token within
+// a few attempts.
 func TestStaleToken(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	cluster.kill("a-1")
--- a/node/follow.go
+++ b/node/follow.go
@@ -29,8 +29,8 @@
 	// changed since the last call of either.
 	replace func(items []platform.Item, revision uint64)
 	update  func(items []platform.Item)
-	// onReadFailure is called after a failed call to the store if all keys have not been read
-	// yet, or must be read again. It may be nil.
+	// onReadFailure is called after each failed call to the store after which the next call
+	// must read all keys. It may be nil.
 	onReadFailure func()
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -107,11 +107,11 @@
 	// emptySince holds, by zone, since when the zone has had no instance. orphanRetryAt
 	// holds, by zone, when this instance may again try to take the groups of such a zone.
 	emptySince, orphanRetryAt map[string]time.Time
-	isolatedSince             time.Time // since when no peer has been alive; zero while one is
+	isolatedSince             time.Time // since when this instance has been isolated; zero while a peer is alive
 	// groupCounts holds the number of groups of each availability zone.
 	groupCounts map[string]int
-	// lastUpstreamCount is the number of upstreams in the own zone, and
-	// upstreamCountChangedAt is when it last changed.
+	// lastUpstreamCount is the number of upstreams in the own zone when they were last
+	// counted, and upstreamCountChangedAt is when that number last changed.
 	lastUpstreamCount      int
 	upstreamCountChangedAt time.Time
 	configRequests         configRequests
--- a/node/ownership.go
+++ b/node/ownership.go
@@ -105,8 +105,8 @@
 	// group over to a better owner. Ownership must not alternate between two instances, and
 	// each handover makes some capacity unavailable for a moment.
 	minHandoverAge = 5 * time.Second
-	// muchLargerFactor is how many times the CPU share of this instance a peer must at least
-	// have for its size alone to justify a handover.
+	// muchLargerFactor is the ratio of a peer's CPU share to that of this instance from which
+	// on the size of the peer alone justifies a handover.
 	muchLargerFactor = 2
 )
 
@@ -172,9 +172,10 @@
 // leaves less time for the tasks that still run at the handover.
 const keepGroupsFraction = 0.4
 
-// handOverForShutdown starts to hand over the groups of this instance in a planned shutdown. It
-// keeps those of the own zone for keepGroupsFraction of limit, the time for the whole shutdown,
-// while no instance can take them. Elapsed is the time since the shutdown began.
+// handOverForShutdown starts to hand over the groups of this instance in a planned shutdown. If no
+// other instance can take the groups of the own zone, it keeps them until keepGroupsFraction of
+// limit has passed. Limit is the time for the whole shutdown, and elapsed is how much of it has
+// passed.
 func (n *Node) handOverForShutdown(elapsed, limit time.Duration) {
 	var handedOver []*ownedGroup
 	n.mu.Lock()
--- a/node/peers.go
+++ b/node/peers.go
@@ -90,7 +90,7 @@
 	}
 	go func() {
 		if n.settings.Name > instance {
-			n.sleep(dialYieldDelay) // seeds too: their names start with @, which sorts before the names of instances
+			n.sleep(dialYieldDelay) // also for a seed, whose name starts with @ and therefore sorts first
 		}
 		err := n.mesh.Send(fate.Incarnation(instance), n.heartbeatFor(instance)) // the next tick tries again
 		n.recordRefusal(instance, err)
@@ -139,8 +139,8 @@
 }
 
 // refusalValidity is how long an instance is considered not running after it has refused a
-// connection. Another refusal starts that time again. Any other result of an attempt to send it
-// something ends the time at once.
+// connection. Another refusal starts that time again. Any other result of an attempt to contact
+// the instance ends the time at once.
 const refusalValidity = time.Second
 
 // refusedRecently reports whether an instance has refused a connection within
--- a/node/registration.go
+++ b/node/registration.go
@@ -16,8 +16,8 @@
 	"github.com/samber/lo"
 )
 
-// followPeers follows the keys that instances write to the store, until this instance ends. They
-// hold the entries of the instances and the number of groups of each zone.
+// followPeers follows the keys that instances write to the store: the entries of the instances and
+// the number of groups of each zone. It returns when this instance ends.
 func (n *Node) followPeers() {
 	listings := map[string]membership.Listing{}
 	update := func(items []platform.Item) {
--- a/node/timing.go
+++ b/node/timing.go
@@ -12,8 +12,8 @@
 // Heartbeats.
 
 const (
-	// heartbeatInterval is the interval of heartbeats to near neighbours, which are the
-	// other hubs of the zone of a hub.
+	// heartbeatInterval is the interval of heartbeats between near neighbours, which are the
+	// hubs of one zone.
 	heartbeatInterval = 100 * time.Millisecond
 	// farHeartbeatInterval is the interval of heartbeats to all other neighbours. It is
 	// longer because traffic between zones is charged for, and because a large zone has
@@ -94,8 +94,8 @@
 	hubPeerWatchWait = 3 * time.Second
 	// spokeWatchWait is how long the store may keep a watch on the configuration or the
 	// list of instances open for a spoke that receives heartbeats from several hubs. It may
-	// be long because these heartbeats also bring what a lost response contained. It saves
-	// many calls to the store, most of which are watches that end without changes.
+	// be long because these heartbeats also bring what a lost response contained. A long time
+	// saves many calls to the store, most of which are watches that end without changes.
 	spokeWatchWait = 15 * time.Second
 	// ownerReadPause is the pause between reads of the upstreams on an instance that owns
 	// groups, and standbyReadPause on one that does not. Without a pause there would be one
@@ -104,9 +104,9 @@
 	// instances need the list only when they take a group.
 	ownerReadPause   = 400 * time.Millisecond
 	standbyReadPause = 1200 * time.Millisecond
-	// fullReadInterval is how often a standby instance reads all upstreams. It takes groups
-	// only when larger instances are lost, and needs the upstreams then even if the store is
-	// unavailable at that moment. The interval is long because there are some thousand
+	// fullReadInterval is how often a standby instance reads all upstreams. Such an instance
+	// takes groups only when larger instances are lost, and must know the upstreams then
+	// even if the store is unavailable. The interval is long because there are some thousand
 	// entries, of some 400 bytes each on the wire.
 	fullReadInterval = 30 * time.Second
 	// peerListTimeout is how long a new instance waits for the list of instances before it
@@ -151,8 +151,9 @@
 	// arrive at its beginning: the platform probes the readiness once a second, and stops
 	// sending customers after the second failed probe.
 	minDrainTime = 3200 * time.Millisecond
-	// graceMargin is the last part of the grace period, which a planned shutdown leaves for
-	// the process to end. The first responseFlushTime of it is for sending the last responses.
+	// A planned shutdown stops waiting for jobs graceMargin before the end of the grace
+	// period. The process then waits responseFlushTime for the last responses to be sent,
+	// and has the rest of the margin to end.
 	graceMargin       = 500 * time.Millisecond
 	responseFlushTime = 50 * time.Millisecond
 )
