--- a/node/ownership.go
+++ b/node/ownership.go
@@ -22,7 +22,7 @@
 	n.dropRejectedOtherZoneGroups()
 	n.dropFencedGroups()
 	n.handOverToBetterOwner()
-	n.releaseDrained() // the caller's next heartbeat lists the released upstreams
+	n.releaseDrained() // the next heartbeat lists the released upstreams
 	n.takeFreeGroups()
 }
 
--- a/node/router.go
+++ b/node/router.go
@@ -286,7 +286,7 @@
 }
 
 // coordinatorName returns the name by which a group identifies the coordinator of the offers on a
-// connection. Each connection of a peer has another name, and therefore a lease of its own.
+// connection. Each connection of a peer has a different name, and therefore a lease of its own.
 func coordinatorName(conn inner.Connection, from fate.Incarnation) string {
 	return string(from) + "#" + strconv.FormatUint(conn.ID(), 10)
 }
