--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -12,8 +12,9 @@
 	"github.com/sedgehatch/sedgehatch/membership"
 )
 
-// TestStopWithoutSuccessor shuts down the only instance of a zone as planned. It must keep its
-// group and complete jobs until another instance has started and takes the group.
+// TestStopWithoutSuccessor begins a planned shutdown of the only instance of a zone. The instance
+// must keep its group and complete jobs until another one has started, which must then own the
+// group.
 func TestStopWithoutSuccessor(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 2, "a-1")
 	n := cluster.nodes["a-1"]
@@ -46,8 +47,9 @@
 	}
 }
 
-// TestStopHandsOverInTime checks that without a successor a group is kept at the beginning of a
-// planned shutdown, and handed over early enough for running tasks to end.
+// TestStopHandsOverInTime checks that an instance that no other can replace keeps its group at the
+// beginning of a planned shutdown, and begins to hand it over before half of the time has passed,
+// so that running tasks can end.
 func TestStopHandsOverInTime(t *testing.T) {
 	cluster := newTestCluster(t, []string{"a"}, 1, "a-1")
 	n := cluster.nodes["a-1"]
@@ -77,13 +79,13 @@
 		dial       dialOutcome
 		want       bool
 	}{
-		"just started":               {age: settleTime / 2, dial: dialFailed, want: false},
-		"connection refused":         {age: settleTime / 2, refused: true, want: true},
-		"dial failed":                {age: settleTime, dial: dialFailed, want: true},
-		"dial accepted":              {age: settleTime, dial: dialAccepted, want: false},
-		"dial pending":               {age: settleTime, dial: dialPending, want: false},
-		"no heartbeat for long":      {age: busySettleTime, dial: dialAccepted, want: true},
-		"list of instances not read": {age: settleTime, listUnread: true, dial: dialFailed, want: false},
+		"just started":               {age: heartbeatWait / 2, dial: dialFailed, want: false},
+		"connection refused":         {age: heartbeatWait / 2, refused: true, want: true},
+		"dial failed":                {age: heartbeatWait, dial: dialFailed, want: true},
+		"dial accepted":              {age: heartbeatWait, dial: dialAccepted, want: false},
+		"dial pending":               {age: heartbeatWait, dial: dialPending, want: false},
+		"no heartbeat for long":      {age: busyPeerWait, dial: dialAccepted, want: true},
+		"list of instances not read": {age: heartbeatWait, listUnread: true, dial: dialFailed, want: false},
 	} {
 		n := &Node{
 			peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{Near: map[string]bool{"a-2": true}},
@@ -94,14 +96,14 @@
 		if c.refused {
 			n.refusedAt["a-2"] = clock.Now()
 		}
-		if got := n.membershipSettled(); got != c.want {
-			t.Errorf("%s: settled %v, want %v", name, got, c.want)
+		if got := n.doneWaitingForPeers(); got != c.want {
+			t.Errorf("%s: done waiting is %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// newIdleNode returns an instance that has just started and knows no peers. It does no work of
-// its own.
+// newIdleNode returns an instance that has just started and knows no peers. It has no listeners
+// and runs nothing in the background.
 func newIdleNode(name, zone string) *Node {
 	n := &Node{
 		peers: membership.NewTable(silenceLimits), neighbours: &membership.Neighbours{IsHub: true, HubCount: 1}, neighboursIfAllAlive: &membership.Neighbours{},
@@ -113,12 +115,12 @@
 	return n
 }
 
-// TestSettledOnceListed checks that an instance waits for the heartbeats of the peers on the list
-// of instances as soon as it has read the list, before it takes a group.
-func TestSettledOnceListed(t *testing.T) {
+// TestWaitsForListedPeers checks that an instance that has just read the list of instances takes no
+// group, because a listed peer of its zone has not sent a heartbeat yet.
+func TestWaitsForListedPeers(t *testing.T) {
 	n := newIdleNode("a-2", "a")
 	n.setPeerList(map[string]membership.Listing{"a-1": {Instance: "a-1", Zone: "a", Address: "there"}})
-	if n.membershipSettled() {
+	if n.doneWaitingForPeers() {
 		t.Error("the instance takes groups although the listed peer has not sent a heartbeat")
 	}
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -67,9 +67,9 @@
 // reset when data arrives on it, or at once if data is being held.
 func (p *Proxy) SetMode(m Mode) { p.mode.Store(int32(m)) }
 
-// BlackholeOpen makes the connections that are open now drop all data from now on, without
+// BlackholeOpenConnections makes the connections that are open now drop all data from now on, without
 // closing them. New connections are not affected.
-func (p *Proxy) BlackholeOpen() { p.listener.BlackholeOpen() }
+func (p *Proxy) BlackholeOpenConnections() { p.listener.BlackholeOpenConnections() }
 
 // Close stops the proxy and closes its connections.
 func (p *Proxy) Close() {
--- a/soak/run.go
+++ b/soak/run.go
@@ -179,9 +179,9 @@
 		return func(d time.Duration) { u.proxy.SetMode(mode); time.Sleep(d); u.proxy.SetMode(Forward) }
 	case 7: // tasks on an upstream make no progress
 		return func(d time.Duration) {
-			u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = true })
+			u.WithModel(func(c *standin.UpstreamModel) { c.RunsStalled = true })
 			time.Sleep(d)
-			u.WithModel(func(c *standin.UpstreamModel) { c.Stalled = false })
+			u.WithModel(func(c *standin.UpstreamModel) { c.RunsStalled = false })
 		}
 	case 8: // an upstream executes a fifth of its orders 2 s late and does not respond to them
 		return func(d time.Duration) { u.DelayOrders(0.2, 2*time.Second); time.Sleep(d); u.DelayOrders(0, 0) }
@@ -195,16 +195,16 @@
 			}
 		}
 	case 10: // the store drops its history, so that instances must read all keys again
-		return func(time.Duration) { in.store.DropHistory() }
+		return func(time.Duration) { in.store.DropRevisionHistory() }
 	case 11: // a new version of the configuration is written, already while the fault is drawn
 		if err := in.configure(); err != nil {
 			r.addViolation("cannot write a configuration: %v", err)
 		}
 		return func(time.Duration) {}
 	case 12: // the open connections between an instance and the store silently drop all data
-		return func(time.Duration) { p.store.BlackholeOpen() }
+		return func(time.Duration) { p.store.BlackholeOpenConnections() }
 	case 13: // the open connections between all instances and an upstream silently drop all data
-		return func(time.Duration) { u.proxy.BlackholeOpen() }
+		return func(time.Duration) { u.proxy.BlackholeOpenConnections() }
 	default: // an upstream is drained and replaced by a new one
 		return func(d time.Duration) { in.replaceUpstream(u, d, r) }
 	}
